--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -2,91 +2,89 @@
 
 import "time"
 
-// wait is what is known of a request that no runner can take now.
+// wait describes a request that no runner can take now.
 type wait struct {
-	// elapsed is the time since the request arrived, hold the longest time that
-	// it may be held.
+	// elapsed is the time since the request arrived, maxWait the longest time that it may wait.
 	elapsed time.Duration
-	hold    time.Duration
-	// objective is the time of a prompt answer; zero for none.
+	maxWait time.Duration
+	// objective is the time within which the answer is to begin; zero for none.
 	objective time.Duration
 	// expected is the time until a runner can take it, if known.
 	expected time.Duration
 	known    bool
-	// least is the least time until a runner can take it, if known: what is expected may
-	// turn out better, as another runner may take over.
-	least time.Duration
-	// dated is set when a runner may take it by then without any further news: a cold one, or
-	// one that rests.
-	dated bool
-	// firm is set when what is expected cannot come sooner, crowded when those that wait for
-	// it already are as many as it can be expected to take.
-	firm, crowded bool
-	// returned is set when the client was refused before and came back.
-	returned bool
+	// earliest is the shortest possible time until a runner can take it, if known. It may be less
+	// than expected, as another runner may become available first.
+	earliest time.Duration
+	// scheduled is set when a runner becomes available after that time without any further event: a
+	// cold runner, or one that is in a rest that it asked for.
+	scheduled bool
+	// exact is set when the runner cannot become available earlier than expected, queueFull when as
+	// many requests as it is expected to take already wait for it.
+	exact, queueFull bool
+	// retried is set when the client was refused before and tries again.
+	retried bool
 }
 
-// leastLook is the shortest time after which a request that waits for a known moment looks
-// again by itself.
-const leastLook = 10 * time.Millisecond
+// minRecheck is the shortest time after which a request that waits for a known moment checks again
+// by itself.
+const minRecheck = 10 * time.Millisecond
 
 const (
-	// promptRefusal is the part of the objective within which a refusal costs
-	// the client little.
-	promptRefusal = 0.22
-	// startMargin is the part of the objective that the runner needs itself, at
-	// most longestMargin.
-	startMargin   = 0.3
-	longestMargin = 300 * time.Millisecond
-	// leastReturn is the shortest time after which a refused client comes back.
-	leastReturn = 100 * time.Millisecond
+	// promptRefusalShare is the part of the objective within which a refusal costs the client
+	// little.
+	promptRefusalShare = 0.22
+	// startMarginShare is the part of the objective that the runner itself needs to begin the
+	// answer, at most maxStartMargin.
+	startMarginShare = 0.3
+	maxStartMargin   = 300 * time.Millisecond
+	// minRetryAfter is the shortest retry time given to a refused client.
+	minRetryAfter = 100 * time.Millisecond
 )
 
-// verdict says what to do with a waiting request.
-type verdict uint8
+// waitDecision says what to do with a waiting request.
+type waitDecision uint8
 
 const (
-	// keepWaiting holds it until again.
-	keepWaiting verdict = iota
-	// sendBack refuses it, as it is better served when it comes back.
-	sendBack
+	// keepWaiting holds the request until the next check.
+	keepWaiting waitDecision = iota
+	// retryLater refuses it, as it is served better when the client tries again.
+	retryLater
 	// giveUp refuses it, as its time is over.
 	giveUp
 )
 
-// decide weighs a wait against a refusal. A request that can still be served
-// within its objective waits. One that cannot is refused at once, with the time
-// at which it can be served. A client that was sent back
-// already, or could not come back in time, waits if it can be served in its time at all.
-// again is when to decide anew.
-func (w wait) decide() (decision verdict, retryAfter, again time.Duration) {
-	if w.elapsed >= w.hold || w.crowded {
-		return giveUp, max(w.expected, defaultReturn), 0
+// decide weighs waiting against refusing. A request that can still be served within its objective
+// waits. One that cannot is refused at once, with the time at which it can be served. A request
+// that was refused before, or that could not be sent again in time, waits if it can be served
+// before its deadline at all. recheck is when to decide again.
+func (w wait) decide() (decision waitDecision, retryAfter, recheck time.Duration) {
+	if w.elapsed >= w.maxWait || w.queueFull {
+		return giveUp, max(w.expected, defaultRetryAfter), 0
 	}
-	if (w.returned || w.firm) && w.known && w.elapsed+w.least > w.hold {
-		// Nothing can take it before its time is over, and nobody gains by its wait.
+	if (w.retried || w.exact) && w.known && w.elapsed+w.earliest > w.maxWait {
+		// No runner can take it before its deadline, so waiting gains nothing.
 		return giveUp, w.expected, 0
 	}
-	rest := w.hold - w.elapsed
-	prompt := time.Duration(promptRefusal * float64(w.objective))
-	if w.returned && !w.known && w.elapsed < prompt {
-		return keepWaiting, 0, min(prompt-w.elapsed, rest)
+	remaining := w.maxWait - w.elapsed
+	prompt := time.Duration(promptRefusalShare * float64(w.objective))
+	if w.retried && !w.known && w.elapsed < prompt {
+		return keepWaiting, 0, min(prompt-w.elapsed, remaining)
 	}
-	if w.dated {
-		rest = min(rest, max(w.expected, leastLook))
+	if w.scheduled {
+		remaining = min(remaining, max(w.expected, minRecheck))
 	}
-	if w.objective == 0 || w.returned || w.elapsed > prompt+promptSlack {
-		return keepWaiting, 0, rest
+	if w.objective == 0 || w.retried || w.elapsed > prompt+promptSlack {
+		return keepWaiting, 0, remaining
 	}
 	if !w.known {
-		// News of a load come within this time.
-		return keepWaiting, 0, min(max(prompt-w.elapsed, time.Millisecond), rest)
+		// A load that has begun is reported within this time.
+		return keepWaiting, 0, min(max(prompt-w.elapsed, time.Millisecond), remaining)
 	}
-	margin := min(time.Duration(startMargin*float64(w.objective)), longestMargin)
+	margin := min(time.Duration(startMarginShare*float64(w.objective)), maxStartMargin)
 	if w.elapsed+w.expected <= w.objective-margin {
-		return keepWaiting, 0, rest
+		return keepWaiting, 0, remaining
 	}
-	return sendBack, max(w.expected, leastReturn), 0
+	return retryLater, max(w.expected, minRetryAfter), 0
 }
 
 // promptSlack is how late the decision on a prompt refusal may come.
--- a/internal/dispatch/answer.go
+++ b/internal/dispatch/answer.go
@@ -15,24 +15,24 @@
 	"lilacvane/internal/upstream"
 )
 
-// maximumWhole bounds an answer that is read before it is passed on.
-const maximumWhole = 32 << 20
+// maxBufferedAnswer bounds, in bytes, an answer that is read completely before it is forwarded.
+const maxBufferedAnswer = 32 << 20
 
-// wholeAnswer is a runner's complete answer.
-type wholeAnswer struct {
+// bufferedAnswer is a runner's complete answer.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// connectionHeaders concern one connection only.
+// connectionHeaders apply to a single connection and are not forwarded.
 var connectionHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// StripConnectionHeaders removes the headers that concern one connection only,
-// also those that the Connection header names.
+// StripConnectionHeaders removes the headers that apply to a single connection, including those
+// that the Connection header names.
 func StripConnectionHeaders(header http.Header) {
 	for _, value := range header.Values("Connection") {
 		for name := range strings.SplitSeq(value, ",") {
@@ -44,57 +44,56 @@
 	}
 }
 
-// errUnsigned is the error of a success that is not the runner's.
+// errUnsigned is the error of a success that does not carry the runner's signature.
 var errUnsigned = errors.New("success without the runner's signature")
 
-// readWhole reads an answer to its end.
-func readWhole(choice fleet.Choice, answer *upstream.Answer) (*wholeAnswer, error) {
-	body, err := io.ReadAll(io.LimitReader(answer, maximumWhole+1))
+// readBuffered reads a complete answer.
+func readBuffered(choice fleet.Choice, answer *upstream.Answer) (*bufferedAnswer, error) {
+	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedAnswer+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > maximumWhole {
+	if len(body) > maxBufferedAnswer {
 		return nil, fault.At(fault.CodeTooLarge, "read answer", choice.Runner.ID, fault.Unknown, nil)
 	}
-	return &wholeAnswer{status: answer.Status, header: answer.Header, body: body}, nil
+	return &bufferedAnswer{status: answer.Status, header: answer.Header, body: body}, nil
 }
 
-// passWhole reads an answer to its end and passes it on. A failure of a request
-// that may be repeated is kept back while another runner is tried.
-func (j *job) passWhole(ctx context.Context, choice fleet.Choice, answer *upstream.Answer) (exchanged, error) {
-	whole, err := readWhole(choice, answer)
+// forwardBuffered reads a complete answer and forwards it. A failure of an idempotent request is
+// held back while another runner is tried.
+func (j *job) forwardBuffered(ctx context.Context, choice fleet.Choice, answer *upstream.Answer) (attemptResult, error) {
+	buffered, err := readBuffered(choice, answer)
 	if err != nil {
-		return exchanged{fleet: j.failure(ctx)}, err
+		return attemptResult{fleet: j.failureResult(ctx)}, err
 	}
-	if !j.genuine(whole) {
-		return exchanged{fleet: fleet.Failed}, fault.At(fault.CodeInterrupted, "read answer", choice.Runner.ID, fault.Unknown, errUnsigned)
+	if !j.authentic(buffered) {
+		return attemptResult{fleet: fleet.Failed}, fault.At(fault.CodeInterrupted, "read answer", choice.Runner.ID, fault.Unknown, errUnsigned)
 	}
-	if whole.status >= http.StatusInternalServerError {
-		return j.runnerFailed(choice, whole)
+	if buffered.status >= http.StatusInternalServerError {
+		return j.runnerFailed(choice, buffered)
 	}
-	j.writeWhole(whole, ResultServed)
-	return exchanged{fleet: fleet.Served}, nil
+	j.writeBuffered(buffered, ResultServed)
+	return attemptResult{fleet: fleet.Served}, nil
 }
 
-// runnerFailed handles a runner's own failure: it has run. Its answer goes to the
-// client, at once or after other runners were tried, unless the node states
-// errors in its own form or the status would be a false promise.
-func (j *job) runnerFailed(choice fleet.Choice, whole *wholeAnswer) (exchanged, error) {
-	result := exchanged{fleet: fleet.Failed}
-	problem := fault.At(fault.CodeInterrupted, "send request", choice.Runner.ID, fault.Done, answered(whole.status))
-	if j.request.OwnErrors || promisesNotRun(whole.status) {
+// runnerFailed handles an error answer of the runner itself: the request has run. The answer goes
+// to the client, at once or after other runners were tried, unless the node answers with errors of
+// its own or clients would take the status as a promise that the request did not run.
+func (j *job) runnerFailed(choice fleet.Choice, buffered *bufferedAnswer) (attemptResult, error) {
+	result := attemptResult{fleet: fleet.Failed}
+	problem := fault.At(fault.CodeInterrupted, "send request", choice.Runner.ID, fault.Done, statusError(buffered.status))
+	if j.request.OwnErrors || promisesNotRun(buffered.status) {
 		return result, problem
 	}
 	if j.route.Idempotent() && j.ran+1 < j.route.Attempts {
-		j.last = whole
+		j.heldFailure = buffered
 		return result, problem
 	}
-	j.writeWhole(whole, ResultPassed)
+	j.writeBuffered(buffered, ResultPassed)
 	return result, nil
 }
 
-// promisesNotRun reports whether clients take a status as a promise that the
-// request did not run.
+// promisesNotRun reports whether clients take a status as a promise that the request did not run.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -104,12 +103,12 @@
 	}
 }
 
-// genuine reports whether an answer may be passed on as the runner's.
-func (j *job) genuine(whole *wholeAnswer) bool {
-	if whole.header.Get("Content-Encoding") != "" {
+// authentic reports whether an answer may be forwarded as the runner's.
+func (j *job) authentic(buffered *bufferedAnswer) bool {
+	if buffered.header.Get("Content-Encoding") != "" {
 		return false
 	}
-	return whole.status >= http.StatusMultipleChoices || whole.header.Get(j.dispatcher.Names.Signature) != ""
+	return buffered.status >= http.StatusMultipleChoices || buffered.header.Get(j.dispatcher.Names.Signature) != ""
 }
 
 func (j *job) copyHeader(header http.Header) {
@@ -122,38 +121,37 @@
 	suppress(target, "Date")
 }
 
-// suppress keeps the HTTP library from adding a header of its own.
+// suppress keeps the HTTP library from adding the header by itself.
 func suppress(header http.Header, name string) {
 	if len(header[name]) == 0 {
 		header[name] = nil
 	}
 }
 
-func (j *job) writeWhole(whole *wholeAnswer, result string) {
-	j.copyHeader(whole.header)
-	j.writer.Header().Set("Content-Length", strconv.Itoa(len(whole.body)))
+func (j *job) writeBuffered(buffered *bufferedAnswer, result string) {
+	j.copyHeader(buffered.header)
+	j.writer.Header().Set("Content-Length", strconv.Itoa(len(buffered.body)))
 	j.outcome.First = time.Since(j.request.Arrived)
-	j.outcome.Result, j.outcome.Status = result, whole.status
-	j.writer.WriteHeader(whole.status)
-	_, _ = j.writer.Write(whole.body)
+	j.outcome.Result, j.outcome.Status = result, buffered.status
+	j.writer.WriteHeader(buffered.status)
+	_, _ = j.writer.Write(buffered.body)
 }
 
-// refuse answers a request that did not run and will not, with the time to come
-// back.
+// refuse answers a request that did not run and will not, with a retry time.
 func (j *job) refuse(problem *fault.Error) {
 	problem.Ran = fault.NotDone
 	status := fault.Status(problem.Code)
-	if !promisesNotRun(status) && !final(status) {
+	if !promisesNotRun(status) && !permanent(status) {
 		status = http.StatusServiceUnavailable
 	}
 	if promisesNotRun(status) && problem.RetryAfter == 0 {
-		problem = problem.WithRetryAfter(defaultReturn)
+		problem = problem.WithRetryAfter(defaultRetryAfter)
 	}
 	j.writeProblem(status, problem, ResultRefused)
 }
 
-// final reports whether a refusal with the status is of no use to repeat.
-func final(status int) bool {
+// permanent reports whether repeating a request that was refused with the status is pointless.
+func permanent(status int) bool {
 	switch status {
 	case http.StatusBadRequest, http.StatusUnauthorized, http.StatusNotFound:
 		return true
@@ -164,8 +162,8 @@
 
 // fail answers a request that may have run.
 func (j *job) fail(timedOut bool, problem *fault.Error) {
-	if j.relay != nil {
-		j.breakOff(problem)
+	if j.stream != nil {
+		j.abortStream(problem)
 		return
 	}
 	status := http.StatusBadGateway
@@ -183,7 +181,7 @@
 	j.outcome.Result, j.outcome.Status = result, status
 	j.outcome.Step, j.outcome.Reason = problem.Step, problem.Error()
 	j.outcome.Problem = problem
-	body, err := json.Marshal(fault.ToBody(j.dispatcher.named(problem)))
+	body, err := json.Marshal(fault.ToBody(j.dispatcher.withNodeName(problem)))
 	if err != nil {
 		body = nil
 	}
--- a/internal/dispatch/answer_test.go
+++ b/internal/dispatch/answer_test.go
@@ -10,8 +10,8 @@
 	"lilacvane/internal/fleet"
 )
 
-// TestKeptFailures: only a failure that may reach the client is kept while
-// another runner is tried, as the time may end before that one answers.
+// TestKeptFailures checks that only a failure that may reach the client is held back while another
+// runner is tried: the deadline may pass before that runner answers.
 func TestKeptFailures(t *testing.T) {
 	for name, test := range map[string]struct {
 		status    int
@@ -27,9 +27,9 @@
 				route:   &config.Route{Kind: config.Safe, Attempts: 3},
 				request: &Request{OwnErrors: test.ownErrors},
 			}
-			_, err := j.runnerFailed(fleet.Choice{}, &wholeAnswer{status: test.status})
+			_, err := j.runnerFailed(fleet.Choice{}, &bufferedAnswer{status: test.status})
 			assert.Assert(t, err != nil, "another runner is tried")
-			assert.Equal(t, j.last != nil, test.kept)
+			assert.Equal(t, j.heldFailure != nil, test.kept)
 		})
 	}
 }
--- a/internal/dispatch/caller.go
+++ b/internal/dispatch/caller.go
@@ -15,45 +15,44 @@
 
 // The verdicts.
 const (
-	// Within means that it may run; its cost was spent.
+	// WithinLimit means that the request may run; its cost was charged.
 	Within Verdict = iota
-	// Over means that the limit is used up now.
+	// OverLimit means that the limit is used up now.
 	Over
-	// TooLarge means that the request costs more than the limit ever lets through at once.
+	// TooLarge means that the request costs more than the limit ever allows at once.
 	TooLarge
-	// NotKnown means that nobody can be asked now.
+	// LimitUnknown means that no node can be asked now.
 	NotKnown
 )
 
 // Admission is the decision on a request.
 type Admission struct {
 	Verdict Verdict
-	// In is when a request that is Over may come back.
+	// RetryAfter is when a request that is OverLimit may be sent again.
 	In time.Duration
-	// By is the node whose share decided, or its address.
+	// By is the node whose share of the limit decided, or its address.
 	By string
 }
 
-// Limiter decides on requests of tenants.
+// Limiter decides whether requests of tenants are within their limits.
 type Limiter interface {
-	// Ask notes that a request of the cost was asked for, once a request.
+	// RecordDemand records, once per request, that a request of the given cost arrived.
 	Ask(t *tenant.Tenant, cost float64)
-	// Admit decides on it now; it may be asked again. rank is its place among the requests
+	// Admit decides on the request now; it may be called again. rank is its rank among the requests
 	// of its tenant, 0 the most urgent.
 	Admit(ctx context.Context, t *tenant.Tenant, cost float64, rank int) Admission
 }
 
-// routeRanks is how many priorities of routes are told apart below one of tenants: with
-// three, those of the first three tenants' priorities fit the ten urgencies of engines.
+// routeRanks is how many priorities of routes are distinguished within one priority of tenants:
+// with three, the requests of the first three tenant priorities fit the ten urgencies of engines.
 const routeRanks = 3
 
-// identify finds whose request it is. A route that is not public needs a key that a
-// tenant holds.
+// identify finds the tenant of the request. A route that is not public needs the key of a tenant.
 func (j *job) identify(configuration *config.Configuration) *fault.Error {
 	if configuration.Tenants == nil {
 		return nil
 	}
-	j.closed = true
+	j.keysRequired = true
 	holder, known := configuration.Tenants.Resolve(j.request.Key)
 	if known {
 		j.tenant = holder
@@ -66,24 +65,24 @@
 	if j.request.Key == "" {
 		return fault.New(fault.CodeUnauthorized, "identify caller", "the request carries no key that can be read")
 	}
-	return j.missing(fault.New(fault.CodeUnauthorized, "identify caller", "no tenant holds the request's key"))
+	return j.notConfigured(fault.New(fault.CodeUnauthorized, "identify caller", "no tenant holds the request's key"))
 }
 
 const (
 	stepLimit = "check limit"
-	// leastOverReturn is the shortest time after which a request over its tenant's limit
-	// may come back, so that many small waits do not become a storm.
-	leastOverReturn = 200 * time.Millisecond
-	// tooLargeReturn is when a request that is larger than its tenant's limit may come
-	// back: the limit may have been changed by then.
-	tooLargeReturn = 10 * time.Second
-	// limitPause is how long a request waits until it looks again for somebody to ask: a
-	// node hears of a new holder and of lenders within some of these.
-	limitPause = 50 * time.Millisecond
+	// minOverLimitRetryAfter is the shortest retry time of a request over its tenant's limit, so
+	// that many short waits do not become a retry storm.
+	minOverLimitRetryAfter = 200 * time.Millisecond
+	// tooLargeRetryAfter is the retry time of a request that is larger than its tenant's limit: the
+	// limit may have been changed by then.
+	tooLargeRetryAfter = 10 * time.Second
+	// limitPollInterval is how long a request waits until it looks again for a node to ask: a node
+	// hears of a new holder and of lenders within a few of these.
+	limitPollInterval = 50 * time.Millisecond
 )
 
-// admit charges the request to its tenant's limit, or says why it cannot. What a request
-// is charged for is a run: sending it again or going on with its stream costs no more.
+// admit charges the request to its tenant's limit, or returns why it cannot. One run is charged:
+// sending the request again or resuming its stream costs no more.
 func (j *job) admit(ctx context.Context) error {
 	if j.tenant == nil || j.dispatcher.Limits == nil {
 		return nil
@@ -114,45 +113,45 @@
 	}
 }
 
-// limitWait is the part of a request's objective in which it may wait for its tenant's
-// limit: what is left is enough for a runner to begin its answer in time.
-const limitWait = 0.5
+// limitWaitShare is the part of a request's objective in which it may wait for its tenant's limit:
+// what is left is enough for a runner to begin its answer in time.
+const limitWaitShare = 0.5
 
 // limitPatience is how long the request may still wait for its tenant's limit.
 func (j *job) limitPatience() time.Duration {
-	return time.Duration(limitWait*float64(j.route.Objective)) - time.Since(j.request.Arrived)
+	return time.Duration(limitWaitShare*float64(j.route.Objective)) - time.Since(j.request.Arrived)
 }
 
-// waits reports whether a request is better held for a moment than sent back, and for how
+// waits reports whether holding the request for a moment is better than refusing it, and for how
 // long.
 func (a Admission) waits(patience time.Duration) (again time.Duration, ok bool) {
 	switch a.Verdict {
 	case Over:
 		return max(a.In, time.Millisecond), a.In <= patience
 	case NotKnown:
-		return limitPause, limitPause <= patience
+		return limitPollInterval, limitPollInterval <= patience
 	default:
 		return 0, false
 	}
 }
 
-// overLimit says why a request is not within its tenant's limit.
+// overLimit returns the error of a request that is not within its tenant's limit.
 func (j *job) overLimit(admission Admission, cost float64) *fault.Error {
 	limit := j.tenant.Limit
 	switch admission.Verdict {
 	case Over:
 		return fault.New(fault.CodeOverLimit, stepLimit, "tenant %s is over %g %s a second", j.tenant.Name, limit.Rate, limit.Unit).
-			WithRetryAfter(max(admission.In, leastOverReturn))
+			WithRetryAfter(max(admission.In, minOverLimitRetryAfter))
 	case TooLarge:
 		return fault.New(fault.CodeOverLimit, stepLimit, "the request costs %g %s, more than the limit of tenant %s holds", cost, limit.Unit, j.tenant.Name).
-			WithRetryAfter(tooLargeReturn)
+			WithRetryAfter(tooLargeRetryAfter)
 	default:
-		return fault.New(fault.CodeNotReady, stepLimit, "nobody can be asked for the limit of tenant %s", j.tenant.Name).WithRetryAfter(defaultReturn)
+		return fault.New(fault.CodeNotReady, stepLimit, "nobody can be asked for the limit of tenant %s", j.tenant.Name).WithRetryAfter(defaultRetryAfter)
 	}
 }
 
-// priority is the request's rank, 0 first: its tenant's priority goes before its
-// route's.
+// priority is the rank of the request, 0 first: the priority of its tenant takes precedence over
+// that of its route.
 func (j *job) priority() int {
 	route := max(j.route.Priority, 0)
 	if j.tenant == nil {
@@ -161,9 +160,9 @@
 	return j.tenant.Priority*routeRanks + min(route, routeRanks-1)
 }
 
-// tellTenant replaces the caller's key by the name of its tenant.
-func (j *job) tellTenant(header http.Header) {
-	if !j.closed {
+// setTenantHeader replaces the caller's key by the name of its tenant.
+func (j *job) setTenantHeader(header http.Header) {
+	if !j.keysRequired {
 		return
 	}
 	header.Del(j.dispatcher.Names.Key)
--- a/internal/dispatch/caller_test.go
+++ b/internal/dispatch/caller_test.go
@@ -28,8 +28,8 @@
 	return j, j.identify(&config.Configuration{Tenants: directory})
 }
 
-// TestKeyDecidesWhoCalls: a request needs a key that a tenant holds unless its route is
-// public, and a runner is told the tenant, never the key.
+// TestKeyDecidesWhoCalls checks that a request needs the key of a tenant unless its route is
+// public, and that a runner receives the tenant's name but never the key.
 func TestKeyDecidesWhoCalls(t *testing.T) {
 	for _, test := range []struct {
 		key     string
@@ -51,24 +51,24 @@
 			continue
 		}
 		header := http.Header{"Authorization": {"Token " + test.key}}
-		j.tellTenant(header)
+		j.setTenantHeader(header)
 		assert.Equal(t, header.Get("X-Tenant"), test.tenant)
 		assert.Equal(t, header.Get("Authorization"), "")
 	}
 }
 
-// TestOpenConfigurationKeepsHeaders: without tenants nobody needs a key, and a client's
-// own headers pass.
+// TestOpenConfigurationKeepsHeaders checks that without tenants no key is needed, and that a
+// client's own headers are forwarded.
 func TestOpenConfigurationKeepsHeaders(t *testing.T) {
 	j := &job{dispatcher: &Dispatcher{Names: upstream.Names{Key: "Authorization"}}, request: &Request{}, route: &config.Route{}}
 	assert.Assert(t, j.identify(&config.Configuration{}) == nil)
 	header := http.Header{"Authorization": {"Basic x"}}
-	j.tellTenant(header)
+	j.setTenantHeader(header)
 	assert.Equal(t, header.Get("Authorization"), "Basic x")
 }
 
-// TestTenantsPriorityGoesFirst: a less urgent route of a more urgent tenant goes before
-// a more urgent route of another.
+// TestTenantsPriorityGoesFirst checks that a less urgent route of a more urgent tenant precedes a
+// more urgent route of another tenant.
 func TestTenantsPriorityGoesFirst(t *testing.T) {
 	first, _ := caller(t, "k1", false)
 	second, _ := caller(t, "k2", false)
@@ -76,7 +76,7 @@
 	assert.Assert(t, first.priority() < second.priority())
 }
 
-// limiter answers with its admissions in turn.
+// limiter returns its admissions one after the other.
 type limiter struct {
 	admissions []Admission
 	asked      float64
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestLimitIsCharged: each request is asked for once and costs its tokens, or what one
-// without counts costs.
+// TestLimitIsCharged checks that demand is recorded once per request, and that a request costs its
+// tokens, or the plain cost if it has no counts.
 func TestLimitIsCharged(t *testing.T) {
 	l := &limiter{admissions: []Admission{{Verdict: NotKnown}, {Verdict: Within}}}
 	assert.NilError(t, limitedJob(l, &Request{TokensIn: 5, TokensOut: 2, Counts: CountsGiven}).admit(t.Context()))
@@ -113,8 +113,8 @@
 	assert.Equal(t, l.cost, 3.0)
 }
 
-// TestOnlyAdmittedRequestsAreCharged: what a request costs is told of each, and that it was
-// charged only of one that was admitted.
+// TestOnlyAdmittedRequestsAreCharged checks that the cost is recorded for each request, and as
+// charged only for an admitted one.
 func TestOnlyAdmittedRequestsAreCharged(t *testing.T) {
 	for verdict, charged := range map[Verdict]bool{Within: true, Over: false, TooLarge: false, NotKnown: false} {
 		j := limitedJob(&limiter{admissions: []Admission{{Verdict: verdict, In: time.Hour}}}, &Request{})
@@ -124,8 +124,8 @@
 	}
 }
 
-// TestOverLimitIsRefused: what is over is refused at once with the time to come back, but
-// for a moment that costs the client less than a refusal.
+// TestOverLimitIsRefused checks that a request over the limit is refused at once with a retry time,
+// except where a short wait costs the client less than a refusal.
 func TestOverLimitIsRefused(t *testing.T) {
 	for name, test := range map[string]struct {
 		admissions []Admission
@@ -134,8 +134,8 @@
 	}{
 		"over for long":     {[]Admission{{Verdict: Over, In: 2 * time.Second}}, fault.CodeOverLimit, 2 * time.Second},
 		"over for a moment": {[]Admission{{Verdict: Over, In: 20 * time.Millisecond}, {Verdict: Within}}, "", 0},
-		"larger than ever":  {[]Admission{{Verdict: TooLarge}}, fault.CodeOverLimit, tooLargeReturn},
-		"nobody to ask":     {[]Admission{{Verdict: NotKnown}}, fault.CodeNotReady, defaultReturn},
+		"larger than ever":  {[]Admission{{Verdict: TooLarge}}, fault.CodeOverLimit, tooLargeRetryAfter},
+		"nobody to ask":     {[]Admission{{Verdict: NotKnown}}, fault.CodeNotReady, defaultRetryAfter},
 	} {
 		err := limitedJob(&limiter{admissions: test.admissions}, &Request{}).admit(t.Context())
 		if test.code == "" {
@@ -149,14 +149,14 @@
 	}
 }
 
-// TestUnreadableCountsAreRefused: a tenant whose limit counts tokens cannot have counts
-// that cannot be read.
+// TestUnreadableCountsAreRefused checks that a tenant whose limit counts tokens cannot send counts
+// that cannot be parsed.
 func TestUnreadableCountsAreRefused(t *testing.T) {
 	err := limitedJob(&limiter{}, &Request{Counts: CountsUnreadable}).admit(t.Context())
 	assert.Assert(t, fault.IsCode(err, fault.CodeInvalid))
 }
 
-// TestLeavingClientEndsWaitForLimit: nobody waits for a limit whose client left.
+// TestLeavingClientEndsWaitForLimit checks that the wait for a limit ends when the client leaves.
 func TestLeavingClientEndsWaitForLimit(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -164,14 +164,15 @@
 	assert.Assert(t, fault.IsCode(err, fault.CodeCanceled))
 }
 
-// TestCallersContentsAreApart: nobody can send what counts as another caller's request, and a
-// tenant's stays the same with another key.
-func TestCallersContentsAreApart(t *testing.T) {
+// TestContentIdentityDependsOnCaller checks that no caller can send a request that counts as
+// another caller's, and that a tenant's request keeps its identity when the tenant uses another
+// key.
+func TestContentIdentityDependsOnCaller(t *testing.T) {
 	content := func(key string) poison.Identity {
 		j, _ := caller(t, key, true)
 		j.request.Target, j.request.Path = "/p?try=1", "/p"
 		j.request.Body = []byte("b")
-		return j.content()
+		return j.contentIdentity()
 	}
 	first, second := content("k1"), content("k2")
 	assert.Assert(t, first != second)
--- a/internal/dispatch/cold_test.go
+++ b/internal/dispatch/cold_test.go
@@ -13,20 +13,20 @@
 	"lilacvane/internal/fleet"
 )
 
-// coldJob is a request for a model that one runner holds, cold for a time.
+// coldJob is a request for a model that is held by one runner, which stays cold for the given time.
 func coldJob(coldFor time.Duration) (*job, *fleet.Fleet, *demand.Book) {
 	unit := backend.Unit{Model: "alpha"}
 	known := fleet.New("zone", time.Now, noRules{})
 	terms := coldstart.NewTerms(6.9, 1.5, 5, 3*time.Second, coldstart.Lent{})
 	known.SetColdStarts(fleet.ColdStarts{Terms: func(string) coldstart.Terms { return terms }})
 	known.Replace([]backend.Runner{{ID: "r1", Service: "s", Models: []backend.Holding{{Model: unit.Model}}, ColdFor: coldFor}}, false)
-	j := waiter(known, time.Hour)
+	j := waitingFor(known, time.Hour)
 	j.route.Objective = time.Second
 	return j, known, j.dispatcher.Demand
 }
 
-// TestRequestWaitsForAPermit: what only a cold runner could serve asks for a permit at
-// once, is woken when one comes, and spends it.
+// TestRequestWaitsForAPermit checks that a request that only a cold runner could serve asks for a
+// permit at once, is woken when one arrives, and spends it.
 func TestRequestWaitsForAPermit(t *testing.T) {
 	j, known, book := coldJob(time.Hour)
 	urgent := book.Urgent("s")
@@ -34,44 +34,45 @@
 		<-urgent
 		known.ApplyPermits([]fleet.PermitsLent{{Runner: "r1", Count: 1}}, time.Now())
 	}()
-	choice, err := j.place(t.Context())
+	choice, err := j.selectRunner(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, choice.Runner.ID, "r1")
 	assert.Equal(t, known.ColdFigures().Spent, uint64(1))
 	assert.Assert(t, !book.Waits("s"))
 }
 
-// TestRequestWithoutAPermitIsRefused: at once, and told when the runner is warm, where
-// nobody lends before that.
+// TestRequestWithoutAPermitIsRefused checks that the request is refused at once, with the time at
+// which the runner is warm, if no permit is lent before that.
 func TestRequestWithoutAPermitIsRefused(t *testing.T) {
 	j, known, _ := coldJob(9 * time.Second)
 	known.SetOrdersIn("s", time.Minute)
-	_, err := j.place(t.Context())
+	_, err := j.selectRunner(t.Context())
 	assert.Assert(t, fault.IsCode(err, fault.CodeDeadline), "%v", err)
 	retryAfter := fault.From(err, "").RetryAfter
 	assert.Assert(t, retryAfter > 5*time.Second && retryAfter <= 9*time.Second, retryAfter)
 	assert.Equal(t, fault.OutcomeOf(err), fault.NotDone)
 }
 
-// TestWaitForAPermitLooksAgain: by itself when a permit may be there, or a draw allows it.
-func TestWaitForAPermitLooksAgain(t *testing.T) {
-	w := wait{hold: 8 * time.Second, objective: 4 * time.Second, expected: 700 * time.Millisecond, known: true, dated: true}
+// TestWaitForAPermitRechecks checks that a waiting request checks again by itself when a permit may
+// have arrived or a draw allows it.
+func TestWaitForAPermitRechecks(t *testing.T) {
+	w := wait{maxWait: 8 * time.Second, objective: 4 * time.Second, expected: 700 * time.Millisecond, known: true, scheduled: true}
 	decision, _, again := w.decide()
 	assert.Equal(t, decision, keepWaiting)
 	assert.Equal(t, again, w.expected)
-	w.expected, w.returned = 0, true
+	w.expected, w.retried = 0, true
 	_, _, again = w.decide()
-	assert.Equal(t, again, leastLook)
+	assert.Equal(t, again, minRecheck)
 }
 
-// TestColdRunnerDoesNotHideALoad: a request that a cold runner could serve late is told of
-// the load under way that serves it sooner.
+// TestColdRunnerDoesNotHideALoad checks that a request that a cold runner could serve late is told
+// of the load under way that serves it sooner.
 func TestColdRunnerDoesNotHideALoad(t *testing.T) {
 	j, known, _ := coldJob(time.Minute)
 	known.Apply([]backend.Runner{{ID: "r2", Service: "s"}}, nil, false)
 	known.ApplyViews([]fleet.View{{Runner: "r2", Coming: []fleet.Coming{{Unit: j.query.Unit, In: 2 * time.Second}}}}, 0)
 	known.SetOrdersIn("s", time.Minute)
-	w := j.waitNow()
+	w := j.currentWait()
 	assert.Assert(t, w.known && w.expected <= 2*time.Second, w.expected)
-	assert.Assert(t, w.least <= w.expected)
+	assert.Assert(t, w.earliest <= w.expected)
 }
--- a/internal/dispatch/left_test.go
+++ b/internal/dispatch/demand_test.go
@@ -13,15 +13,15 @@
 	"lilacvane/internal/fleet"
 )
 
-// waitingJob is a request for a model that nobody holds, whose load takes longer
-// than its objective.
+// waitingJob is a request for a model that no runner holds, whose load takes longer than the
+// request's objective.
 func waitingJob(book *demand.Book) *job {
 	alpha := &config.Model{Name: "alpha", LoadTime: 10 * time.Second}
 	configuration := &config.Configuration{Services: map[string]*config.Service{
 		"s": {Engine: &config.Engine{Models: map[string]*config.Model{"alpha": alpha}}},
 	}}
 	const elapsed = 230 * time.Millisecond
-	j := waiter(fleet.New("zone", time.Now, noRules{}), time.Hour)
+	j := waitingFor(fleet.New("zone", time.Now, noRules{}), time.Hour)
 	j.dispatcher.Demand = book
 	j.dispatcher.Configuration = func() *config.Configuration { return configuration }
 	j.route.Objective = time.Second
@@ -29,22 +29,22 @@
 	return j
 }
 
-// TestRefusedRequestIsStillWanted: a client that is sent back comes back, so what it
-// waits for stays wanted.
-func TestRefusedRequestIsStillWanted(t *testing.T) {
+// TestRefusedRequestKeepsDemand checks that the demand for a model stays recorded when the client
+// is refused with a retry time, as the client tries again.
+func TestRefusedRequestKeepsDemand(t *testing.T) {
 	book := demand.NewBook()
-	_, err := waitingJob(book).place(t.Context())
+	_, err := waitingJob(book).selectRunner(t.Context())
 	assert.Assert(t, fault.IsCode(err, fault.CodeDeadline), "%v", err)
 	assert.Equal(t, len(book.Waiting()), 1)
 }
 
-// TestNothingIsWantedForAClientThatLeft: a client that left while its request was
-// about to be refused does not come back.
+// TestNothingIsWantedForAClientThatLeft checks that no demand stays recorded for a client that left
+// while its request was about to be refused, as that client does not try again.
 func TestNothingIsWantedForAClientThatLeft(t *testing.T) {
 	book := demand.NewBook()
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
-	_, err := waitingJob(book).place(ctx)
+	_, err := waitingJob(book).selectRunner(ctx)
 	assert.Assert(t, fault.IsCode(err, fault.CodeCanceled), "%v", err)
 	assert.Equal(t, len(book.Waiting()), 0)
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	// defaultPatience holds a request whose client and route name no time.
+	// defaultPatience is how long a request waits whose client and route give no time.
 	defaultPatience = 30 * time.Second
-	// longestAnswer is how long an answer may take that began in time.
-	longestAnswer = 4 * time.Hour
+	// maxAnswerTime is how long an answer that began in time may take.
+	maxAnswerTime = 4 * time.Hour
 )
 
 // Dispatcher serves requests. Its methods may be called concurrently.
@@ -35,66 +35,67 @@
 	Pool   *upstream.Pool
 	Demand *demand.Book
 	Names  upstream.Names
-	// Configuration returns the one in force, or nil when none is known yet.
+	// Configuration returns the configuration in force, or nil when none is known yet.
 	Configuration func() *config.Configuration
-	// Knowledge returns what the configuration is known from; not set where that is not told.
+	// ConfigurationOrigin returns the age and the source of the configuration; nil where that is
+	// not reported.
 	Knowledge func() Knowledge
-	// Fresh returns when what the node knows is not older than the end of its
-	// last pause, or cannot be made so.
+	// AwaitFresh returns when the node's data is not older than the end of its last stall, or
+	// cannot be refreshed.
 	Fresh func(ctx context.Context)
-	// AwaitReading returns once what came while the node stood still has been read; not set
-	// where it never does.
+	// AwaitPendingReads returns once everything that arrived while the node was stalled has been
+	// read; nil where the node never stalls.
 	AwaitReading func()
 	Retries      retry.Limits
-	// NewsWithin is how long it takes at most until this node hears what operators decide.
+	// MaxPropagationDelay is how long it takes at most until this node learns of operators'
+	// decisions.
 	NewsWithin time.Duration
-	// Limits decides on requests of tenants; not set where none has a limit.
+	// Limits decides on requests of tenants; nil where no tenant has a limit.
 	Limits Limiter
-	// Report reads a runner's report; not set where runners cannot be asked.
+	// Report reads a runner's report; nil where runners cannot be asked.
 	Report func(ctx context.Context, runner backend.Runner) (backend.Report, error)
-	// Quarantine knows which requests are not run; not set where all are.
+	// Quarantine knows which requests are not run; nil where all are.
 	Quarantine Quarantine
-	// Crashes is told what may be signs of a runner's end; not set for nobody.
+	// Crashes receives possible signs of a runner's crash; nil for none.
 	Crashes Crashes
 	Log     logr.Logger
 	// Observe is called at the end of each request.
 	Observe func(request string, outcome Outcome)
 
-	// Closing ends when the node is about to stop: requests under way get their
-	// final answer.
+	// Closing ends when the node is about to stop: requests in progress get their final answer.
 	Closing context.Context
 
-	mutex   sync.Mutex
-	nodes   int
-	budgets map[string]*retry.Budget
-	splits  map[string]*splitter
-	// spools counts what is kept for clients that read slowly.
-	spools spools
+	mutex     sync.Mutex
+	nodes     int
+	budgets   map[string]*retry.Budget
+	splitters map[string]*splitter
+	// spooled counts the bytes kept for clients that read slowly.
+	spooled spoolUsage
 }
 
-// Quarantine knows the requests under which runners ended.
+// Quarantine knows the requests that crashed runners.
 type Quarantine interface {
-	// Idle reports that none is known, so that nobody needs to know what a request holds.
+	// Idle reports that no such request is known, so that no content identity needs to be computed.
 	Idle() bool
 	// Refused returns the mark of a request that is not to be run.
 	Refused(request poison.Identity) (poison.Mark, bool)
-	// Ran tells of a request that ended well.
+	// Ran reports a request that succeeded.
 	Ran(request poison.Identity)
 }
 
-// Crashes is told what may be signs of a runner's end.
+// Crashes receives possible signs of a runner's crash.
 type Crashes interface {
-	// Broke tells of a request whose answer broke off, or never came, and how to find out
-	// whether its runner ended.
+	// Broke reports a request whose answer broke off or never came, and how to find out whether its
+	// runner crashed.
 	Broke(runner backend.Runner, request poison.Identity, way crash.Way)
-	// Refused tells of a runner whose address refused a connection.
+	// Refused reports a runner whose address refused a connection.
 	Refused(runner string)
 }
 
-// assumedNodes is how many nodes share a budget until the number is known.
+// assumedNodes is how many nodes are taken to share a retry budget until the number is known.
 const assumedNodes = 16
 
-// SetNodes tells how many nodes share the budgets of retries.
+// SetNodes sets how many nodes share the retry budgets.
 func (d *Dispatcher) SetNodes(nodes int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -104,22 +105,22 @@
 	}
 }
 
-// nodeCount is how many nodes there are, as far as is known.
+// nodeCount is the number of nodes, as far as is known.
 func (d *Dispatcher) nodeCount() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.knownNodes()
+	return d.nodeCountLocked()
 }
 
-// knownNodes is nodeCount; mutex is held.
-func (d *Dispatcher) knownNodes() int {
+// nodeCountLocked is nodeCount; mutex is held.
+func (d *Dispatcher) nodeCountLocked() int {
 	if d.nodes == 0 {
 		return assumedNodes
 	}
 	return d.nodes
 }
 
-// SetRetries changes the bounds of the budgets of retries.
+// SetRetries changes the limits of the retry budgets.
 func (d *Dispatcher) SetRetries(limits retry.Limits) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -129,7 +130,7 @@
 	}
 }
 
-func (d *Dispatcher) budget(service string) *retry.Budget {
+func (d *Dispatcher) retryBudget(service string) *retry.Budget {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	budget := d.budgets[service]
@@ -137,37 +138,37 @@
 		if d.budgets == nil {
 			d.budgets = make(map[string]*retry.Budget)
 		}
-		budget = retry.NewBudget(d.Retries, d.knownNodes(), time.Now)
+		budget = retry.NewBudget(d.Retries, d.nodeCountLocked(), time.Now)
 		d.budgets[service] = budget
 	}
 	return budget
 }
 
-// service picks the service of a request of the route by weight.
-func (d *Dispatcher) service(route *config.Route) string {
+// pickService picks the service of a request of the route by weight.
+func (d *Dispatcher) pickService(route *config.Route) string {
 	if len(route.Backends) == 1 {
 		return route.Backends[0].Service
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.splits == nil {
-		d.splits = make(map[string]*splitter)
+	if d.splitters == nil {
+		d.splitters = make(map[string]*splitter)
 	}
-	split := d.splits[route.Name]
+	split := d.splitters[route.Name]
 	if split == nil {
 		split = &splitter{}
-		d.splits[route.Name] = split
+		d.splitters[route.Name] = split
 	}
 	return split.pick(route.Backends)
 }
 
-// Serve answers a request. Ending ctx means that the client left.
+// Serve answers a request. Canceling ctx means that the client left.
 func (d *Dispatcher) Serve(ctx context.Context, w http.ResponseWriter, request *Request) Outcome {
 	j := &job{dispatcher: d, request: request, writer: w, log: d.Log.WithValues("request", request.ID)}
 	j.run(ctx)
 	j.closeStream(ctx)
 	j.outcome.Total = time.Since(request.Arrived)
-	j.outcome.Events = j.passed()
+	j.outcome.Events = j.forwarded()
 	d.logOutcome(&j.outcome, request)
 	if d.Observe != nil {
 		d.Observe(request.ID, j.outcome)
@@ -190,8 +191,8 @@
 		"tokensIn", request.TokensIn)
 }
 
-// named puts the node's name where an error arose inside this process.
-func (d *Dispatcher) named(problem *fault.Error) *fault.Error {
+// withNodeName puts the node's name into an error that arose in this process.
+func (d *Dispatcher) withNodeName(problem *fault.Error) *fault.Error {
 	copied := *problem
 	if copied.Peer == fault.Self {
 		copied.Peer = d.Node
@@ -199,7 +200,7 @@
 	return &copied
 }
 
-// job is the life of one request. It is used by one goroutine.
+// job serves one request. It is used by one goroutine.
 type job struct {
 	dispatcher *Dispatcher
 	request    *Request
@@ -208,43 +209,43 @@
 	outcome    Outcome
 
 	route *config.Route
-	// tenant is whose request it is; nil where nobody needs a key.
+	// tenant is the tenant that sent the request; nil where no key is needed.
 	tenant *tenant.Tenant
-	// closed is set when callers have keys, which are kept from runners.
-	closed   bool
-	engine   bool
-	query    fleet.Query
-	deadline time.Time
+	// keysRequired is set when callers have keys, which must not reach runners.
+	keysRequired bool
+	engine       bool
+	query        fleet.Query
+	deadline     time.Time
 	// ran counts attempts that ran or may have run, sent all of them.
 	ran  int
 	sent int
-	// begun is the hedge that goes on with what a silent runner did not.
-	begun *hedge
-	// last is a runner's failure kept back while another runner is tried.
-	last *wholeAnswer
-	// restAhead is how many requests waited for a rest to end before this one, endRestWait ends
-	// its wait; not set while it waits for none.
-	restAhead   int
-	endRestWait func()
-	// relay is set once a stream's head went out.
-	relay *relay
-	// identity stands for the content as run by identified, not set before it was asked for;
-	// see content.
-	identity   poison.Identity
-	identified *backend.Unit
+	// takeover is the hedge that takes over from a silent runner.
+	takeover *hedge
+	// heldFailure is a runner's failure held back while another runner is tried.
+	heldFailure *bufferedAnswer
+	// queuedAhead is how many requests waited for the end of a runner's rest before this one,
+	// leaveQueue ends its wait; nil while it waits for none.
+	queuedAhead int
+	leaveQueue  func()
+	// stream is set once the head of a stream was sent.
+	stream *clientStream
+	// identity is the request's identity as sent for identityUnit, nil before its first use; see
+	// contentIdentity.
+	identity     poison.Identity
+	identityUnit *backend.Unit
 }
 
 func (j *job) run(ctx context.Context) {
 	j.dispatcher.Fresh(ctx)
 	configuration := j.dispatcher.Configuration()
 	if configuration == nil {
-		j.refuse(fault.New(fault.CodeNotReady, "route request", "no configuration is known yet").WithRetryAfter(defaultReturn))
+		j.refuse(fault.New(fault.CodeNotReady, "route request", "no configuration is known yet").WithRetryAfter(defaultRetryAfter))
 		return
 	}
 	j.outcome.Revision = configuration.Revision
 	service, found := j.findRoute(configuration)
 	if !found {
-		j.refuse(j.missing(fault.New(fault.CodeNotFound, "route request", "no route for host %q and path %q", j.request.Host, j.request.Path)))
+		j.refuse(j.notConfigured(fault.New(fault.CodeNotFound, "route request", "no route for host %q and path %q", j.request.Host, j.request.Path)))
 		return
 	}
 	j.outcome.Route = j.route.Name
@@ -274,8 +275,8 @@
 		j.query.Prompt = j.request.Prompt
 		j.dispatcher.Demand.Use(demand.Key{Service: service, Unit: j.request.Unit, Homes: j.query.Homes}, j.request.TokensIn)
 	}
-	j.deadline = j.finalTime()
-	j.dispatcher.budget(service).Request()
+	j.deadline = j.answerDeadline()
+	j.dispatcher.retryBudget(service).Request()
 	ctx, cancel := context.WithDeadlineCause(ctx, j.deadline, errTimeout)
 	defer cancel()
 	ctx, stop := context.WithCancelCause(ctx)
@@ -285,20 +286,21 @@
 	}
 }
 
-// missing is the refusal of a request whose route or key the configuration does not have. One that
-// is older than news may be does not show that there is none: the request may be tried again.
-func (j *job) missing(problem *fault.Error) *fault.Error {
+// notConfigured returns the refusal of a request whose route or key is not in the configuration. A
+// configuration older than MaxPropagationDelay does not prove that there is none: the request may
+// be tried again.
+func (j *job) notConfigured(problem *fault.Error) *fault.Error {
 	if j.dispatcher.Knowledge == nil {
 		return problem
 	}
-	known := j.dispatcher.Knowledge()
-	j.outcome.Knowledge = &known
-	if known.Age <= j.dispatcher.NewsWithin {
+	origin := j.dispatcher.Knowledge()
+	j.outcome.Knowledge = &origin
+	if origin.Age <= j.dispatcher.NewsWithin {
 		return problem
 	}
 	return fault.At(fault.CodeNotReady, problem.Step, j.dispatcher.Node, fault.NotDone,
-		fault.New(fault.CodeStale, "know configuration", "%s; the store was last heard of %v ago", problem.Message, known.Age.Round(time.Millisecond))).
-		WithRetryAfter(defaultReturn)
+		fault.New(fault.CodeStale, "know configuration", "%s; the store was last heard of %v ago", problem.Message, origin.Age.Round(time.Millisecond))).
+		WithRetryAfter(defaultRetryAfter)
 }
 
 // findRoute sets the request's route and returns its service.
@@ -311,20 +313,20 @@
 	if j.route == nil {
 		return "", false
 	}
-	return j.dispatcher.service(j.route), true
+	return j.dispatcher.pickService(j.route), true
 }
 
-// finalTime is when the request must have its final answer.
-func (j *job) finalTime() time.Time {
-	hold := j.request.Patience
-	if hold == 0 {
-		hold = defaultPatience
+// answerDeadline is when the request must have its final answer.
+func (j *job) answerDeadline() time.Time {
+	limit := j.request.Patience
+	if limit == 0 {
+		limit = defaultPatience
 	}
 	if j.request.StartWithin > 0 {
-		hold = j.request.StartWithin + longestAnswer
+		limit = j.request.StartWithin + maxAnswerTime
 	}
-	if j.route.Timeout > 0 && j.route.Timeout < hold {
-		hold = j.route.Timeout
+	if j.route.Timeout > 0 && j.route.Timeout < limit {
+		limit = j.route.Timeout
 	}
-	return j.request.Arrived.Add(hold)
+	return j.request.Arrived.Add(limit)
 }
--- a/internal/dispatch/ending.go
+++ b/internal/dispatch/ending.go
@@ -5,27 +5,27 @@
 	"errors"
 )
 
-// Ending says who ended an attempt that gave no whole answer.
+// Ending says who ended an attempt that gave no complete answer.
 type Ending string
 
 // The endings.
 const (
-	// EndedByRunner means that the runner failed or refused, or the way to it failed.
+	// EndedByRunner means that the runner failed or refused, or that the connection to it failed.
 	EndedByRunner Ending = "runner"
 	// EndedBySilence means that the node turned to another runner, as this one was silent.
 	EndedBySilence Ending = "silence"
 	// EndedByAnswer means that another runner answered first.
 	EndedByAnswer Ending = "answer"
-	// EndedByTime means that the request's time was over.
+	// EndedByTime means that the request's deadline passed.
 	EndedByTime Ending = "time"
 	// EndedByClient means that the client left.
 	EndedByClient Ending = "client"
-	// EndedByStop means that the node's grace was over.
+	// EndedByStop means that the node's grace period was over.
 	EndedByStop Ending = "stop"
 )
 
-// endingOf tells an attempt's ending from its context: one that has not ended did not
-// end the attempt.
+// endingOf derives an attempt's ending from its context: if that is not done, the runner ended the
+// attempt.
 func endingOf(ctx context.Context) Ending {
 	cause := context.Cause(ctx)
 	switch {
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -21,11 +21,11 @@
 	"lilacvane/internal/upstream"
 )
 
-// objective of the tests' route: a runner is taken for silent after minimumSilence.
+// hedgedObjective is the objective of the tests' route: a runner counts as silent after minSilence.
 const hedgedObjective = 10 * time.Millisecond
 
-// hedgedJob is a request that may be repeated, before two runners: the first that is asked
-// behaves as first says, the other as second does.
+// hedgedJob is a request that may be repeated and has two runners: the first one that receives it
+// behaves as first, the other one as second.
 func hedgedJob(t *testing.T, first, second http.HandlerFunc) (*job, *httptest.ResponseRecorder) {
 	t.Helper()
 	var asked atomic.Int64
@@ -46,7 +46,7 @@
 	known := fleet.New("zone", time.Now, noRules{})
 	known.Replace(runners, false)
 	names := upstream.Names{RequestID: "X-Id", Deadline: "X-Deadline", ExpectRunner: "X-Runner", Signature: "X-Signature", NotRun: "X-Not-Run"}
-	j := waiter(known, 10*time.Second)
+	j := waitingFor(known, 10*time.Second)
 	j.dispatcher.Pool, j.dispatcher.Names = upstream.NewPool(names), names
 	j.dispatcher.Retries = retry.Limits{Ratio: 1, Slack: 100, Window: time.Second}
 	written := httptest.NewRecorder()
@@ -62,7 +62,7 @@
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(text)) }
 }
 
-// after lets a runner take its time; it stops when its caller leaves.
+// after delays a runner's answer; it stops when its caller leaves.
 func after(pause time.Duration, then http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -94,10 +94,10 @@
 
 func breaksOff(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// TestSilentRunnerIsKeptUntilAnotherAnswers: whichever of a silent runner and its hedge
-// answers first does so for the request; what the other one does costs nothing.
+// TestSilentRunnerIsKeptUntilAnotherAnswers checks that whichever of a silent runner and its hedge
+// answers first serves the request, and that a failure of the other one does no harm.
 func TestSilentRunnerIsKeptUntilAnotherAnswers(t *testing.T) {
-	const late = 3 * minimumSilence
+	const late = 3 * minSilence
 	never := after(time.Hour, refuses)
 	for _, test := range []struct {
 		name          string
@@ -111,7 +111,7 @@
 		{"the other breaks off", after(late, answers("first")), breaksOff, http.StatusOK, "first", []Ending{EndedByRunner}},
 		{"the other is silent too", after(late, answers("first")), never, http.StatusOK, "first", []Ending{EndedByAnswer}},
 		{"the other answers", never, answers("second"), http.StatusOK, "second", []Ending{EndedBySilence}},
-		{"the first breaks off meanwhile", after(2*minimumSilence, breaksOff), after(late, answers("second")), http.StatusOK, "second", []Ending{EndedByRunner}},
+		{"the first breaks off meanwhile", after(2*minSilence, breaksOff), after(late, answers("second")), http.StatusOK, "second", []Ending{EndedByRunner}},
 		{"both fail", after(late, fails), fails, http.StatusInternalServerError, "", []Ending{EndedByRunner, EndedByRunner}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -128,9 +128,10 @@
 	}
 }
 
-// TestHedgeIsNotNeededByARequestThatMayNotBeRepeated: its runner is waited for.
-func TestHedgeIsNotNeededByARequestThatMayNotBeRepeated(t *testing.T) {
-	j, written := hedgedJob(t, after(3*minimumSilence, answers("first")), answers("second"))
+// TestNonIdempotentRequestIsNotHedged checks that the runner of a request that may not be repeated
+// is waited for.
+func TestNonIdempotentRequestIsNotHedged(t *testing.T) {
+	j, written := hedgedJob(t, after(3*minSilence, answers("first")), answers("second"))
 	j.route.Kind = config.Unsafe
 	for j.attempt(t.Context()) {
 	}
@@ -138,19 +139,20 @@
 	assert.Equal(t, j.sent, 1)
 }
 
-// attemptAfterRest makes the job's attempts once connections have rested at its runners.
-func attemptAfterRest(t *testing.T, j *job) {
+// attemptOnIdle makes the job's attempts once connections to its runners have been idle.
+func attemptOnIdle(t *testing.T, j *job) {
 	t.Helper()
-	restAtEach(t, j)
-	j.deadline = time.Now().Add(10 * minimumSilence)
+	idleAtEach(t, j)
+	j.deadline = time.Now().Add(10 * minSilence)
 	ctx, cancel := context.WithDeadlineCause(t.Context(), j.deadline, errTimeout)
 	defer cancel()
 	for j.attempt(ctx) {
 	}
 }
 
-// restAtEach lays a connection to each runner of the job to rest, until it is not proved.
-func restAtEach(t *testing.T, j *job) {
+// idleAtEach leaves an idle connection to each runner of the job, until it no longer counts as
+// proven to work.
+func idleAtEach(t *testing.T, j *job) {
 	t.Helper()
 	for _, id := range []string{"r1", "r2"} {
 		listed, known := j.dispatcher.Fleet.Find(id)
@@ -162,33 +164,34 @@
 		_, err = io.ReadAll(answer)
 		assert.NilError(t, err)
 	}
-	time.Sleep(minimumSilence)
+	time.Sleep(minSilence)
 }
 
-// TestRequestWaitsOnOneSilentConnectionAtMost: a request that may be repeated and its hedge both
-// went on connections that had gone silent as they rested, and waited there to the end.
+// TestRequestWaitsOnOneSilentConnectionAtMost: a request that may be repeated and its hedge were
+// both sent on connections that had gone silent while idle, and waited there until the deadline.
 func TestRequestWaitsOnOneSilentConnectionAtMost(t *testing.T) {
 	answered := onceEach("answer")
 	j, written := hedgedJob(t, answered, answered)
-	attemptAfterRest(t, j)
+	attemptOnIdle(t, j)
 	assert.Equal(t, written.Body.String(), "answer")
 	assert.DeepEqual(t, j.outcome.Endings, []Ending{EndedBySilence})
 }
 
-// TestOnlyRunnerIsAskedOnProvedConnection: a request whose only runner's connection had gone
-// silent as it rested was not sent anywhere else, and waited there to the end.
+// TestOnlyRunnerIsAskedOnProvedConnection: a request was sent on a connection that had gone silent
+// while idle. As there was no other runner, it was not sent anywhere else and waited there until
+// the deadline.
 func TestOnlyRunnerIsAskedOnProvedConnection(t *testing.T) {
 	answered := onceEach("answer")
 	j, written := hedgedJob(t, answered, answered)
 	j.dispatcher.Fleet.Apply(nil, []string{"r2"}, false)
-	attemptAfterRest(t, j)
+	attemptOnIdle(t, j)
 	assert.Equal(t, written.Body.String(), "answer")
 	assert.Equal(t, len(j.outcome.Endings), 0)
 }
 
-// TestHedgeCountsWhereTheFirstIsNotAdmitted: while a request waits for a connection its runner
-// says that it leaves, and a hedge is sent beside it. The hedge goes on with the request, or
-// counts as a run where it failed.
+// TestHedgeCountsWhereTheFirstIsNotAdmitted: while a request waits for a connection, its runner
+// announces that it leaves, and a hedge is sent beside it. The hedge takes over the request, or
+// counts as a run if it failed.
 func TestHedgeCountsWhereTheFirstIsNotAdmitted(t *testing.T) {
 	for name, test := range map[string]struct {
 		hedge http.HandlerFunc
@@ -207,7 +210,7 @@
 					listed, _ := j.dispatcher.Fleet.Find(runner)
 					listed.Draining = true
 					j.dispatcher.Fleet.Apply([]backend.Runner{listed}, nil, false)
-					time.Sleep(4 * minimumSilence)
+					time.Sleep(4 * minSilence)
 				}
 				return conn
 			}
--- a/internal/dispatch/homes.go
+++ b/internal/dispatch/homes.go
@@ -7,12 +7,12 @@
 	"lilacvane/internal/place"
 )
 
-// listedAgain is when a request may come back for which no runner is listed, or only such as
-// leave: nobody knows when another one is listed, and a runner that is started takes seconds.
-const listedAgain = 2 * time.Second
+// unlistedRetryAfter is the retry time of a request for which no runner is listed, or only runners
+// that leave: it is unknown when another one is listed, and starting a runner takes seconds.
+const unlistedRetryAfter = 2 * time.Second
 
-// homes are the regions in which alone the request may be served: those of its route and
-// those of its tenant both bind.
+// homes are the only regions in which the request may be served: both those of its route and those
+// of its tenant apply.
 func (j *job) homes() place.Homes {
 	homes := j.route.Homes
 	if j.tenant != nil {
@@ -22,13 +22,13 @@
 	return homes
 }
 
-// checkHomes says why no runner can ever take the request, if none is listed in its
-// homes. It waits for nothing then: where it may be served, nobody is expected.
+// checkHomes returns an error if no runner is listed in the request's homes. The request does not
+// wait then, as no runner is expected where it may be served.
 func (j *job) checkHomes() *fault.Error {
 	homes := j.query.Homes
 	if !homes.Bound() || j.dispatcher.Fleet.Serves(j.query.Service, homes) {
 		return nil
 	}
 	return fault.New(fault.CodeOutsideHomes, "check homes", "no runner of service %s is listed in the homes of the request: %s", j.query.Service, homes).
-		WithRetryAfter(listedAgain)
+		WithRetryAfter(unlistedRetryAfter)
 }
--- a/internal/dispatch/homes_test.go
+++ b/internal/dispatch/homes_test.go
@@ -17,7 +17,8 @@
 	"lilacvane/internal/tenant"
 )
 
-// TestHomesOfRouteAndTenantBothBind: a request may be served where both allow it.
+// TestHomesOfRouteAndTenantBothBind checks that a request may be served only where both its route
+// and its tenant allow it.
 func TestHomesOfRouteAndTenantBothBind(t *testing.T) {
 	north, both := place.NewHomes([]place.Region{"north"}), place.NewHomes([]place.Region{"north", "south"})
 	for _, test := range []struct {
@@ -37,8 +38,8 @@
 	}
 }
 
-// TestHomesWithoutRunnerAreRefused: a request that no listed runner may ever take is
-// refused as not run, with its reason and a time; one that a runner may take waits.
+// TestHomesWithoutRunnerAreRefused checks that a request that no listed runner may ever take is
+// refused as not run, with its reason and a retry time, and that one that a runner may take waits.
 func TestHomesWithoutRunnerAreRefused(t *testing.T) {
 	known := fleet.New("z", time.Now, noRules{})
 	known.Replace([]backend.Runner{{ID: "r", Service: "s", Zone: "z", Region: "south", Draining: true}}, false)
@@ -50,13 +51,13 @@
 	problem := j.checkHomes()
 	assert.Equal(t, problem.Code, fault.CodeOutsideHomes)
 	assert.Equal(t, problem.Ran, fault.NotDone)
-	assert.Equal(t, problem.RetryAfter, listedAgain)
+	assert.Equal(t, problem.RetryAfter, unlistedRetryAfter)
 	assert.Equal(t, fault.Status(problem.Code), http.StatusServiceUnavailable)
 	assert.ErrorContains(t, problem, "north")
 }
 
-// TestWaitEndsWhenHomesEmpty: a request that waits for its model is refused as soon as the
-// last runner of its homes is unlisted, though another region holds the model.
+// TestWaitEndsWhenHomesEmpty checks that a request that waits for its model is refused as soon as
+// the last runner in its homes is unlisted, even if a runner in another region holds the model.
 func TestWaitEndsWhenHomesEmpty(t *testing.T) {
 	known := fleet.New("z", time.Now, noRules{})
 	holding := []backend.Holding{{Model: "m"}}
@@ -69,7 +70,7 @@
 	}
 	ended := make(chan error, 1)
 	go func() {
-		_, err := j.place(t.Context())
+		_, err := j.selectRunner(t.Context())
 		ended <- err
 	}()
 	for !book.Waits("s") {
--- a/internal/dispatch/ask_test.go
+++ b/internal/dispatch/probe_test.go
@@ -14,8 +14,8 @@
 	"lilacvane/internal/fleet"
 )
 
-// asker is a job whose model two runners hold, of which reports tell.
-func asker(report func(id string) (backend.Report, error), asked *atomic.Int64) *job {
+// probingJob is a job whose model is held by two runners that report the given load.
+func probingJob(report func(id string) (backend.Report, error), asked *atomic.Int64) *job {
 	unit := backend.Unit{Model: "alpha"}
 	known := fleet.New("zone", time.Now, noRules{})
 	holding := []backend.Holding{{Model: unit.Model}}
@@ -33,17 +33,18 @@
 	}
 }
 
-// TestShorterQueueIsChosen: a request goes where fewer wait, whatever this node sent.
+// TestShorterQueueIsChosen checks that a request goes to the runner with the shorter queue,
+// whatever this node sent before.
 func TestShorterQueueIsChosen(t *testing.T) {
 	for _, busy := range []string{"r1", "r2"} {
 		var asked atomic.Int64
-		j := asker(func(id string) (backend.Report, error) {
+		j := probingJob(func(id string) (backend.Report, error) {
 			if id == busy {
 				return backend.Report{Queued: 5, Active: 9}, nil
 			}
 			return backend.Report{Active: 9}, nil
 		}, &asked)
-		// What waits is counted in requests of the mean size, learned from the first.
+		// The queue is measured in requests of the mean size, which is learned from the first one.
 		first, _ := j.dispatcher.Fleet.Choose(j.query)
 		j.dispatcher.Fleet.Done(first, j.query, fleet.Served, time.Millisecond, true)
 		for range 20 {
@@ -57,11 +58,11 @@
 	}
 }
 
-// TestMuteRunnerIsPassedOver: a runner that does not tell its load in time gets the
-// request only when no other one does.
-func TestMuteRunnerIsPassedOver(t *testing.T) {
+// TestUnresponsiveRunnerIsSkipped checks that a runner that does not report its load in time gets
+// the request only if no other one does.
+func TestUnresponsiveRunnerIsSkipped(t *testing.T) {
 	var asked atomic.Int64
-	j := asker(func(id string) (backend.Report, error) {
+	j := probingJob(func(id string) (backend.Report, error) {
 		if id == "r1" {
 			return backend.Report{}, errors.New("silent")
 		}
@@ -70,15 +71,15 @@
 	choice, ok := j.choose(t.Context())
 	assert.Assert(t, ok)
 	assert.Equal(t, choice.Runner.ID, "r2")
-	j = asker(func(string) (backend.Report, error) { return backend.Report{}, errors.New("silent") }, &asked)
+	j = probingJob(func(string) (backend.Report, error) { return backend.Report{}, errors.New("silent") }, &asked)
 	_, ok = j.choose(t.Context())
 	assert.Assert(t, ok, "the fault is more likely on this side")
 }
 
-// TestOnlyRunnerIsNotAsked: without a choice there is nothing to ask for.
-func TestOnlyRunnerIsNotAsked(t *testing.T) {
+// TestOnlyRunnerIsNotProbed checks that a single candidate is chosen without a probe.
+func TestOnlyRunnerIsNotProbed(t *testing.T) {
 	var asked atomic.Int64
-	j := asker(func(string) (backend.Report, error) { return backend.Report{}, nil }, &asked)
+	j := probingJob(func(string) (backend.Report, error) { return backend.Report{}, nil }, &asked)
 	j.query.Exclude = []string{"r1"}
 	choice, ok := j.choose(t.Context())
 	assert.Assert(t, ok)
--- /dev/null
+++ b/internal/dispatch/quarantine.go
@@ -0,0 +1,120 @@
+package dispatch
+
+import (
+	"errors"
+	"net/http"
+	"strings"
+	"syscall"
+	"time"
+
+	"lilacvane/internal/backend"
+	"lilacvane/internal/crash"
+	"lilacvane/internal/fault"
+	"lilacvane/internal/poison"
+)
+
+// contentIdentity returns what all attempts of the request have in common. It is computed on first
+// use: only requests that failed, or that may match one that did, need it.
+func (j *job) contentIdentity() poison.Identity {
+	unit := backend.Unit{}
+	if j.request.Resolve != nil {
+		unit = j.query.Unit
+	}
+	if j.identityUnit != nil && *j.identityUnit == unit {
+		return j.identity
+	}
+	_, query, _ := strings.Cut(j.request.Target, "?")
+	j.identity = poison.Content{
+		Method: j.request.Method, Host: strings.ToLower(j.request.Host), Path: j.request.Path, Query: query, Caller: j.callerID(), Unit: unit, Body: j.request.Body,
+	}.Identity()
+	j.identityUnit = &unit
+	return j.identity
+}
+
+// callerID identifies the caller: by its tenant, as that keeps its name when it gets another key,
+// or else by the key that it sent. The prefixes keep them apart, as a key may equal a tenant's
+// name.
+func (j *job) callerID() string {
+	if j.tenant != nil {
+		return "tenant " + string(j.tenant.Name)
+	}
+	return "key " + j.request.Key
+}
+
+// minSilenceBeforeCancel is how long a runner must have been silent before its client left to count
+// as possibly crashed: clients leave for other reasons earlier.
+const minSilenceBeforeCancel = time.Second
+
+// reportPossibleCrash reports an attempt that may have run and got no answer from its runner, as
+// the request may have crashed the runner. It returns whether the attempt was one.
+func (j *job) reportPossibleCrash(runner backend.Runner, result attemptResult, err error) bool {
+	if j.dispatcher.Crashes == nil {
+		return false
+	}
+	if errors.Is(err, syscall.ECONNREFUSED) {
+		j.dispatcher.Crashes.Refused(runner.ID)
+	}
+	if fault.OutcomeOf(err) != fault.Unknown {
+		return false
+	}
+	switch result.ending {
+	case EndedByRunner, EndedBySilence, EndedByTime:
+	case EndedByClient:
+		if result.silent < minSilenceBeforeCancel {
+			return false
+		}
+	default:
+		return false
+	}
+	j.dispatcher.Crashes.Broke(runner, j.contentIdentity(), j.crashCheck(result.ending))
+	return true
+}
+
+// crashCheck is how to find out whether a runner crashed: runners of engine services are asked for
+// a report. Of the others, only one that broke off the connection itself is worth a new connection,
+// as many are just slow.
+func (j *job) crashCheck(ending Ending) crash.Way {
+	switch {
+	case j.engine:
+		return crash.Report
+	case ending == EndedByRunner:
+		return crash.Connect
+	default:
+		return crash.Wait
+	}
+}
+
+// quarantined returns the refusal of a request that crashed runners: at first with a retry time, as
+// attempts that are still running may end well, then for good.
+func (j *job) quarantined() *fault.Error {
+	mark, refused := j.quarantineMark()
+	if !refused {
+		return nil
+	}
+	const step = "check quarantine"
+	now := time.Now()
+	if mark.Provisional(now) {
+		return fault.New(fault.CodeCrashSuspected, step, "%s", mark.Finding).WithRetryAfter(poison.Provisional - now.Sub(mark.Since))
+	}
+	return fault.New(fault.CodeCrashesRunners, step, "%s", mark.Finding)
+}
+
+// quarantineMark returns the quarantine mark of the request, if it is not to be run.
+func (j *job) quarantineMark() (poison.Mark, bool) {
+	if !j.quarantineActive() {
+		return poison.Mark{}, false
+	}
+	return j.dispatcher.Quarantine.Refused(j.contentIdentity())
+}
+
+// quarantineActive reports whether any request is known that crashed runners.
+func (j *job) quarantineActive() bool {
+	return j.dispatcher.Quarantine != nil && !j.dispatcher.Quarantine.Idle()
+}
+
+// reportSuccess tells the quarantine of a request that succeeded.
+func (j *job) reportSuccess() {
+	if j.quarantineActive() && j.outcome.Result == ResultServed && j.outcome.Status < http.StatusMultipleChoices {
+		j.dispatcher.Quarantine.Ran(j.contentIdentity())
+	}
+}
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -1,6 +1,6 @@
-// Package dispatch carries a client's request from its arrival to its one final
-// outcome: it finds the route, waits for a runner, sends the request, sends it
-// again or resumes it where that is allowed, and refuses it truthfully.
+// Package dispatch serves a client's request from its arrival to its one final outcome: it finds
+// the route, waits for a runner, sends the request, retries or resumes it where that is allowed,
+// and refuses it with an accurate reason and retry time.
 package dispatch
 
 import (
@@ -24,58 +24,54 @@
 	Target string
 	Path   string
 	Host   string
-	// Header are the headers to forward.
+	// Header holds the headers to forward.
 	Header http.Header
 	Body   []byte
 	// Arrived is when its header was read.
 	Arrived time.Time
-	// Patience is how long the client waits, counted from Arrived; zero when it
-	// did not say.
+	// Patience is how long the client waits, counted from Arrived; zero when it did not say.
 	Patience time.Duration
-	// Route and Service are set when something else than host and path decides
-	// where the request goes.
+	// Route and Service are set when something other than host and path decides where the request
+	// goes.
 	Route   *config.Route
 	Service string
-	// Resolve tells which unit serves the request now; it is asked before the
-	// request is placed and while it waits. Its error ends the wait.
+	// Resolve returns the unit that serves the request now; it is called before a runner is
+	// selected and while the request waits. Its error ends the wait.
 	Resolve func() (backend.Unit, error)
-	// OwnErrors is set when a runner's failure is answered with an error of the
-	// product's own instead of the runner's answer.
+	// OwnErrors is set when a runner's failure is answered with an error of this node instead of
+	// the runner's answer.
 	OwnErrors bool
-	// StartWithin is how long the answer may take to begin; zero when only
-	// Patience bounds it.
+	// StartWithin is how long the answer may take to begin; zero when only Patience bounds it.
 	StartWithin time.Duration
-	// Unit is the model or adapter asked for; empty for other services.
+	// Unit is the requested model or adapter; empty for other services.
 	Unit backend.Unit
-	// Prompt are the parts of the prompt in order.
+	// Prompt holds the parts of the prompt in order.
 	Prompt []fleet.Part
-	// TokensIn and TokensOut are the sizes of the prompt and, at most, of the
-	// answer.
+	// TokensIn and TokensOut are the sizes of the prompt and, at most, of the answer.
 	TokensIn  int
 	TokensOut int
-	// Counts says whether the client told TokensIn and TokensOut.
+	// Counts says whether the client sent TokensIn and TokensOut.
 	Counts Counts
-	// Key is the caller's key; empty when it sent none that can be read. It is never
-	// logged.
+	// Key is the caller's key; empty when it sent none that can be parsed. It is never logged.
 	Key string
 }
 
-// Counts says what a client told of a request's token counts.
+// Counts says what a client sent as token counts.
 type Counts uint8
 
-// What may have been told.
+// The states of token counts.
 const (
-	// CountsAbsent means that the client told none.
+	// CountsAbsent means that the client sent none.
 	CountsAbsent Counts = iota
 	// CountsGiven means that both counts are known.
 	CountsGiven
-	// CountsUnreadable means that the client told something that is not two counts.
+	// CountsUnreadable means that the client sent something that is not two counts.
 	CountsUnreadable
 )
 
-// Outcome is how a request ended, for the log and the figures.
+// Outcome is how a request ended, for the log and the metrics.
 type Outcome struct {
-	// Result is a short word: served, passed, refused, failed, broken, canceled.
+	// Result is one of served, passed, refused, failed, broken, canceled.
 	Result string
 	Status int
 	Step   string
@@ -87,12 +83,12 @@
 	Resumes  int
 	// Waited is how long no runner could take it.
 	Waited time.Duration
-	// Unplaced is why no runner could take it: as it began to wait, or as its wait ended
-	// without one. It is not set for a request that never waited.
+	// Unplaced is why no runner could take it: when it began to wait, or when its wait ended
+	// without one. It is nil for a request that never waited.
 	Unplaced *Unplaced
-	// Endings say who ended the attempts that failed, in their order.
+	// Endings say who ended the failed attempts, in order.
 	Endings []Ending
-	// Events is how often whole events of a stream were passed on.
+	// Events is how many times complete events of a stream were forwarded.
 	Events int
 	// Problem is the error of a request that was not served.
 	Problem *fault.Error
@@ -103,27 +99,27 @@
 	Total time.Duration
 	// Pause is the longest time between two events of a stream.
 	Pause time.Duration
-	// Revision is the configuration that decided.
+	// Revision is the revision of the configuration that decided.
 	Revision uint64
-	// Knowledge is how old that was, for a request whose route or key it does not have; nil for
-	// others.
+	// ConfigurationOrigin is the age and source of that configuration, for a request whose route or
+	// key is not in it; nil for others.
 	Knowledge *Knowledge
 	// Tenant is the tenant that the request belongs to; empty when it is not known.
 	Tenant tenant.Name
-	// Homes are the regions in which alone it may be served.
+	// Homes are the only regions in which it may be served.
 	Homes place.Homes
-	// Cost is what it costs of its tenant's limit, in the limit's unit, Charged is set once
-	// that was spent, AdmittedBy is the node whose share was asked, or its address.
+	// Cost is what the request costs, in the unit of its tenant's limit; Charged is set once that
+	// was charged. AdmittedBy is the node whose share was asked, or its address.
 	Cost       float64
 	Charged    bool
 	AdmittedBy string
-	// KeptTokens is what its last runner was believed to keep of its prompt.
+	// KeptTokens is how many tokens of its prompt its last runner was expected to have cached.
 	KeptTokens int
 }
 
-// Knowledge is what a node knew the configuration from.
+// ConfigurationOrigin says where a node's configuration came from.
 type Knowledge struct {
-	// Age is the time since the store told it.
+	// Age is the time since the store last reported it.
 	Age time.Duration
 	// Source is the node's upstream for the store's tables.
 	Source string
@@ -136,15 +132,15 @@
 	At time.Duration
 }
 
-// The words of Outcome.Result.
+// The values of Outcome.Result.
 const (
-	// ResultServed is a success that reached the client whole.
+	// ResultServed is a success that reached the client completely.
 	ResultServed = "served"
-	// ResultPassed is a runner's failure that was passed on.
+	// ResultPassed is a runner's failure that was forwarded.
 	ResultPassed = "passed"
 	// ResultRefused is a request that did not run and will not.
 	ResultRefused = "refused"
-	// ResultFailed is a request that may have run without an answer.
+	// ResultFailed is a request without an answer that may have run.
 	ResultFailed = "failed"
 	// ResultBroken is an answer that ended early.
 	ResultBroken = "broken"
--- a/internal/dispatch/rest_test.go
+++ b/internal/dispatch/rest_test.go
@@ -14,7 +14,7 @@
 	"lilacvane/internal/statement"
 )
 
-// restingFleet is a fleet whose only runner of model alpha asked for a rest.
+// restingFleet is a fleet whose only runner of model alpha asked for a rest (Retry-After).
 func restingFleet(seconds string) *fleet.Fleet {
 	known := fleet.New("zone", time.Now, noRules{})
 	book := statement.NewBook(statement.Options{
@@ -29,33 +29,34 @@
 	return known
 }
 
-// TestRequestWaitsForTheEndOfARest: it is sent once the rest has ended, if that lies within its
-// time, and refused at once with that time if not.
+// TestRequestWaitsForTheEndOfARest checks that a request is sent once the rest has ended if that
+// lies before its deadline, and else is refused at once with that time.
 func TestRequestWaitsForTheEndOfARest(t *testing.T) {
 	known := restingFleet("0.2")
-	j := waiter(known, 2*time.Second)
-	choice, err := j.place(t.Context())
+	j := waitingFor(known, 2*time.Second)
+	choice, err := j.selectRunner(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, choice.Runner.ID, "r1")
 	assert.Equal(t, j.outcome.Unplaced.Obstacles.Main().String(), "resting")
 
-	j = waiter(restingFleet("3"), 2*time.Second)
-	_, err = j.place(t.Context())
+	j = waitingFor(restingFleet("3"), 2*time.Second)
+	_, err = j.selectRunner(t.Context())
 	assert.Assert(t, fault.IsCode(err, fault.CodeDeadline))
 	back := fault.From(err, "").RetryAfter
 	assert.Assert(t, back > 2*time.Second && back <= 3*time.Second, "%s", back)
 }
 
-// TestNoMoreWaitForARestThanTheRunnerTook: those beyond are refused at once.
-func TestNoMoreWaitForARestThanTheRunnerTook(t *testing.T) {
+// TestRestQueueIsBounded checks that requests beyond what the runner took before are refused at
+// once.
+func TestRestQueueIsBounded(t *testing.T) {
 	known := restingFleet("1")
 	for range 2 {
 		_, end := known.AwaitRest(fleet.Query{Service: "s", Unit: backend.Unit{Model: "alpha"}})
 		defer end()
 	}
-	j := waiter(known, 20*time.Second)
-	_, err := j.place(t.Context())
+	j := waitingFor(known, 20*time.Second)
+	_, err := j.selectRunner(t.Context())
 	assert.Assert(t, fault.IsCode(err, fault.CodeDeadline))
 	assert.Assert(t, fault.From(err, "").RetryAfter > 500*time.Millisecond)
-	assert.Assert(t, j.endRestWait == nil)
+	assert.Assert(t, j.leaveQueue == nil)
 }
--- a/internal/dispatch/again_test.go
+++ b/internal/dispatch/retry_test.go
@@ -17,9 +17,10 @@
 	"lilacvane/internal/upstream"
 )
 
-// TestOnlyRunnerIsTriedAgainAfterItsRefusal: the only runner of a model states that it did
-// not run the request, as the model's load is not done yet or as it is full; it is asked
-// again a moment later and serves. One that broke off may have run it and is not.
+// TestOnlyRunnerIsTriedAgainAfterItsRefusal: the only runner of a model states that it did not run
+// the request, as the model is still loading or all slots are taken. It is tried again a moment
+// later and serves the request. A runner that broke off the connection may have run the request and
+// is not tried again.
 func TestOnlyRunnerIsTriedAgainAfterItsRefusal(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -49,7 +50,7 @@
 			known.Replace([]backend.Runner{{ID: "r1", Service: "s", Slots: 1, Address: strings.TrimPrefix(runner.URL, "http://"), Models: []backend.Holding{{Model: "alpha"}}}}, false)
 			names := upstream.Names{RequestID: "X-Id", Deadline: "X-Deadline", ExpectRunner: "X-Runner", Signature: "X-Signature", NotRun: "X-Not-Run", Urgency: "X-Urgency"}
 			written := httptest.NewRecorder()
-			j := waiter(known, 10*time.Second)
+			j := waitingFor(known, 10*time.Second)
 			j.dispatcher.Pool, j.dispatcher.Names = upstream.NewPool(names), names
 			j.dispatcher.Retries = retry.Limits{Ratio: 1, Slack: 100, Window: time.Second}
 			j.writer = written
--- a/internal/dispatch/route_test.go
+++ b/internal/dispatch/route_test.go
@@ -13,8 +13,8 @@
 	"lilacvane/internal/config"
 )
 
-// unknownRoute serves a request that no route matches.
-func unknownRoute(t *testing.T, known Knowledge) (Outcome, *httptest.ResponseRecorder) {
+// serveUnknownRoute serves a request that no route matches.
+func serveUnknownRoute(t *testing.T, known Knowledge) (Outcome, *httptest.ResponseRecorder) {
 	t.Helper()
 	d := &Dispatcher{
 		Configuration: func() *config.Configuration { return &config.Configuration{Revision: 7} },
@@ -27,20 +27,20 @@
 	return d.Serve(t.Context(), answer, &Request{Host: "a.example", Path: "/b", Arrived: time.Now()}), answer
 }
 
-// TestUnknownRouteTellsWhatIsKnown: the outcome of a request that no route matches says which
-// configuration decided, how old it is, and from whom.
+// TestUnknownRouteTellsWhatIsKnown checks that the outcome of a request that no route matches says
+// which configuration decided, how old it is, and where it came from.
 func TestUnknownRouteTellsWhatIsKnown(t *testing.T) {
 	known := Knowledge{Age: 3 * time.Second, Source: "10.0.0.2:7200"}
-	outcome, _ := unknownRoute(t, known)
+	outcome, _ := serveUnknownRoute(t, known)
 	assert.Equal(t, outcome.Status, http.StatusNotFound)
 	assert.Equal(t, outcome.Revision, uint64(7))
 	assert.Equal(t, *outcome.Knowledge, known)
 }
 
-// TestOldConfigurationDeniedARoute: a node whose configuration is older than news may be does not say for
-// good that there is no route.
+// TestOldConfigurationDeniedARoute: a node whose configuration is older than MaxPropagationDelay
+// must not answer with a permanent error that there is no route.
 func TestOldConfigurationDeniedARoute(t *testing.T) {
-	outcome, answer := unknownRoute(t, Knowledge{Age: 3*time.Second + time.Millisecond})
+	outcome, answer := serveUnknownRoute(t, Knowledge{Age: 3*time.Second + time.Millisecond})
 	assert.Equal(t, outcome.Status, http.StatusServiceUnavailable)
 	assert.Assert(t, answer.Header().Get("Retry-After") != "")
 }
--- a/internal/dispatch/rules_test.go
+++ b/internal/dispatch/rules_test.go
@@ -2,7 +2,7 @@
 
 import "lilacvane/internal/place"
 
-// noRules take nothing out.
+// noRules exclude nothing.
 type noRules struct{}
 
 func (noRules) Drained(_, _ string) bool { return false }
--- a/internal/dispatch/place_test.go
+++ b/internal/dispatch/selection_test.go
@@ -15,8 +15,8 @@
 	"lilacvane/internal/fleet"
 )
 
-// TestWaitFollowsVersion: a request that waits for a version which is no longer
-// the active one is served by the new one.
+// TestWaitFollowsVersion checks that a request that waits for a version which is no longer active
+// is served by the new one.
 func TestWaitFollowsVersion(t *testing.T) {
 	old, current := backend.Unit{Model: "alpha"}, backend.Unit{Model: "alpha-2"}
 	known := fleet.New("zone", time.Now, noRules{})
@@ -41,15 +41,15 @@
 			return current, nil
 		}},
 	}
-	choice, err := j.place(ctx)
+	choice, err := j.selectRunner(ctx)
 	assert.NilError(t, err)
 	assert.Equal(t, choice.Runner.ID, "r1")
 	assert.Equal(t, j.query.Unit, current)
 }
 
-// waiter is a request for model alpha of service s that arrived just now, with the time that
-// it may wait.
-func waiter(known *fleet.Fleet, within time.Duration) *job {
+// waitingFor is a request for model alpha of service s that arrived just now and may wait for the
+// given time.
+func waitingFor(known *fleet.Fleet, within time.Duration) *job {
 	return &job{
 		dispatcher: &Dispatcher{
 			Fleet: known, Demand: demand.NewBook(), Configuration: func() *config.Configuration { return &config.Configuration{} },
@@ -60,23 +60,24 @@
 	}
 }
 
-// TestWaitTellsWhatKeptRunners: a request that no runner could take tells why, also when
-// the reason changed while it waited; one that is placed at once tells nothing.
-func TestWaitTellsWhatKeptRunners(t *testing.T) {
+// TestWaitRecordsObstacles checks that the outcome of a request that no runner could take says why,
+// also when the reason changed while it waited, and that of a request that was sent at once does
+// not.
+func TestWaitRecordsObstacles(t *testing.T) {
 	known := fleet.New("zone", time.Now, noRules{})
 	known.Replace([]backend.Runner{{ID: "r1", Service: "s"}}, false)
-	j := waiter(known, 2*time.Second)
+	j := waitingFor(known, 2*time.Second)
 	leaving := time.AfterFunc(20*time.Millisecond, func() {
 		known.Apply([]backend.Runner{{ID: "r1", Service: "s", Draining: true, Models: []backend.Holding{{Model: "alpha"}}}}, nil, false)
 	})
 	defer leaving.Stop()
-	_, err := j.place(t.Context())
+	_, err := j.selectRunner(t.Context())
 	assert.Assert(t, fault.IsCode(err, fault.CodeDraining))
 	assert.Equal(t, j.outcome.Unplaced.Obstacles.Main().String(), "draining")
 
 	known.Replace([]backend.Runner{{ID: "r2", Service: "s", Models: []backend.Holding{{Model: "alpha"}}}}, false)
-	j = waiter(known, 2*time.Second)
-	_, err = j.place(t.Context())
+	j = waitingFor(known, 2*time.Second)
+	_, err = j.selectRunner(t.Context())
 	assert.NilError(t, err)
 	assert.Assert(t, j.outcome.Unplaced == nil)
 }
--- a/internal/dispatch/silence.go
+++ b/internal/dispatch/silence.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	// silenceFactor is how many objectives a runner of a repeatable request may
-	// be silent before another one is asked as well.
+	// silenceFactor is how many objectives a runner of an idempotent request may be silent before
+	// another one is asked as well.
 	silenceFactor = 1.5
-	// streamSilenceFactor is the same for a resumable stream's first event.
+	// streamSilenceFactor is the same for the first event of a resumable stream.
 	streamSilenceFactor = 0.5
-	// minimumSilence keeps the limit clear of ordinary work.
-	minimumSilence = 100 * time.Millisecond
-	// pauseFactor is how many pause objectives a resumable stream may rest.
+	// minSilence keeps the limit clear of ordinary processing times.
+	minSilence = 100 * time.Millisecond
+	// pauseFactor is how many pause objectives a resumable stream may go without an event.
 	pauseFactor = 4
-	// seekInterval is the time between two looks for a runner that can go on with
-	// what a silent one does not.
-	seekInterval = 50 * time.Millisecond
-	// ownPause is how late a timer shows that the node itself stood still: what its runners
-	// sent meanwhile is not read yet. Ordinary timers are some milliseconds late.
-	ownPause = 100 * time.Millisecond
+	// hedgeRetryInterval is the time between two attempts to find a runner that can take over from
+	// a silent one.
+	hedgeRetryInterval = 50 * time.Millisecond
+	// stallThreshold is the timer delay from which on the node itself was stalled: what its runners
+	// sent meanwhile has not been read yet. Ordinary timers are a few milliseconds late.
+	stallThreshold = 100 * time.Millisecond
 )
 
-// silenceLimit is how long a runner may be silent before another one is asked as well;
-// zero when it must be waited for, as the request may have run.
+// silenceLimit is how long a runner may be silent before another one is asked as well; zero when it
+// must be waited for, as the request may have run.
 func (j *job) silenceLimit() time.Duration {
 	if !j.route.Idempotent() || j.ran+1 >= j.route.Attempts || j.route.Objective == 0 {
 		return 0
@@ -36,35 +36,34 @@
 	if j.route.Resumable {
 		factor = streamSilenceFactor
 	}
-	return max(time.Duration(factor*float64(j.route.Objective)), minimumSilence)
+	return max(time.Duration(factor*float64(j.route.Objective)), minSilence)
 }
 
-// pauseLimit is how long a stream may rest between events before another runner is
-// asked to resume it; zero when it may not be resumed, as it names no event to go
-// on from.
+// pauseLimit is how long a stream may go without an event before another runner is asked to resume
+// it; zero when it may not be resumed, as there is no event identifier to resume from.
 func (j *job) pauseLimit() time.Duration {
-	if !j.route.Resumable || j.ran+1 >= j.route.Attempts || j.route.PauseObjective == 0 || j.relay.lastEvent == "" {
+	if !j.route.Resumable || j.ran+1 >= j.route.Attempts || j.route.PauseObjective == 0 || j.stream.lastEventID == "" {
 		return 0
 	}
 	return time.Duration(pauseFactor * float64(j.route.PauseObjective))
 }
 
 const (
-	// suspectFactor is the part of the objective after which a runner that has
-	// said nothing is suspected to be gone, with these bounds.
+	// suspectFactor is the part of the objective after which a runner that has sent nothing is
+	// suspected to be gone, within these bounds.
 	suspectFactor   = 0.5
-	earliestSuspect = 250 * time.Millisecond
-	latestSuspect   = 600 * time.Millisecond
+	minSuspectDelay = 250 * time.Millisecond
+	maxSuspectDelay = 600 * time.Millisecond
 )
 
-// suspectLater lets the control holder ask a runner that says nothing for a while.
-// The attempt goes on: the runner may only be slow.
+// suspectLater lets the control holder ask a runner that has sent nothing for a while. The attempt
+// goes on: the runner may only be slow.
 func (j *job) suspectLater(choice fleet.Choice) *time.Timer {
 	if !j.engine {
-		return time.AfterFunc(unlimited, func() {})
+		return time.AfterFunc(noLimit, func() {})
 	}
 	after := time.Duration(suspectFactor * float64(j.route.Objective))
-	after = min(max(after, earliestSuspect), latestSuspect)
+	after = min(max(after, minSuspectDelay), maxSuspectDelay)
 	service, runner, log := j.query.Service, choice.Runner.ID, j.log
 	return time.AfterFunc(after, func() {
 		if j.dispatcher.Fleet.Suspect(runner) {
@@ -74,177 +73,178 @@
 	})
 }
 
-// longestPause ends a stream that may not be resumed and stands still.
-const longestPause = time.Minute
+// maxStreamPause is how long a stream that may not be resumed may go without an event before it is
+// ended.
+const maxStreamPause = time.Minute
 
-// beginLimit is how long the answer may still take to begin when the caller
-// bounded that; longestPause when not.
+// beginLimit is how long the answer may still take to begin if the caller limited that, else the
+// time left, at least maxStreamPause.
 func (j *job) beginLimit() time.Duration {
-	if j.request.StartWithin == 0 || j.relay != nil {
-		return max(time.Until(j.deadline), longestPause)
+	if j.request.StartWithin == 0 || j.stream != nil {
+		return max(time.Until(j.deadline), maxStreamPause)
 	}
-	return max(time.Until(j.request.Arrived.Add(j.request.StartWithin)), minimumTime)
+	return max(time.Until(j.request.Arrived.Add(j.request.StartWithin)), minAttemptTime)
 }
 
-// silenceWatch follows how long an attempt's runner is silent. One that is for too long is
-// hedged: the request goes to another runner as well, and the attempt is ended only once
-// that one answers. A runner that was cut off first left nothing to go on with when the other
-// one refused: 16 of 16 streams broke off in the test of it. The watch is used by the job's
+// silenceWatch tracks how long an attempt's runner has been silent. After too long a silence the
+// attempt is hedged: the request goes to another runner as well, and the attempt is ended only once
+// that runner answers. When the first runner was cut off at once, nothing was left to continue with
+// if the other one refused: in a test, 16 of 16 streams broke off. The watch is used by the job's
 // goroutine, its timers and its hedges.
 type silenceWatch struct {
-	cancel context.CancelCauseFunc
-	hedges *hedges
-	final  *time.Timer
-
-	mutex sync.Mutex
-	again *time.Timer
-	ended bool
-	// after is the last event that was passed on, which a hedge goes on from.
-	after string
-	// heardAt is when the runner was heard of last, or was asked; dueAt is when it is
-	// taken for silent, late how much later it was found so.
-	heardAt time.Time
-	dueAt   time.Time
-	late    time.Duration
-	// excused is set once a node that stood still has looked again.
-	excused bool
+	cancel        context.CancelCauseFunc
+	hedges        *hedges
+	deadlineTimer *time.Timer
+
+	mutex      sync.Mutex
+	hedgeTimer *time.Timer
+	ended      bool
+	// resumeAfter is the last event that was forwarded, after which a hedge resumes.
+	resumeAfter string
+	// lastHeard is when the runner last sent something or was sent the request; hedgeAt is when it
+	// counts as silent, timerDelay how much later the timer fired.
+	lastHeard  time.Time
+	hedgeAt    time.Time
+	timerDelay time.Duration
+	// stallExcused is set once a node that was stalled has checked again.
+	stallExcused bool
 }
 
 // newSilenceWatch starts a watch. A limit of zero is none.
-func newSilenceWatch(cancel context.CancelCauseFunc, h *hedges, after string, again, final time.Duration) *silenceWatch {
-	w := &silenceWatch{cancel: cancel, hedges: h, after: after, heardAt: time.Now()}
+func newSilenceWatch(cancel context.CancelCauseFunc, h *hedges, resumeAfter string, hedgeAfter, deadlineAfter time.Duration) *silenceWatch {
+	w := &silenceWatch{cancel: cancel, hedges: h, resumeAfter: resumeAfter, lastHeard: time.Now()}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.final = time.AfterFunc(final, w.timeOut)
-	w.again = time.AfterFunc(unlimited, w.seek)
-	w.wait(orUnlimited(again))
+	w.deadlineTimer = time.AfterFunc(deadlineAfter, w.expire)
+	w.hedgeTimer = time.AfterFunc(noLimit, w.tryHedge)
+	w.schedule(orNoLimit(hedgeAfter))
 	return w
 }
 
-const unlimited = 24 * time.Hour
+const noLimit = 24 * time.Hour
 
-func orUnlimited(limit time.Duration) time.Duration {
+func orNoLimit(limit time.Duration) time.Duration {
 	if limit == 0 {
-		return unlimited
+		return noLimit
 	}
 	return limit
 }
 
-// timeOut ends the attempt and its hedge, as the request's time is over.
-func (w *silenceWatch) timeOut() {
+// expire ends the attempt and its hedge, as the request's deadline has passed.
+func (w *silenceWatch) expire() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.dropHedge(errTimeout)
 	w.cancel(errTimeout)
 }
 
-// seek hedges the attempt; without a runner for that the silent one is waited for.
-func (w *silenceWatch) seek() {
+// tryHedge hedges the attempt; if there is no other runner, it goes on waiting for the silent one.
+func (w *silenceWatch) tryHedge() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.ended || w.hedges.asked != nil || w.hedges.won != nil || time.Now().Before(w.dueAt) {
-		// The last one: the timer fired while the watch was started anew.
+	if w.ended || w.hedges.pending != nil || w.hedges.winner != nil || time.Now().Before(w.hedgeAt) {
+		// An outdated timer: it fired while the watch was restarted.
 		return
 	}
-	w.late = max(w.late, time.Since(w.dueAt))
-	if w.late >= ownPause && !w.excused {
-		// What came while the node stood still is read first.
-		w.excused = true
-		w.wait(seekInterval)
+	w.timerDelay = max(w.timerDelay, time.Since(w.hedgeAt))
+	if w.timerDelay >= stallThreshold && !w.stallExcused {
+		// What arrived while the node was stalled is read first.
+		w.stallExcused = true
+		w.schedule(hedgeRetryInterval)
 		return
 	}
-	if !w.hedges.mayAsk() {
+	if !w.hedges.mayHedge() {
 		return
 	}
 	choice, ok := w.hedges.reserve()
 	if !ok {
-		w.wait(seekInterval)
+		w.schedule(hedgeRetryInterval)
 		return
 	}
 	h := w.hedges.begin(choice)
-	go w.run(h, w.after)
+	go w.runHedge(h, w.resumeAfter)
 }
 
-// run asks a hedge's runner and ends the attempt if it answers.
-func (w *silenceWatch) run(asked *hedge, after string) {
-	defer close(asked.done)
-	w.hedges.ask(asked, after)
+// runHedge sends a hedge and ends the attempt if the hedge's runner answers.
+func (w *silenceWatch) runHedge(h *hedge, resumeAfter string) {
+	defer close(h.done)
+	w.hedges.send(h, resumeAfter)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	needed := asked.ctx.Err() == nil
-	w.hedges.end(asked)
+	needed := h.ctx.Err() == nil
+	w.hedges.finish(h)
 	switch {
-	case w.hedges.won != nil:
+	case w.hedges.winner != nil:
 		w.cancel(errSilent)
 	case needed && !w.ended:
-		w.wait(seekInterval)
+		w.schedule(hedgeRetryInterval)
 	}
 }
 
-// heard notes that the runner said something, and drops the hedge. False means that the
-// other runner answered before: what this one says now comes too late, as the other one
-// goes on from the event before it.
-func (w *silenceWatch) heard() bool {
+// recordActivity notes that the runner sent something, and drops the hedge. False means that the
+// other runner answered first: what this one sends now comes too late, as the other one resumes
+// after the event before it.
+func (w *silenceWatch) recordActivity() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.hedges.won != nil {
+	if w.hedges.winner != nil {
 		return false
 	}
 	w.dropHedge(errAnswered)
-	w.heardAt, w.late, w.excused = time.Now(), 0, false
-	w.wait(unlimited)
-	w.final.Reset(longestPause)
+	w.lastHeard, w.timerDelay, w.stallExcused = time.Now(), 0, false
+	w.schedule(noLimit)
+	w.deadlineTimer.Reset(maxStreamPause)
 	return true
 }
 
-// expect starts the watch anew after events that were passed on.
-func (w *silenceWatch) expect(after string, again time.Duration) {
+// restart restarts the watch after events that were forwarded.
+func (w *silenceWatch) restart(resumeAfter string, hedgeAfter time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.after = after
-	w.wait(orUnlimited(again))
+	w.resumeAfter = resumeAfter
+	w.schedule(orNoLimit(hedgeAfter))
 }
 
-// wait looks again after a while. mutex is held.
-func (w *silenceWatch) wait(again time.Duration) {
-	w.dueAt = time.Now().Add(again)
-	w.again.Reset(again)
+// schedule sets when to check next. mutex is held.
+func (w *silenceWatch) schedule(delay time.Duration) {
+	w.hedgeAt = time.Now().Add(delay)
+	w.hedgeTimer.Reset(delay)
 }
 
-// silence returns the time since the runner was heard of, and how much too late it was
-// found silent: a node that stands still itself finds that late.
-func (w *silenceWatch) silence() (silent, late time.Duration) {
+// silence returns the time since the runner last sent something, and how late the timer noticed its
+// silence: a large delay shows that the node itself was stalled.
+func (w *silenceWatch) silence() (silent, timerDelay time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return time.Since(w.heardAt), w.late
+	return time.Since(w.lastHeard), w.timerDelay
 }
 
-// dropHedge ends the hedge under way. mutex is held.
+// dropHedge cancels the pending hedge. mutex is held.
 func (w *silenceWatch) dropHedge(cause error) {
-	if w.hedges.asked != nil {
-		w.hedges.asked.cancel(cause)
+	if w.hedges.pending != nil {
+		w.hedges.pending.cancel(cause)
 	}
 }
 
-// settle ends the watch and waits for the hedge under way. Where one is needed to go on
-// with the request, it returns the one that answered; nil for none.
-func (w *silenceWatch) settle(needed bool) *hedge {
+// stop ends the watch and waits for the pending hedge. If one is needed to take over the request,
+// it returns the one that answered; nil for none.
+func (w *silenceWatch) stop(needed bool) *hedge {
 	w.mutex.Lock()
 	w.ended = true
-	w.again.Stop()
+	w.hedgeTimer.Stop()
 	if !needed {
 		w.dropHedge(errAnswered)
 	}
-	asked := w.hedges.asked
+	pending := w.hedges.pending
 	w.mutex.Unlock()
-	if asked != nil {
-		<-asked.done
+	if pending != nil {
+		<-pending.done
 	}
-	w.final.Stop()
+	w.deadlineTimer.Stop()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.hedges.won != nil && !needed {
-		w.hedges.drop(w.hedges.won)
+	if w.hedges.winner != nil && !needed {
+		w.hedges.discard(w.hedges.winner)
 	}
-	return w.hedges.won
+	return w.hedges.winner
 }
--- a/internal/dispatch/split.go
+++ b/internal/dispatch/split.go
@@ -6,8 +6,8 @@
 	"lilacvane/internal/config"
 )
 
-// splitter shares a route's requests between services exactly by weight (smooth
-// weighted round robin), from a random start on each node.
+// splitter divides a route's requests between services exactly by weight (smooth weighted round
+// robin), from a random start on each node.
 type splitter struct {
 	credit map[string]int
 }
--- a/internal/dispatch/spool.go
+++ b/internal/dispatch/spool.go
@@ -10,39 +10,40 @@
 
 const (
 	// spoolLimit bounds, in bytes, what is kept of one stream for a client that reads slowly;
-	// beyond it nothing more is read of its runner.
+	// beyond it nothing more is read from its runner.
 	spoolLimit = 256 << 10
-	// spoolsLimit bounds the same of all streams of a node; beyond it each waits for its client.
-	spoolsLimit = 8 << 20
-	// spoolPatience is how long a client that is still there may read nothing of an answer that
-	// has ended, before it is taken as gone.
-	spoolPatience = 30 * time.Second
+	// totalSpoolLimit bounds the same for all streams of a node together; beyond it each stream
+	// waits for its client.
+	totalSpoolLimit = 8 << 20
+	// spoolDrainTimeout is how long a connected client may read nothing of an answer that has
+	// ended, before it counts as gone.
+	spoolDrainTimeout = 30 * time.Second
 )
 
-// spools is how many bytes the spools of a node keep.
-type spools struct{ kept atomic.Int64 }
+// spoolUsage is how many bytes the spools of a node keep.
+type spoolUsage struct{ kept atomic.Int64 }
 
-// spool passes a stream on to a client that may read more slowly than its runner writes. A
-// runner cuts off an answer that is not read for some seconds: without a spool that of a
-// client which pauses for as long. One goroutine writes to it, another one to the client.
+// spool buffers a stream for a client that may read more slowly than its runner writes. A runner
+// cuts off an answer that is not read for some seconds; without a spool, a client that pauses for
+// as long would lose its answer. One goroutine writes to the spool, another one to the client.
 type spool struct {
 	writer http.ResponseWriter
-	all    *spools
+	usage  *spoolUsage
 
 	mutex   sync.Mutex
 	pending []byte
 	ended   bool
 	failed  bool
-	// filled is signalled when there is something to write or the stream ended, emptied when
+	// dataReady is signalled when there is something to write or the stream ended, spaceReady when
 	// something was written; done is closed when nothing more is written.
-	filled  chan struct{}
-	emptied chan struct{}
-	done    chan struct{}
+	dataReady  chan struct{}
+	spaceReady chan struct{}
+	done       chan struct{}
 }
 
-// newSpool starts to pass a stream on. close ends it.
-func newSpool(writer http.ResponseWriter, all *spools) *spool {
-	s := &spool{writer: writer, all: all, filled: make(chan struct{}, 1), emptied: make(chan struct{}, 1), done: make(chan struct{})}
+// newSpool starts to forward a stream. close ends it.
+func newSpool(writer http.ResponseWriter, usage *spoolUsage) *spool {
+	s := &spool{writer: writer, usage: usage, dataReady: make(chan struct{}, 1), spaceReady: make(chan struct{}, 1), done: make(chan struct{})}
 	go s.run()
 	return s
 }
@@ -59,7 +60,7 @@
 		if ended {
 			return
 		}
-		<-s.filled
+		<-s.dataReady
 	}
 }
 
@@ -71,81 +72,81 @@
 	return content, s.ended
 }
 
-// send writes to the client. What was begun counts as kept until it is written.
+// send writes to the client. Content counts as kept until its write returns.
 func (s *spool) send(content []byte) {
 	_, err := s.writer.Write(content)
 	if flusher, ok := s.writer.(http.Flusher); ok && err == nil {
 		flusher.Flush()
 	}
-	s.all.kept.Add(-int64(len(content)))
+	s.usage.kept.Add(-int64(len(content)))
 	s.mutex.Lock()
 	s.failed = s.failed || err != nil
 	s.mutex.Unlock()
-	signal(s.emptied)
+	notify(s.spaceReady)
 }
 
-// write passes events on. It waits while too much is kept for the client, at most until ctx
-// ends: what the client does not read then is not kept either.
+// write forwards events. It waits while too much is kept for the client, at most until ctx ends:
+// events that do not fit by then are dropped.
 func (s *spool) write(ctx context.Context, events []byte) {
-	for !s.put(events) {
+	for !s.tryAppend(events) {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.emptied:
+		case <-s.spaceReady:
 		case <-s.done:
 			return
 		}
 	}
-	signal(s.filled)
+	notify(s.dataReady)
 }
 
-// put keeps events; false when there is no room for them. What is larger than all room is kept
-// alone.
-func (s *spool) put(events []byte) bool {
+// tryAppend keeps events; false when there is no room for them. Events larger than the whole room
+// are kept if nothing else is.
+func (s *spool) tryAppend(events []byte) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.failed {
 		return true
 	}
-	full := len(s.pending)+len(events) > spoolLimit || s.all.kept.Load()+int64(len(events)) > spoolsLimit
+	full := len(s.pending)+len(events) > spoolLimit || s.usage.kept.Load()+int64(len(events)) > totalSpoolLimit
 	if full && len(s.pending) > 0 {
 		return false
 	}
 	s.pending = append(s.pending, events...)
-	s.all.kept.Add(int64(len(events)))
+	s.usage.kept.Add(int64(len(events)))
 	return true
 }
 
-// close waits until the client has read what is kept, or client ends because it left. One that
-// reads nothing for long is given up.
-func (s *spool) close(client context.Context) {
+// close waits until the client has read everything, or left, which ends clientCtx. A client that
+// reads nothing for spoolDrainTimeout is given up.
+func (s *spool) close(clientCtx context.Context) {
 	s.mutex.Lock()
 	s.ended = true
 	s.mutex.Unlock()
-	signal(s.filled)
-	timer := time.NewTimer(spoolPatience)
+	notify(s.dataReady)
+	timer := time.NewTimer(spoolDrainTimeout)
 	defer timer.Stop()
 	for {
 		select {
 		case <-s.done:
 			return
-		case <-s.emptied:
-			timer.Reset(spoolPatience)
+		case <-s.spaceReady:
+			timer.Reset(spoolDrainTimeout)
 			continue
-		case <-client.Done():
+		case <-clientCtx.Done():
 		case <-timer.C:
 		}
-		// A write that is held up ends at once.
+		// Ends a blocked write at once.
 		_ = http.NewResponseController(s.writer).SetWriteDeadline(time.Now())
 		<-s.done
 		return
 	}
 }
 
-// signal lets a goroutine that waits for a channel go on, or the next one that does.
-func signal(waiting chan<- struct{}) {
+// notify wakes a goroutine that waits on the channel, or the next one that does.
+func notify(ready chan<- struct{}) {
 	select {
-	case waiting <- struct{}{}:
+	case ready <- struct{}{}:
 	default:
 	}
 }
--- a/internal/dispatch/spool_test.go
+++ b/internal/dispatch/spool_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// slowClient is a writer to a client that reads nothing until it is let.
+// slowClient is a writer to a client that reads nothing until read is closed.
 type slowClient struct {
 	*httptest.ResponseRecorder
 	read chan struct{}
@@ -40,10 +40,10 @@
 
 var _ http.ResponseWriter = (*slowClient)(nil)
 
-// TestSlowClientDoesNotHoldUpItsRunner: a runner's answer is read on while its client reads
-// nothing, and the client gets all of it once it reads.
+// TestSlowClientDoesNotHoldUpItsRunner checks that a runner's answer is read on while its client
+// reads nothing, and that the client gets all of it once it reads.
 func TestSlowClientDoesNotHoldUpItsRunner(t *testing.T) {
-	client, all := newSlowClient(), &spools{}
+	client, all := newSlowClient(), &spoolUsage{}
 	s := newSpool(client, all)
 	for range 100 {
 		s.write(t.Context(), []byte("data: word\n\n"))
@@ -54,16 +54,16 @@
 	assert.Equal(t, all.kept.Load(), int64(0))
 }
 
-// TestSlowClientIsKeptLittle: what is kept for a client that reads nothing is bounded, for each
-// stream and for all together; nothing is kept of a stream whose client left.
-func TestSlowClientIsKeptLittle(t *testing.T) {
-	all := &spools{}
+// TestSpoolIsBounded checks that what is kept for clients that read nothing is bounded, for each
+// stream and for all together, and that nothing is kept of a stream whose client left.
+func TestSpoolIsBounded(t *testing.T) {
+	all := &spoolUsage{}
 	events := make([]byte, 8<<10)
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	var writing sync.WaitGroup
 	var streams []*spool
-	for range 3 * spoolsLimit / spoolLimit {
+	for range 3 * totalSpoolLimit / spoolLimit {
 		s := newSpool(newSlowClient(), all)
 		streams = append(streams, s)
 		writing.Go(func() {
@@ -78,8 +78,8 @@
 		assert.Check(t, len(s.pending) <= spoolLimit)
 		s.mutex.Unlock()
 	}
-	kept, most := all.kept.Load(), int64(spoolsLimit+2*len(streams)*len(events))
-	assert.Assert(t, kept > spoolsLimit/2 && kept <= most, "%d bytes are kept, %d at most", kept, most)
+	kept, most := all.kept.Load(), int64(totalSpoolLimit+2*len(streams)*len(events))
+	assert.Assert(t, kept > totalSpoolLimit/2 && kept <= most, "%d bytes are kept, %d at most", kept, most)
 	gone, leave := context.WithCancel(t.Context())
 	leave()
 	for _, s := range streams {
@@ -88,10 +88,11 @@
 	assert.Equal(t, all.kept.Load(), int64(0))
 }
 
-// TestSlowClientThatStaysIsGivenUp: an answer that has ended does not hold its node for ever.
-func TestSlowClientThatStaysIsGivenUp(t *testing.T) {
+// TestStalledClientIsGivenUp checks that an answer that has ended does not occupy its node for
+// ever.
+func TestStalledClientIsGivenUp(t *testing.T) {
 	client := newSlowClient()
-	s := newSpool(client, &spools{})
+	s := newSpool(client, &spoolUsage{})
 	s.write(t.Context(), []byte("data: word\n\n"))
 	_ = client.SetWriteDeadline(time.Time{})
 	s.close(t.Context())
--- /dev/null
+++ b/internal/dispatch/stream.go
@@ -0,0 +1,193 @@
+package dispatch
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"strings"
+	"time"
+
+	"lilacvane/internal/fault"
+	"lilacvane/internal/fleet"
+	"lilacvane/internal/upstream"
+)
+
+const (
+	readSize = 4 << 10
+	// maxEventSize bounds one event of a stream, in bytes.
+	maxEventSize = 1 << 20
+)
+
+// clientStream is a stream whose head was sent to the client.
+type clientStream struct {
+	resumable bool
+	// spool forwards the events to the client.
+	spool *spool
+	// lastEventID identifies the last complete event that was forwarded.
+	lastEventID string
+	forwarded   int
+	// forwardedAt is when events were last forwarded.
+	forwardedAt time.Time
+}
+
+// forwardStream forwards a stream as it arrives, in complete events only. The head is sent with the
+// first event, so that until then another runner may be tried.
+func (j *job) forwardStream(ctx context.Context, choice fleet.Choice, answer *upstream.Answer, watch *silenceWatch) (attemptResult, error) {
+	if !j.authentic(&bufferedAnswer{status: answer.Status, header: answer.Header}) {
+		return attemptResult{fleet: fleet.Failed}, fault.At(fault.CodeInterrupted, "read answer", choice.Runner.ID, fault.Unknown, errUnsigned)
+	}
+	result := attemptResult{}
+	pending := make([]byte, 0, readSize)
+	for {
+		count, err := answer.Read(pending[len(pending):cap(pending)])
+		pending = pending[:len(pending)+count]
+		if complete := lastEventEnd(pending); complete > 0 {
+			if !watch.recordActivity() {
+				result.fleet = j.failureResult(ctx)
+				return result, fault.At(fault.CodeCanceled, "read answer", choice.Runner.ID, fault.Unknown, errSilent)
+			}
+			if !result.started {
+				result.started = true
+				j.dispatcher.Fleet.Started(choice)
+			}
+			j.forwardEvents(ctx, answer, pending[:complete])
+			watch.restart(j.lastEventID(), j.pauseLimit())
+			pending = pending[:copy(pending, pending[complete:])]
+		}
+		if err == io.EOF {
+			j.finishStream(ctx, answer, pending)
+			result.fleet = fleet.Served
+			return result, nil
+		}
+		if err != nil {
+			result.fleet = j.failureResult(ctx)
+			return result, err
+		}
+		if pending, err = grow(pending); err != nil {
+			result.fleet = fleet.Failed
+			return result, err
+		}
+	}
+}
+
+// grow makes room for more of an incomplete event.
+func grow(pending []byte) ([]byte, error) {
+	if len(pending) < cap(pending) {
+		return pending, nil
+	}
+	if len(pending) >= maxEventSize {
+		return pending, fault.At(fault.CodeTooLarge, "read event", fault.Self, fault.Unknown, nil)
+	}
+	larger := make([]byte, len(pending), 2*cap(pending))
+	copy(larger, pending)
+	return larger, nil
+}
+
+// forwardEvents sends complete events to the client.
+func (j *job) forwardEvents(ctx context.Context, answer *upstream.Answer, events []byte) {
+	j.openStream(answer)
+	if id, ok := parseLastEventID(events); ok {
+		j.stream.lastEventID = id
+	}
+	j.recordPause(time.Now())
+	j.stream.forwarded++
+	j.stream.spool.write(ctx, events)
+}
+
+// lastEventID identifies the last forwarded event that has an identifier; empty for none.
+func (j *job) lastEventID() string {
+	if j.stream == nil {
+		return ""
+	}
+	return j.stream.lastEventID
+}
+
+// forwarded is how many times events were forwarded.
+func (j *job) forwarded() int {
+	if j.stream == nil {
+		return 0
+	}
+	return j.stream.forwarded
+}
+
+// recordPause keeps the longest time between two events.
+func (j *job) recordPause(now time.Time) {
+	if j.stream.forwarded > 0 {
+		j.outcome.Pause = max(j.outcome.Pause, now.Sub(j.stream.forwardedAt))
+	}
+	j.stream.forwardedAt = now
+}
+
+// openStream sends the head of the answer of a stream's first runner.
+func (j *job) openStream(answer *upstream.Answer) {
+	if j.stream != nil {
+		return
+	}
+	j.stream = &clientStream{resumable: j.route.Resumable}
+	j.outcome.First = time.Since(j.request.Arrived)
+	j.outcome.Status = answer.Status
+	j.copyHeader(answer.Header)
+	j.writer.Header().Del("Content-Length")
+	j.writer.WriteHeader(answer.Status)
+	j.stream.spool = newSpool(j.writer, &j.dispatcher.spooled)
+}
+
+// closeStream waits until the client has read what is spooled of a stream; it ends early when ctx
+// does, as the client left.
+func (j *job) closeStream(ctx context.Context) {
+	if j.stream != nil {
+		j.stream.spool.close(ctx)
+	}
+}
+
+// finishStream ends a stream that its runner completed. What follows its last event belongs to the
+// answer as well.
+func (j *job) finishStream(ctx context.Context, answer *upstream.Answer, rest []byte) {
+	j.openStream(answer)
+	if len(rest) > 0 {
+		j.stream.spool.write(ctx, rest)
+	}
+	j.outcome.Result = ResultServed
+	j.outcome.Resumes = j.sent - 1
+}
+
+// abortStream ends an answer that cannot be completed so that it looks incomplete: the connection
+// closes before the answer's end.
+func (j *job) abortStream(problem *fault.Error) {
+	j.outcome.Result, j.outcome.Step, j.outcome.Reason = ResultBroken, problem.Step, problem.Error()
+	j.outcome.Problem = problem
+}
+
+// Broken reports whether the answer must be cut off by closing the connection.
+func (o *Outcome) Broken() bool { return o.Result == ResultBroken }
+
+var eventEnd = []byte("\n\n")
+
+// lastEventEnd returns the length of the complete events at the start of content.
+func lastEventEnd(content []byte) int {
+	end := 0
+	if at := bytes.LastIndex(content, eventEnd); at >= 0 {
+		end = at + len(eventEnd)
+	}
+	if at := bytes.LastIndex(content, []byte("\r\n\r\n")); at >= 0 {
+		end = max(end, at+4)
+	}
+	return end
+}
+
+// parseLastEventID returns the last event identifier in complete events.
+func parseLastEventID(events []byte) (string, bool) {
+	at := bytes.LastIndex(events, []byte("\nid:"))
+	if at >= 0 {
+		at++
+	} else if bytes.HasPrefix(events, []byte("id:")) {
+		at = 0
+	} else {
+		return "", false
+	}
+	line := events[at+len("id:"):]
+	if end := bytes.IndexByte(line, '\n'); end >= 0 {
+		line = line[:end]
+	}
+	return strings.TrimSpace(string(line)), true
+}
--- a/internal/dispatch/zones_test.go
+++ b/internal/dispatch/zones_test.go
@@ -30,16 +30,16 @@
 	known.Replace([]backend.Runner{
 		{ID: "r1", Service: "s", Zone: "a", Models: held}, {ID: "r2", Service: "s", Zone: "b", Models: held},
 	}, false)
-	j := waiter(known, time.Hour)
+	j := waitingFor(known, time.Hour)
 	j.dispatcher.NewsWithin = 3 * time.Second
 	return j
 }
 
-// TestAllZonesOutIsRefusedAtOnce: as not run, with the reason and the earliest time at
-// which that can be otherwise.
+// TestAllZonesOutIsRefusedAtOnce checks that the request is refused as not run, with the reason and
+// the earliest time at which that can change.
 func TestAllZonesOutIsRefusedAtOnce(t *testing.T) {
 	j := zonedJob(zonesOut{"a": true, "b": true})
-	_, err := j.place(t.Context())
+	_, err := j.selectRunner(t.Context())
 	assert.Assert(t, fault.IsCode(err, fault.CodeZonesOut))
 	assert.ErrorContains(t, err, "taken out")
 	problem := fault.From(err, "")
@@ -47,21 +47,22 @@
 	assert.Equal(t, problem.RetryAfter, 3*time.Second)
 }
 
-// zonesTaken takes out zone a, and all zones once it is set.
+// zonesTaken takes out zone a, and all zones once all is set.
 type zonesTaken struct{ all atomic.Bool }
 
 func (*zonesTaken) Drained(_, _ string) bool { return false }
 
 func (z *zonesTaken) ZoneOut(zone place.Zone) bool { return zone == "a" || z.all.Load() }
 
-// TestWaitEndsWhenTheLastZoneIsTakenOut: what waits for a model is woken and refused.
+// TestWaitEndsWhenTheLastZoneIsTakenOut checks that a request that waits for a model is woken and
+// refused.
 func TestWaitEndsWhenTheLastZoneIsTakenOut(t *testing.T) {
 	rules := &zonesTaken{}
 	j := zonedJob(rules)
 	j.query.Unit.Model = "beta"
 	ended := make(chan error, 1)
 	go func() {
-		_, err := j.place(t.Context())
+		_, err := j.selectRunner(t.Context())
 		ended <- err
 	}()
 	for len(j.dispatcher.Demand.Waiting()) == 0 {
@@ -72,8 +73,8 @@
 	assert.Assert(t, fault.IsCode(<-ended, fault.CodeZonesOut))
 }
 
-// TestHedgeIntoAZoneTakenOutIsNotSent: what was reserved before the zone was taken out is not
-// used after it; the next hedge goes elsewhere.
+// TestHedgeIntoAZoneTakenOutIsNotSent checks that a runner reserved before its zone was taken out
+// is not used after that, and that the next hedge goes elsewhere.
 func TestHedgeIntoAZoneTakenOutIsNotSent(t *testing.T) {
 	out := zonesOut{"b": true}
 	j := zonedJob(out)
@@ -84,11 +85,11 @@
 	assert.Assert(t, ok && reserved.Runner.ID == "r1")
 	asked := h.begin(reserved)
 	out["a"], out["b"] = true, false
-	h.ask(asked, "")
+	h.send(asked, "")
 	assert.ErrorIs(t, asked.err, errNotAdmitted)
 	assert.Equal(t, fault.OutcomeOf(asked.err), fault.NotDone)
-	h.end(asked)
+	h.finish(asked)
 	choice, ok := h.reserve()
-	assert.Assert(t, ok && h.mayAsk())
+	assert.Assert(t, ok && h.mayHedge())
 	assert.Equal(t, choice.Runner.ID, "r2")
 }
