--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	// inlineBody is the largest body written before the answer is awaited. A
-	// larger one is written beside it, as a runner may answer early.
-	inlineBody = 4 << 10
-	// foreignLimit bounds the body of an answer that belongs to another request.
-	foreignLimit = 1 << 20
-	// foreignAnswers bounds how many such answers are passed over.
-	foreignAnswers = 2
-	// idleMargin keeps a resting connection clear of the runner's own limit.
+	// maxInlineBody is the largest body that is written before the answer is awaited. A larger one
+	// is written concurrently, as a runner may answer early.
+	maxInlineBody = 4 << 10
+	// mismatchedBodyLimit bounds, in bytes, the body of an answer to another request.
+	mismatchedBodyLimit = 1 << 20
+	// maxMismatched bounds how many answers to other requests are skipped.
+	maxMismatched = 2
+	// idleMargin ends an idle connection before the runner's own limit does.
 	idleMargin = time.Second
 )
 
 // Call is a request to one runner.
 type Call struct {
-	// Runner is the name of the runner it is meant for, Incarnation the incarnation, Address
-	// its ip:port.
+	// Runner is the name of the runner that the request is meant for, Incarnation the runner's
+	// incarnation, Address its ip:port.
 	Runner      string
 	Incarnation string
 	Address     string
@@ -41,21 +41,20 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// RequestID is what the answer must carry.
+	// RequestID is the identifier that the answer must carry.
 	RequestID string
-	// Fresh asks for a new connection.
+	// Fresh requires a new connection.
 	Fresh bool
-	// Proved asks for a connection that is known to work, for a request that cannot be sent
-	// again if nothing comes back: a new one, or one whose last answer ended within
-	// link.ProvedFor.
+	// Proved requires a connection that is known to work, for a request that cannot be sent again
+	// if nothing comes back: a new one, or one whose last answer ended within link.ProvedFor.
 	Proved bool
-	// Admit is asked once there is a connection, right before the request is written: an error
-	// ends the call. Not set where the request goes out in any case.
+	// Admit is called once there is a connection, right before the request is written: an error
+	// ends the call. Nil if the request is sent in any case.
 	Admit func() error
 }
 
-// Answer is the beginning of a runner's answer. Its body must be read to the end
-// or the answer closed.
+// Answer is the beginning of a runner's answer. Its body must be read to the end or the answer
+// closed.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -73,59 +72,59 @@
 	stop     func() bool
 	reusable bool
 	ended    bool
-	// ctx is the request's, read is when the last bytes of the answer came.
-	ctx  context.Context
-	read time.Time
+	// ctx is the request's context, lastRead is when the last bytes of the answer were read.
+	ctx      context.Context
+	lastRead time.Time
 }
 
-// Do sends a call and returns the beginning of its answer. The error's outcome
-// is NotDone only if no byte of the request can have reached the runner. Ending
-// ctx closes the connection, also while the body is read: at once, or after
-// readingTime where its deadline passed and some of the answer has arrived.
+// Do sends a call and returns the beginning of its answer. The error's outcome is NotDone only if
+// no byte of the request can have reached the runner. When ctx ends, the connection is closed, also
+// while the body is read: at once, or after readGrace if the deadline of ctx passed and part of the
+// answer has arrived.
 func (p *Pool) Do(ctx context.Context, call Call) (*Answer, error) {
 	if ctx.Err() != nil {
-		// Its closing would race with the first bytes.
+		// Closing the connection would race with the first bytes.
 		return nil, fault.At(fault.CodeCanceled, "send request", call.Address, fault.NotDone, context.Cause(ctx))
 	}
-	conn, err := p.take(ctx, call)
+	conn, err := p.acquire(ctx, call)
 	if err != nil {
 		return nil, err
 	}
 	if call.Admit != nil {
 		if err := call.Admit(); err != nil {
-			p.putBack(call.Runner, conn)
+			p.returnUnused(call.Runner, conn)
 			return nil, fault.At(fault.CodeUnreachable, "send request", call.Address, fault.NotDone, err)
 		}
 	}
 	stop := context.AfterFunc(ctx, func() { conn.expire(context.Cause(ctx)) })
-	conn.send()
+	conn.startSend()
 	written, err := send(conn, call)
 	if err != nil {
 		return nil, p.failed(ctx, conn, stop, "send request", call, err)
 	}
-	response, err := p.readOwn(conn, call)
+	response, err := p.readMatching(conn, call)
 	if err != nil {
 		return nil, p.failed(ctx, conn, stop, "read answer", call, err)
 	}
-	if !conn.restedSince.IsZero() {
-		p.trust.Answered(conn.restedSince)
+	if !conn.idleSince.IsZero() {
+		p.trust.Answered(conn.idleSince)
 	}
 	p.Statements.Hear(statement.Source{Runner: call.Incarnation, Request: call.RequestID}, response.StatusCode, response.Header)
 	return &Answer{
 		Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
 		NotRun: response.Header.Get(p.names.NotRun) != "" || response.StatusCode == http.StatusMisdirectedRequest,
-		body:   response.Body, conn: conn, pool: p, runner: call.Runner, address: call.Address, written: written, stop: stop, ctx: ctx, read: time.Now(),
+		body:   response.Body, conn: conn, pool: p, runner: call.Runner, address: call.Address, written: written, stop: stop, ctx: ctx, lastRead: time.Now(),
 		reusable: !response.Close && framed(response),
 	}, nil
 }
 
-// failed ends a connection that gave no answer.
+// failed discards a connection that gave no answer.
 func (p *Pool) failed(ctx context.Context, conn *connection, stop func() bool, step string, call Call, cause error) error {
 	stop()
-	conn.end()
-	p.judge(ctx, conn, step, call.Runner, conn.restedFrom(), cause)
-	if !conn.restedSince.IsZero() {
-		cause = &restedError{cause: cause}
+	conn.discard()
+	p.checkSilence(ctx, conn, step, call.Runner, conn.reusedSince(), cause)
+	if !conn.idleSince.IsZero() {
+		cause = &idleError{cause: cause}
 	}
 	return unknown(ctx, step, call.Address, cause)
 }
@@ -138,14 +137,12 @@
 	return fault.At(code, step, address, fault.Unknown, cause)
 }
 
-// framed reports whether the end of the body is marked other than by the end of
-// the connection.
+// framed reports whether the end of the body is marked other than by the end of the connection.
 func framed(response *http.Response) bool {
 	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 }
 
-// send writes the request. A large body is written beside the caller; the
-// channel tells when it is out.
+// send writes the request. A large body is written concurrently; the channel receives the result.
 func send(conn *connection, call Call) (<-chan error, error) {
 	request := &http.Request{
 		Method: call.Method, Host: call.Host, Header: call.Header,
@@ -158,7 +155,7 @@
 		request.Body = http.NoBody
 	}
 	written := make(chan error, 1)
-	if len(call.Body) <= inlineBody {
+	if len(call.Body) <= maxInlineBody {
 		err := write(conn, request)
 		written <- err
 		return written, err
@@ -175,9 +172,9 @@
 	return writer.Flush()
 }
 
-// readOwn reads answers until the one that carries the request's identifier.
-func (p *Pool) readOwn(conn *connection, call Call) (*http.Response, error) {
-	for range foreignAnswers + 1 {
+// readMatching reads answers until the one that carries the request's identifier.
+func (p *Pool) readMatching(conn *connection, call Call) (*http.Response, error) {
+	for range maxMismatched + 1 {
 		response, err := readFinal(conn.reader, call.Method)
 		if err != nil {
 			return nil, err
@@ -189,14 +186,14 @@
 		if !framed(response) || conn.served == 0 {
 			return nil, errors.New("answer to another request")
 		}
-		if _, err := io.CopyN(io.Discard, response.Body, foreignLimit); err != io.EOF {
+		if _, err := io.CopyN(io.Discard, response.Body, mismatchedBodyLimit); err != io.EOF {
 			return nil, errors.New("unfinished answer to another request")
 		}
 	}
 	return nil, errors.New("answers to other requests only")
 }
 
-// readFinal reads an answer, passing over interim ones.
+// readFinal reads an answer, skipping interim ones.
 func readFinal(reader *bufio.Reader, method string) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(reader, &http.Request{Method: method})
@@ -209,7 +206,7 @@
 	}
 }
 
-// Await waits until something of the body has come, if there is one.
+// Await waits until the first byte of the body has arrived, if there is a body.
 func (a *Answer) Await() error {
 	if a.Length == 0 {
 		return nil
@@ -220,7 +217,7 @@
 	return nil
 }
 
-// Read reads the body. io.EOF means that the answer is whole.
+// Read reads the body. io.EOF means that the answer is complete.
 func (a *Answer) Read(buffer []byte) (int, error) {
 	count, err := a.body.Read(buffer)
 	if err == io.EOF {
@@ -229,48 +226,48 @@
 	}
 	if err != nil {
 		a.Close()
-		a.pool.judge(a.ctx, a.conn, "read answer", a.runner, a.read, err)
+		a.pool.checkSilence(a.ctx, a.conn, "read answer", a.runner, a.lastRead, err)
 		return count, fault.At(fault.CodeInterrupted, "read answer", a.address, fault.Unknown, err)
 	}
-	a.read = time.Now()
+	a.lastRead = time.Now()
 	return count, nil
 }
 
-// finish lays the connection to rest if nothing but the whole request and the
-// whole answer went over it.
+// finish keeps the connection for reuse if nothing but the complete request and the complete answer
+// went over it.
 func (a *Answer) finish() {
 	if a.ended {
 		return
 	}
 	a.ended = true
-	sound := a.stop() && a.reusable && a.conn.reader.Buffered() == 0
+	reusable := a.stop() && a.reusable && a.conn.reader.Buffered() == 0
 	select {
 	case err := <-a.written:
-		sound = sound && err == nil
+		reusable = reusable && err == nil
 	default:
-		sound = false
+		reusable = false
 	}
-	if !sound {
-		a.conn.end()
+	if !reusable {
+		a.conn.discard()
 		return
 	}
-	a.conn.rest()
-	a.pool.put(a.runner, a.conn, restingTime(a.Header))
+	a.conn.endExchange()
+	a.pool.release(a.runner, a.conn, keepAliveTime(a.Header))
 }
 
-// Close ends the exchange. Unless the answer is whole, its connection is closed.
+// Close ends the exchange. Unless the answer is complete, its connection is closed.
 func (a *Answer) Close() {
 	if a.ended {
 		return
 	}
 	a.ended = true
 	a.stop()
-	a.conn.end()
+	a.conn.discard()
 }
 
-// restingTime returns how long a connection may rest by the runner's word; zero
-// when it named no time, negative when it may not rest at all.
-func restingTime(header http.Header) time.Duration {
+// keepAliveTime returns how long a connection may stay idle according to the runner; zero when it
+// gave no time, negative when the connection may not stay idle at all.
+func keepAliveTime(header http.Header) time.Duration {
 	for _, value := range header.Values("Keep-Alive") {
 		for parameter := range strings.SplitSeq(value, ",") {
 			name, text, _ := strings.Cut(strings.TrimSpace(parameter), "=")
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -21,19 +21,19 @@
 
 var testNames = Names{RequestID: "X-Id", NotRun: "X-Not-Run"}
 
-// scripted is a runner that treats each connection by a script.
-type scripted struct {
+// scriptedRunner is a runner that handles each connection by a script.
+type scriptedRunner struct {
 	listener net.Listener
 	accepted atomic.Int32
 	// requests counts the requests read.
 	requests atomic.Int32
 }
 
-func serveScript(t *testing.T, script func(s *scripted, number int, conn net.Conn)) *scripted {
+func serveScript(t *testing.T, script func(s *scriptedRunner, number int, conn net.Conn)) *scriptedRunner {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	s := &scripted{listener: listener}
+	s := &scriptedRunner{listener: listener}
 	var handlers sync.WaitGroup
 	var open sync.Map
 	go func() {
@@ -62,7 +62,7 @@
 }
 
 // next reads a request and returns its identifier.
-func (s *scripted) next(reader *bufio.Reader) (string, error) {
+func (s *scriptedRunner) next(reader *bufio.Reader) (string, error) {
 	request, err := http.ReadRequest(reader)
 	if err != nil {
 		return "", err
@@ -76,7 +76,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func (s *scripted) call(id string) Call {
+func (s *scriptedRunner) call(id string) Call {
 	address := s.listener.Addr().String()
 	return Call{
 		Runner: "r", Address: address, Method: http.MethodPost, Target: "/a/b?c=%2f", Host: "h.example", Header: http.Header{testNames.RequestID: {id}},
@@ -84,7 +84,7 @@
 	}
 }
 
-// exchange sends a call and reads its whole answer.
+// exchange sends a call and reads its complete answer.
 func exchange(pool *Pool, call Call) (string, error) {
 	answer, err := pool.Do(context.Background(), call)
 	if err != nil {
@@ -95,11 +95,11 @@
 	return string(content), err
 }
 
-// TestRequestIsSentOnce: a kept connection that breaks when a request was sent on
-// it is not replaced by another one behind the caller's back: the request may
+// TestRequestIsSentOnce: when an idle connection breaks after a request was sent on it, the pool
+// must not send the request again on another one without its caller's decision, as the request may
 // have run.
 func TestRequestIsSentOnce(t *testing.T) {
-	s := serveScript(t, func(s *scripted, number int, conn net.Conn) {
+	s := serveScript(t, func(s *scriptedRunner, number int, conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		id, err := s.next(reader)
 		if err != nil {
@@ -119,11 +119,11 @@
 	assert.Equal(t, s.accepted.Load(), int32(1))
 }
 
-// TestClosedRestingConnectionIsNotUsed: a connection that the runner closed while
-// it rested is replaced before anything is sent.
+// TestClosedRestingConnectionIsNotUsed checks that a connection that the runner closed while it was
+// idle is replaced before anything is sent.
 func TestClosedRestingConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{})
-	s := serveScript(t, func(s *scripted, number int, conn net.Conn) {
+	s := serveScript(t, func(s *scriptedRunner, number int, conn net.Conn) {
 		id, err := s.next(bufio.NewReader(conn))
 		if err != nil {
 			return
@@ -145,19 +145,18 @@
 	assert.Equal(t, s.accepted.Load(), int32(2))
 }
 
-// waitForBytes waits until the resting connection has something to read, or its
-// end.
+// waitForBytes waits until the idle connection has something to read, or its end.
 func waitForBytes(t *testing.T, pool *Pool) {
 	t.Helper()
-	for quiet(pool.idle["r"][0].Conn) {
+	for quiescent(pool.idle["r"][0].Conn) {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// TestExtraAnswerOnRestingConnection: bytes that came while a connection rested
-// belong to no request; it is not used again.
+// TestExtraAnswerOnRestingConnection checks that a connection on which bytes arrived while it was
+// idle is not used again, as they belong to no request.
 func TestExtraAnswerOnRestingConnection(t *testing.T) {
-	s := serveScript(t, func(s *scripted, number int, conn net.Conn) {
+	s := serveScript(t, func(s *scriptedRunner, number int, conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		for {
 			id, err := s.next(reader)
@@ -182,10 +181,10 @@
 	assert.Equal(t, s.accepted.Load(), int32(2))
 }
 
-// lateExtra answers a request and, in the place of the next one's answer, once more; own is
-// the answer to the second one.
-func lateExtra(own func(second string) string) func(s *scripted, number int, conn net.Conn) {
-	return func(s *scripted, _ int, conn net.Conn) {
+// lateExtra answers a request, and answers it once more in place of the next one's answer; own
+// returns the answer to the second one.
+func lateExtra(own func(second string) string) func(s *scriptedRunner, number int, conn net.Conn) {
+	return func(s *scriptedRunner, _ int, conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		first, err := s.next(reader)
 		if err != nil {
@@ -200,8 +199,8 @@
 	}
 }
 
-// TestLateExtraAnswerIsPassedOver: an extra answer that comes in the place of the
-// next request's own is known by its identifier.
+// TestLateExtraAnswerIsPassedOver checks that an extra answer that arrives in place of the next
+// request's own is recognized by its identifier.
 func TestLateExtraAnswerIsPassedOver(t *testing.T) {
 	s := serveScript(t, lateExtra(func(second string) string { return answerText(second, "second") }))
 	pool := NewPool(testNames)
@@ -212,10 +211,10 @@
 	assert.Equal(t, content, "second")
 }
 
-// TestAnswerOfAnotherRequestIsRefused: a new connection whose first answer has
-// another identifier gives nothing.
+// TestAnswerOfAnotherRequestIsRefused checks that a new connection whose first answer has another
+// identifier yields an error.
 func TestAnswerOfAnotherRequestIsRefused(t *testing.T) {
-	s := serveScript(t, func(s *scripted, _ int, conn net.Conn) {
+	s := serveScript(t, func(s *scriptedRunner, _ int, conn net.Conn) {
 		_, _ = s.next(bufio.NewReader(conn))
 		_, _ = io.WriteString(conn, answerText("other", "wrong"))
 	})
@@ -223,10 +222,10 @@
 	assert.Equal(t, fault.OutcomeOf(err), fault.Unknown)
 }
 
-// TestUnframedAnswerEndsItsConnection: an answer without a length ends with its
-// connection, which is not kept; one that is reset is not whole.
+// TestUnframedAnswerEndsItsConnection checks that an answer without a length ends with its
+// connection, which is not kept, and that one whose connection is reset does not count as complete.
 func TestUnframedAnswerEndsItsConnection(t *testing.T) {
-	s := serveScript(t, func(s *scripted, number int, conn net.Conn) {
+	s := serveScript(t, func(s *scriptedRunner, number int, conn net.Conn) {
 		id, err := s.next(bufio.NewReader(conn))
 		if err != nil {
 			return
@@ -245,10 +244,10 @@
 	assert.Assert(t, err != nil, "a reset answer looked whole")
 }
 
-// TestEarlyAnswerEndsItsConnection: a runner that answers before it read the body
-// goes on reading; nothing else may reach it there.
+// TestEarlyAnswerEndsItsConnection checks that the connection of a runner that answers before it
+// read the body is not reused, as the runner goes on reading the body.
 func TestEarlyAnswerEndsItsConnection(t *testing.T) {
-	s := serveScript(t, func(s *scripted, _ int, conn net.Conn) {
+	s := serveScript(t, func(s *scriptedRunner, _ int, conn net.Conn) {
 		request, err := http.ReadRequest(bufio.NewReader(conn))
 		if err != nil {
 			return
@@ -265,14 +264,14 @@
 	assert.Equal(t, len(pool.idle["r"]), 0)
 }
 
-// TestBrokenOffAnswerIsNotWhole: an answer that ends before its length, or
-// before its last chunk, is an error.
+// TestBrokenOffAnswerIsNotWhole checks that an answer that ends before its length, or before its
+// last chunk, is an error.
 func TestBrokenOffAnswerIsNotWhole(t *testing.T) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 10\r\n\r\npart",
 		"HTTP/1.1 200 OK\r\nX-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n",
 	} {
-		s := serveScript(t, func(s *scripted, _ int, conn net.Conn) {
+		s := serveScript(t, func(s *scriptedRunner, _ int, conn net.Conn) {
 			_, _ = s.next(bufio.NewReader(conn))
 			_, _ = io.WriteString(conn, text)
 		})
@@ -282,20 +281,20 @@
 	}
 }
 
-// TestRefusedConnectionIsNotRun: a request that could not be sent at all did not
+// TestRefusedConnectionIsNotRun checks that a request that could not be sent at all counts as not
 // run.
 func TestRefusedConnectionIsNotRun(t *testing.T) {
-	s := serveScript(t, func(*scripted, int, net.Conn) {})
+	s := serveScript(t, func(*scriptedRunner, int, net.Conn) {})
 	_ = s.listener.Close()
 	_, err := exchange(NewPool(testNames), s.call("1"))
 	assert.Equal(t, fault.OutcomeOf(err), fault.NotDone)
 	assert.Assert(t, fault.IsCode(err, fault.CodeUnreachable))
 }
 
-// TestTargetIsUnchanged: method, path and query reach the runner as they came.
+// TestTargetIsUnchanged checks that method, path and query reach the runner unchanged.
 func TestTargetIsUnchanged(t *testing.T) {
 	seen := make(chan string, 1)
-	s := serveScript(t, func(s *scripted, _ int, conn net.Conn) {
+	s := serveScript(t, func(s *scriptedRunner, _ int, conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		line, err := reader.ReadString('\n')
 		if err != nil {
@@ -307,11 +306,11 @@
 	assert.Equal(t, <-seen, "POST /a/b?c=%2f HTTP/1.1")
 }
 
-// TestCancelClosesTheConnection: a client that leaves ends the work at the
-// runner, also before the answer began.
+// TestCancelClosesTheConnection checks that a client that leaves ends the work at the runner, also
+// before the answer began.
 func TestCancelClosesTheConnection(t *testing.T) {
 	gone := make(chan struct{})
-	s := serveScript(t, func(s *scripted, _ int, conn net.Conn) {
+	s := serveScript(t, func(s *scriptedRunner, _ int, conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		_, _ = s.next(reader)
 		_, _ = reader.ReadByte()
@@ -329,8 +328,8 @@
 	<-gone
 }
 
-// FuzzAnswer: no bytes of a runner make the reader panic, and what it takes as an
-// answer carries the request's identifier.
+// FuzzAnswer checks that no bytes from a runner make the reader panic, and that what it accepts as
+// an answer carries the request's identifier.
 func FuzzAnswer(f *testing.F) {
 	f.Add([]byte(answerText("1", "whole")))
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\n" + answerText("1", "x")))
@@ -341,15 +340,15 @@
 		near, far := net.Pipe()
 		_ = far.Close()
 		conn := &connection{Conn: near, reader: bufio.NewReader(strings.NewReader(string(content)))}
-		response, err := pool.readOwn(conn, Call{Method: http.MethodGet, RequestID: "1"})
+		response, err := pool.readMatching(conn, Call{Method: http.MethodGet, RequestID: "1"})
 		if err == nil && response.Header.Get(testNames.RequestID) != "1" {
 			t.Fatal("an answer to another request was taken")
 		}
 	})
 }
 
-// TestCallIsAskedForAgainBeforeItIsSent: what may not go out any more once there is a connection
-// reaches nobody, and the connection stays of use.
+// TestCallIsAskedForAgainBeforeItIsSent checks that a request that is no longer admitted once there
+// is a connection is not sent, and that the connection stays usable.
 func TestCallIsAskedForAgainBeforeItIsSent(t *testing.T) {
 	s := serveAll(t, "body")
 	pool := NewPool(testNames)
--- a/internal/upstream/late_test.go
+++ b/internal/upstream/late_test.go
@@ -13,25 +13,25 @@
 	"gotest.tools/v3/assert"
 )
 
-// lateReader is a connection whose reads begin late, as those of a process that stood still.
-type lateReader struct {
+// delayedReader is a connection whose reads begin late, like those of a process that was stalled.
+type delayedReader struct {
 	net.Conn
 	begin <-chan struct{}
 }
 
-func (l lateReader) Read(buffer []byte) (int, error) {
+func (l delayedReader) Read(buffer []byte) (int, error) {
 	<-l.begin
 	return l.Conn.Read(buffer)
 }
 
-func (l lateReader) SyscallConn() (syscall.RawConn, error) {
+func (l delayedReader) SyscallConn() (syscall.RawConn, error) {
 	return l.Conn.(syscall.Conn).SyscallConn()
 }
 
-// TestAnswerThatHasArrivedIsReadAfterTheDeadline: a node that stood still through the deadline of
-// a request closed the connection before it read the answer, and never heard what it said.
+// TestAnswerThatHasArrivedIsReadAfterTheDeadline: a node that was stalled past the deadline of a
+// request closed the connection before it read the answer, and lost what it said.
 func TestAnswerThatHasArrivedIsReadAfterTheDeadline(t *testing.T) {
-	s := serveScript(t, func(s *scripted, _ int, conn net.Conn) {
+	s := serveScript(t, func(s *scriptedRunner, _ int, conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		if id, err := s.next(reader); err == nil {
 			_, _ = io.WriteString(conn, answerText(id, "whole"))
@@ -40,10 +40,10 @@
 	})
 	begin := make(chan struct{})
 	pool := NewPool(testNames)
-	pool.Wrap = func(_ string, conn net.Conn) net.Conn { return lateReader{Conn: conn, begin: begin} }
+	pool.Wrap = func(_ string, conn net.Conn) net.Conn { return delayedReader{Conn: conn, begin: begin} }
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
-	context.AfterFunc(ctx, func() { time.AfterFunc(readingTime/5, func() { close(begin) }) })
+	context.AfterFunc(ctx, func() { time.AfterFunc(readGrace/5, func() { close(begin) }) })
 	answer, err := pool.Do(ctx, s.call("late"))
 	assert.NilError(t, err)
 	assert.Equal(t, answer.Status, http.StatusOK)
@@ -52,9 +52,10 @@
 	assert.Equal(t, string(content), "whole")
 }
 
-// TestDeadlineWithoutAnAnswerEndsAtOnce: nothing has arrived that could be read.
+// TestDeadlineWithoutAnAnswerEndsAtOnce checks that a request is not given time to read after its
+// deadline if nothing has arrived.
 func TestDeadlineWithoutAnAnswerEndsAtOnce(t *testing.T) {
-	s := serveScript(t, func(s *scripted, _ int, conn net.Conn) {
+	s := serveScript(t, func(s *scriptedRunner, _ int, conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		for {
 			if _, err := s.next(reader); err != nil {
@@ -67,5 +68,5 @@
 	_, err := NewPool(testNames).Do(ctx, s.call("none"))
 	assert.Assert(t, err != nil)
 	deadline, _ := ctx.Deadline()
-	assert.Assert(t, time.Since(deadline) < readingTime)
+	assert.Assert(t, time.Since(deadline) < readGrace)
 }
--- a/internal/upstream/names.go
+++ b/internal/upstream/names.go
@@ -1,23 +1,22 @@
 package upstream
 
-// Names are the headers that travel with requests and answers between nodes and
-// runners.
+// Names holds the names of the headers of requests and answers between nodes and runners.
 type Names struct {
-	// RequestID identifies a request; the runner gives it back.
+	// RequestID identifies a request; the runner returns it.
 	RequestID string
-	// Deadline is the time the client still waits, in milliseconds.
+	// Deadline is how long the client will still wait, in milliseconds.
 	Deadline string
-	// ExpectRunner names the runner a request is meant for.
+	// ExpectRunner names the runner that a request is meant for.
 	ExpectRunner string
-	// Signature is the runner's mark on an answer.
+	// Signature is the runner's signature on an answer.
 	Signature string
 	// NotRun is the runner's statement that it did not run the request.
 	NotRun string
 	// Leaving is the runner's statement that it leaves.
 	Leaving string
-	// Limit is how many requests a second the runner takes from all nodes together.
+	// Limit is how many requests per second the runner takes from all nodes together.
 	Limit string
-	// Load is the load a runner tells: running, waiting, slots.
+	// Load is the load that a runner reports: running, waiting, slots.
 	Load string
 	// Urgency is 0 (first) to 9.
 	Urgency string
@@ -26,13 +25,13 @@
 	Tokens     string
 	Prompt     string
 	LengthHint string
-	// ResumeAfter is the last event that arrived of a stream.
+	// ResumeAfter is the last event of a stream that arrived.
 	ResumeAfter string
-	// Tenant names to a runner the tenant that a request belongs to.
+	// Tenant names the tenant that a request belongs to, for the runner.
 	Tenant string
-	// Key carries the caller's key after KeyScheme and a space.
+	// Key holds the caller's key after KeyScheme and a space.
 	Key       string
 	KeyScheme string
-	// Reserved are the system's to set: what a client sends under them is dropped.
+	// Reserved are set by the system only: what a client sends under them is dropped.
 	Reserved []string
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,7 +1,6 @@
-// Package upstream exchanges requests and answers with runners over HTTP/1.1. It
-// holds its own connections, so that a request is never sent a second time
-// without the caller's decision, and never believes an answer that is not the
-// request's own.
+// Package upstream exchanges requests and answers with runners over HTTP/1.1. It manages its own
+// connections, so that a request is never sent a second time without the caller's decision, and an
+// answer is never accepted that is not the request's own.
 package upstream
 
 import (
@@ -18,26 +17,24 @@
 )
 
 const (
-	// defaultIdle is how long a connection may rest when the runner named no
-	// time of its own.
+	// defaultIdle is how long a connection may stay idle when the runner gave no time of its own.
 	defaultIdle = 20 * time.Second
-	// maximumIdlePerRunner bounds resting connections to one runner, maximumIdle those
-	// to all: there may be hundreds of nodes and thousands of runners, and a runner
-	// takes some hundreds of connections.
-	maximumIdlePerRunner = 8
-	maximumIdle          = 96
-	bufferSize           = 4 << 10
+	// maxIdlePerRunner bounds the idle connections to one runner, maxIdle those to all: there may
+	// be hundreds of nodes and thousands of runners, and a runner takes some hundreds of
+	// connections.
+	maxIdlePerRunner = 8
+	maxIdle          = 96
+	bufferSize       = 4 << 10
 )
 
-// Pool keeps resting connections by runner. Its methods may be called
-// concurrently.
+// Pool keeps idle connections by runner. Its methods may be called concurrently.
 type Pool struct {
 	// Links counts connections; it may be nil, and is set before the pool is used.
 	Links *link.Record
-	// Statements hears the heads of all answers; it may be nil, and is set before the pool is
+	// Statements receives the heads of all answers; it may be nil, and is set before the pool is
 	// used.
 	Statements *statement.Book
-	// Wrap stands around each new connection to a runner; not set for none.
+	// Wrap wraps each new connection to a runner; nil for none.
 	Wrap func(runner string, conn net.Conn) net.Conn
 
 	names Names
@@ -45,8 +42,8 @@
 
 	mutex sync.Mutex
 	idle  map[string][]*connection
-	// resting counts the connections in idle.
-	resting int
+	// idleCount counts the connections in idle.
+	idleCount int
 }
 
 // connection is one connection to a runner, used for one request at a time.
@@ -55,16 +52,16 @@
 	reader *bufio.Reader
 	// served counts the answers read from it.
 	served int
-	// taken is when it was taken up, restedSince when it was laid to rest last; zero
-	// for a new one.
-	taken       time.Time
-	restedSince time.Time
-	// idleUntil is when it may no longer be taken up again.
+	// acquired is when it was last taken from the pool or dialed, idleSince when it last became
+	// idle; zero for a new one.
+	acquired  time.Time
+	idleSince time.Time
+	// idleUntil is when it may no longer be reused.
 	idleUntil time.Time
-	// waiting fires once the bytes of a request must be out; patient is set when it
-	// did during the last exchange.
-	waiting *time.Timer
-	patient bool
+	// sendTimer fires once the bytes of a request must have been acknowledged; sendTimedOut is set
+	// when it did during the last exchange.
+	sendTimer    *time.Timer
+	sendTimedOut bool
 }
 
 // NewPool returns an empty pool.
@@ -72,123 +69,123 @@
 	return &Pool{names: names, trust: link.NewTrust(time.Now), idle: make(map[string][]*connection)}
 }
 
-// take returns a resting connection that is still sound, or a new one.
-func (p *Pool) take(ctx context.Context, call Call) (*connection, error) {
+// acquire returns an idle connection that is still usable, or a new one.
+func (p *Pool) acquire(ctx context.Context, call Call) (*connection, error) {
 	if call.Fresh {
 		return p.dial(ctx, call.Runner, call.Address)
 	}
 	for {
-		resting := p.pop(call.Runner)
-		if resting == nil {
+		conn := p.popIdle(call.Runner)
+		if conn == nil {
 			return p.dial(ctx, call.Runner, call.Address)
 		}
 		now := time.Now()
-		reason, ended := p.restingEnd(resting, now, call.Proved)
+		reason, ended := p.unusable(conn, now, call.Proved)
 		if !ended {
-			resting.taken = now
-			return resting, nil
+			conn.acquired = now
+			return conn, nil
 		}
-		_ = resting.Close()
+		_ = conn.Close()
 		p.Links.Drop(link.Runner, reason, 1)
 		if reason == link.Unproved {
-			// The others rested for longer. They serve calls that may be sent again.
+			// The others have been idle for longer. They serve calls that may be sent again.
 			return p.dial(ctx, call.Runner, call.Address)
 		}
 	}
 }
 
-// restingEnd is why a connection that rested cannot be used again, if so; proved is set for
-// a call that asks for one that is known to work.
-func (p *Pool) restingEnd(resting *connection, now time.Time, proved bool) (link.Reason, bool) {
+// unusable reports whether an idle connection cannot be used again, and why; proved is set for a
+// call that requires one that is known to work.
+func (p *Pool) unusable(conn *connection, now time.Time, proved bool) (link.Reason, bool) {
 	switch {
-	case !now.Before(resting.idleUntil):
+	case !now.Before(conn.idleUntil):
 		return link.Expired, true
-	case !quiet(resting.Conn):
+	case !quiescent(conn.Conn):
 		return link.Ended, true
-	case proved && p.trust.Doubts(resting.restedSince):
+	case proved && p.trust.Doubts(conn.idleSince):
 		return link.Distrusted, true
 	default:
-		return link.Unproved, proved && now.Sub(resting.restedSince) >= link.ProvedFor
+		return link.Unproved, proved && now.Sub(conn.idleSince) >= link.ProvedFor
 	}
 }
 
-func (p *Pool) pop(runner string) *connection {
+func (p *Pool) popIdle(runner string) *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	resting := p.idle[runner]
-	if len(resting) == 0 {
+	idle := p.idle[runner]
+	if len(idle) == 0 {
 		return nil
 	}
-	last := resting[len(resting)-1]
-	p.keep(runner, resting[:len(resting)-1])
+	last := idle[len(idle)-1]
+	p.setIdle(runner, idle[:len(idle)-1])
 	return last
 }
 
-// put lays a connection to rest for at most the time the runner named.
-func (p *Pool) put(runner string, conn *connection, idle time.Duration) {
+// release keeps a connection idle for at most the time that the runner gave.
+func (p *Pool) release(runner string, conn *connection, idle time.Duration) {
 	if idle <= 0 {
 		idle = defaultIdle
 	}
-	conn.restedSince = time.Now()
-	conn.idleUntil = conn.restedSince.Add(idle)
-	p.lay(runner, conn)
+	conn.idleSince = time.Now()
+	conn.idleUntil = conn.idleSince.Add(idle)
+	p.addIdle(runner, conn)
 }
 
-// putBack lays a connection to rest that was taken and not used.
-func (p *Pool) putBack(runner string, conn *connection) {
-	if conn.restedSince.IsZero() {
-		p.put(runner, conn, defaultIdle)
+// returnUnused returns a connection to the pool that was acquired and not used.
+func (p *Pool) returnUnused(runner string, conn *connection) {
+	if conn.idleSince.IsZero() {
+		p.release(runner, conn, defaultIdle)
 		return
 	}
-	p.lay(runner, conn)
+	p.addIdle(runner, conn)
 }
 
-// lay adds a connection to those that rest.
-func (p *Pool) lay(runner string, conn *connection) {
+// addIdle adds a connection to the idle ones.
+func (p *Pool) addIdle(runner string, conn *connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if len(p.idle[runner]) >= maximumIdlePerRunner {
+	if len(p.idle[runner]) >= maxIdlePerRunner {
 		_ = conn.Close()
 		p.Links.Drop(link.Runner, link.Spare, 1)
 		return
 	}
-	if p.resting >= maximumIdle {
-		p.dropOldest()
+	if p.idleCount >= maxIdle {
+		p.evictOldest()
 	}
-	p.keep(runner, append(p.idle[runner], conn))
+	p.setIdle(runner, append(p.idle[runner], conn))
 }
 
-// keep sets a runner's resting connections. Its caller holds the lock.
-func (p *Pool) keep(runner string, resting []*connection) {
-	p.resting += len(resting) - len(p.idle[runner])
-	if len(resting) == 0 {
+// setIdle sets a runner's idle connections. Its caller holds the lock.
+func (p *Pool) setIdle(runner string, idle []*connection) {
+	p.idleCount += len(idle) - len(p.idle[runner])
+	if len(idle) == 0 {
 		delete(p.idle, runner)
 		return
 	}
-	p.idle[runner] = resting
+	p.idle[runner] = idle
 }
 
-// dropOldest makes room. Each runner's first connection has rested longest, as the
-// last one is taken up first. Its caller holds the lock.
-func (p *Pool) dropOldest() {
+// evictOldest makes room. Each runner's first connection has been idle longest, as the last one is
+// reused first. Its caller holds the lock.
+func (p *Pool) evictOldest() {
 	oldest := ""
-	for runner, resting := range p.idle {
-		if oldest == "" || resting[0].restedSince.Before(p.idle[oldest][0].restedSince) {
+	for runner, idle := range p.idle {
+		if oldest == "" || idle[0].idleSince.Before(p.idle[oldest][0].idleSince) {
 			oldest = runner
 		}
 	}
 	_ = p.idle[oldest][0].Close()
-	p.keep(oldest, p.idle[oldest][1:])
+	p.setIdle(oldest, p.idle[oldest][1:])
 	p.Links.Drop(link.Runner, link.Spare, 1)
 }
 
-// Forget closes the resting connections to runners that keep does not name.
+// Forget closes the idle connections to runners that keep does not name.
 func (p *Pool) Forget(keep func(runner string) bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for runner := range p.idle {
 		if !keep(runner) {
-			p.closeResting(runner)
+			p.closeIdle(runner)
 		}
 	}
 }
@@ -202,11 +199,11 @@
 	if p.Wrap != nil {
 		conn = p.Wrap(runner, conn)
 	}
-	return &connection{Conn: conn, reader: bufio.NewReaderSize(conn, bufferSize), taken: time.Now()}, nil
+	return &connection{Conn: conn, reader: bufio.NewReaderSize(conn, bufferSize), acquired: time.Now()}, nil
 }
 
-// Connect makes a connection to an address and closes it, to find out whether anybody
-// listens there.
+// Connect opens a connection to an address and closes it, to find out whether anything listens
+// there.
 func (p *Pool) Connect(ctx context.Context, address string) error {
 	conn, err := p.dial(ctx, "", address)
 	if err != nil {
@@ -218,9 +215,9 @@
 	return nil
 }
 
-// quiet reports whether a resting connection is open and holds no bytes: any
-// that arrived belong to no request.
-func quiet(conn net.Conn) bool {
+// quiescent reports whether an idle connection is open and has no bytes to read: any that arrived
+// belong to no request.
+func quiescent(conn net.Conn) bool {
 	raw, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
--- a/internal/upstream/proved_test.go
+++ b/internal/upstream/proved_test.go
@@ -13,29 +13,30 @@
 	"lilacvane/internal/link"
 )
 
-// TestLastSendAvoidsUnprovedConnection: a connection went silent while it rested, without any
-// sign, and a request that could not be sent again waited on it for its whole time.
+// TestLastSendAvoidsUnprovedConnection: a connection went silent while idle, without any sign, and
+// a request that could not be sent again waited on it until its deadline.
 func TestLastSendAvoidsUnprovedConnection(t *testing.T) {
 	s := serveOnce(t)
 	pool := NewPool(testNames)
 	pool.Links = &link.Record{}
-	rest(t, pool, s, "a", 3)
+	leaveIdle(t, pool, s, "a", 3)
 	time.Sleep(link.ProvedFor)
 	call := s.call("last")
 	call.Runner, call.Proved = "a", true
-	ctx, cancel := context.WithTimeoutCause(t.Context(), muteLimit, errOver)
+	ctx, cancel := context.WithTimeoutCause(t.Context(), minMuteTime, errOver)
 	defer cancel()
 	answer, err := pool.Do(ctx, call)
 	assert.NilError(t, err)
 	answer.Close()
 	assert.Equal(t, dropped(pool, link.Unproved), uint64(1))
-	// The new connection takes the place of one; the others stay for what may be sent again.
-	assert.Equal(t, len(restingOf(pool, "a")), 2)
+	// The new connection replaces one; the others stay for requests that may be sent again.
+	assert.Equal(t, len(idleOf(pool, "a")), 2)
 }
 
-// TestProvedConnectionIsUsedAgain: requests that follow each other closely share a connection.
+// TestProvedConnectionIsUsedAgain checks that requests that follow each other closely share a
+// connection.
 func TestProvedConnectionIsUsedAgain(t *testing.T) {
-	s := serveScript(t, func(s *scripted, _ int, conn net.Conn) {
+	s := serveScript(t, func(s *scriptedRunner, _ int, conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		for {
 			id, err := s.next(reader)
@@ -47,8 +48,8 @@
 	})
 	pool := NewPool(testNames)
 	pool.Links = &link.Record{}
-	rest(t, pool, s, "a", 1)
-	restingOf(pool, "a")[0].restedSince = time.Now()
+	leaveIdle(t, pool, s, "a", 1)
+	idleOf(pool, "a")[0].idleSince = time.Now()
 	call := s.call("next")
 	call.Runner, call.Proved = "a", true
 	_, err := exchange(pool, call)
--- a/internal/upstream/roundtrip.go
+++ b/internal/upstream/roundtrip.go
@@ -8,26 +8,26 @@
 	"strconv"
 )
 
-// leftoverLimit bounds what is read of an answer after its reader is done, so that
-// its connection can be used again.
-const leftoverLimit = 4 << 10
+// drainLimit bounds, in bytes, what is read of an answer after its reader is done, so that its
+// connection can be used again.
+const drainLimit = 4 << 10
 
-// restedError is the failure of a connection that had rested, which its runner may
-// have given up since.
-type restedError struct{ cause error }
+// idleError is the failure of a connection that had been idle, which its runner may have given up
+// since.
+type idleError struct{ cause error }
 
-// Error says that the connection had rested.
-func (e *restedError) Error() string { return "connection that had rested: " + e.cause.Error() }
+// Error says that the connection had been idle.
+func (e *idleError) Error() string { return "connection that had rested: " + e.cause.Error() }
 
 // Unwrap returns the cause.
-func (e *restedError) Unwrap() error { return e.cause }
+func (e *idleError) Unwrap() error { return e.cause }
 
-// incarnationKey is the context's key of the incarnation that a request of the node's own is
-// meant for.
+// incarnationKey is the context's key of the incarnation that a request of the node itself is meant
+// for.
 type incarnationKey struct{}
 
 // WithIncarnation names the incarnation that a request with the context is meant for, so that
-// what the runner states in its answer is heard as its word.
+// statements in the answer are attributed to that incarnation.
 func WithIncarnation(ctx context.Context, id string) context.Context {
 	return context.WithValue(ctx, incarnationKey{}, id)
 }
@@ -37,13 +37,12 @@
 	return id
 }
 
-// RoundTrip sends a request that is the node's own, such as a question for a
-// runner's load, on the connections that carry the requests of clients. The runner
-// is the one that the header Names.ExpectRunner names. A GET that failed on a
-// connection that had rested is sent once more, on a new one; others are sent once, on one
-// that is known to work.
+// RoundTrip sends a request of the node itself, such as one for a runner's load, on the connections
+// that carry the requests of clients. The runner is the one that the header Names.ExpectRunner
+// names. A GET that failed on a connection that had been idle is sent once more, on a new one;
+// others are sent once, on one that is known to work.
 func (p *Pool) RoundTrip(request *http.Request) (*http.Response, error) {
-	body, err := wholeBody(request)
+	body, err := readBody(request)
 	if err != nil {
 		return nil, err
 	}
@@ -53,8 +52,8 @@
 	}
 	call.Proved = request.Method != http.MethodGet
 	answer, err := p.Do(request.Context(), call)
-	var rested *restedError
-	if errors.As(err, &rested) && request.Method == http.MethodGet && request.Context().Err() == nil {
+	var idle *idleError
+	if errors.As(err, &idle) && request.Method == http.MethodGet && request.Context().Err() == nil {
 		call.Fresh = true
 		answer, err = p.Do(request.Context(), call)
 	}
@@ -64,11 +63,11 @@
 	return &http.Response{
 		Status: strconv.Itoa(answer.Status) + " " + http.StatusText(answer.Status), StatusCode: answer.Status,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		Header: answer.Header, Body: ownAnswer{answer}, ContentLength: answer.Length, Request: request,
+		Header: answer.Header, Body: internalBody{answer}, ContentLength: answer.Length, Request: request,
 	}, nil
 }
 
-func wholeBody(request *http.Request) ([]byte, error) {
+func readBody(request *http.Request) ([]byte, error) {
 	if request.Body == nil {
 		return nil, nil
 	}
@@ -76,14 +75,14 @@
 	return io.ReadAll(request.Body)
 }
 
-// ownAnswer is the body of an answer to a request of the node's own.
-type ownAnswer struct{ *Answer }
+// internalBody is the body of an answer to a request of the node itself.
+type internalBody struct{ *Answer }
 
-// Close ends the answer. What little is left of it is read first.
-func (a ownAnswer) Close() error {
+// Close ends the answer. A short remainder is read first, so that the connection can be reused.
+func (a internalBody) Close() error {
 	if !a.ended {
-		// An error closes the connection, which is all that it means here.
-		_, _ = io.CopyN(io.Discard, a.Answer, leftoverLimit)
+		// An error closes the connection, which is harmless here.
+		_, _ = io.CopyN(io.Discard, a.Answer, drainLimit)
 	}
 	a.Answer.Close()
 	return nil
--- a/internal/upstream/roundtrip_test.go
+++ b/internal/upstream/roundtrip_test.go
@@ -16,8 +16,8 @@
 )
 
 // serveAll serves a runner that answers all requests of a connection.
-func serveAll(t *testing.T, body string) *scripted {
-	return serveScript(t, func(s *scripted, _ int, conn net.Conn) {
+func serveAll(t *testing.T, body string) *scriptedRunner {
+	return serveScript(t, func(s *scriptedRunner, _ int, conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		for {
 			id, err := s.next(reader)
@@ -29,31 +29,31 @@
 	})
 }
 
-// ownNames name the header by which RoundTrip finds the runner.
-var ownNames = Names{RequestID: testNames.RequestID, NotRun: testNames.NotRun, ExpectRunner: "X-Runner"}
+// internalNames names the header by which RoundTrip finds the runner.
+var internalNames = Names{RequestID: testNames.RequestID, NotRun: testNames.NotRun, ExpectRunner: "X-Runner"}
 
-// question asks a runner something of the node's own.
-func question(t *testing.T, client *http.Client, s *scripted) *http.Response {
+// post sends a POST of the node itself to a runner.
+func post(t *testing.T, client *http.Client, s *scriptedRunner) *http.Response {
 	t.Helper()
-	response, err := own(t, client, s, http.MethodPost)
+	response, err := sendInternal(t, client, s, http.MethodPost)
 	assert.NilError(t, err)
 	return response
 }
 
-// own sends a request of the node's own to a runner.
-func own(t *testing.T, client *http.Client, s *scripted, method string) (*http.Response, error) {
+// sendInternal sends a request of the node itself to a runner.
+func sendInternal(t *testing.T, client *http.Client, s *scriptedRunner, method string) (*http.Response, error) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, "http://"+s.listener.Addr().String()+"/load?x=1", strings.NewReader("{}"))
 	assert.NilError(t, err)
-	request.Header.Set(ownNames.ExpectRunner, "r")
+	request.Header.Set(internalNames.ExpectRunner, "r")
 	return client.Do(request)
 }
 
-// TestOrdersAreSentOnce: a runner that ends a connection as the next request comes on
-// it is asked again on a new one, but is not given an order again.
+// TestOrdersAreSentOnce: when a runner closes a connection as the next request arrives on it, a GET
+// is sent again on a new one, but an order (POST) is not.
 func TestOrdersAreSentOnce(t *testing.T) {
 	for method, sent := range map[string]int32{http.MethodGet: 3, http.MethodPost: 2} {
-		s := serveScript(t, func(s *scripted, number int, conn net.Conn) {
+		s := serveScript(t, func(s *scriptedRunner, number int, conn net.Conn) {
 			reader := bufio.NewReader(conn)
 			id, err := s.next(reader)
 			if err != nil {
@@ -62,9 +62,9 @@
 			_, _ = io.WriteString(conn, answerText(id, "whole"))
 			_, _ = s.next(reader)
 		})
-		pool := NewPool(ownNames)
-		rest(t, pool, s, "r", 1)
-		response, err := own(t, &http.Client{Transport: pool}, s, method)
+		pool := NewPool(internalNames)
+		leaveIdle(t, pool, s, "r", 1)
+		response, err := sendInternal(t, &http.Client{Transport: pool}, s, method)
 		assert.Equal(t, s.requests.Load(), sent, "%s: %v", method, err)
 		assert.Equal(t, err == nil, method == http.MethodGet)
 		if err == nil {
@@ -73,20 +73,21 @@
 	}
 }
 
-// TestQuestionsShareConnectionsWithRequests: a question and the request that follows
-// need one connection, also when the question's answer is not read to its end.
+// TestQuestionsShareConnectionsWithRequests checks that an internal request and the client request
+// that follows need one connection, also when the answer to the internal one is not read to its
+// end.
 func TestQuestionsShareConnectionsWithRequests(t *testing.T) {
 	s := serveAll(t, `{"queued":3}  `)
-	pool := NewPool(ownNames)
+	pool := NewPool(internalNames)
 	client := &http.Client{Transport: pool}
 	for range 3 {
-		response := question(t, client, s)
+		response := post(t, client, s)
 		var told struct{ Queued int }
 		assert.Equal(t, response.StatusCode, http.StatusOK)
 		assert.NilError(t, json.NewDecoder(response.Body).Decode(&told))
 		assert.NilError(t, response.Body.Close())
 		assert.Equal(t, told.Queued, 3)
-		unread := question(t, client, s)
+		unread := post(t, client, s)
 		assert.NilError(t, unread.Body.Close())
 		_, err := exchange(pool, s.call("1"))
 		assert.NilError(t, err)
@@ -95,34 +96,34 @@
 	assert.Equal(t, s.requests.Load(), int32(9))
 }
 
-// TestLateAnswerIsNotTheQuestions: an extra answer to a client's request is passed
-// over by the question that follows it.
-func TestLateAnswerIsNotTheQuestions(t *testing.T) {
+// TestLateAnswerIsSkippedByInternalRequest checks that an internal request skips an extra answer to
+// the client request before it.
+func TestLateAnswerIsSkippedByInternalRequest(t *testing.T) {
 	s := serveScript(t, lateExtra(func(string) string { return answerText("", "own") }))
-	pool := NewPool(ownNames)
+	pool := NewPool(internalNames)
 	_, err := exchange(pool, s.call("1"))
 	assert.NilError(t, err)
-	response := question(t, &http.Client{Transport: pool}, s)
+	response := post(t, &http.Client{Transport: pool}, s)
 	content, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
 	assert.Equal(t, string(content), "own")
 	assert.NilError(t, response.Body.Close())
 }
 
-// TestRestingConnectionsStayBounded: in all and for each runner; the one that rested
-// longest goes first.
-func TestRestingConnectionsStayBounded(t *testing.T) {
+// TestIdleConnectionsAreBounded checks that idle connections are bounded in total and per runner,
+// and that the one that has been idle longest is closed first.
+func TestIdleConnectionsAreBounded(t *testing.T) {
 	s := serveAll(t, "whole")
 	pool := NewPool(testNames)
 	pool.Links = &link.Record{}
-	rest(t, pool, s, "first", 2)
-	for number := range maximumIdle - 1 {
-		rest(t, pool, s, fmt.Sprint(number), 1)
+	leaveIdle(t, pool, s, "first", 2)
+	for number := range maxIdle - 1 {
+		leaveIdle(t, pool, s, fmt.Sprint(number), 1)
 	}
-	assert.Equal(t, pool.resting, maximumIdle)
+	assert.Equal(t, pool.idleCount, maxIdle)
 	assert.Equal(t, len(pool.idle["first"]), 1)
 	assert.Equal(t, dropped(pool, link.Spare), uint64(1))
 	pool.Forget(func(runner string) bool { return runner == "first" })
-	assert.Equal(t, pool.resting, 1)
+	assert.Equal(t, pool.idleCount, 1)
 	assert.Equal(t, len(pool.idle), 1)
 }
--- a/internal/upstream/silent_test.go
+++ b/internal/upstream/silent_test.go
@@ -16,13 +16,12 @@
 	"lilacvane/internal/link"
 )
 
-// errOver ends requests as their time does.
+// errOver ends requests whose deadline passed.
 var errOver = errors.New("the request's time is over")
 
-// serveOnce serves a runner that answers one request on each connection and is
-// silent from then on.
-func serveOnce(t *testing.T) *scripted {
-	return serveScript(t, func(s *scripted, _ int, conn net.Conn) {
+// serveOnce serves a runner that answers one request on each connection and is silent from then on.
+func serveOnce(t *testing.T) *scriptedRunner {
+	return serveScript(t, func(s *scriptedRunner, _ int, conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		id, err := s.next(reader)
 		if err != nil {
@@ -35,8 +34,8 @@
 	})
 }
 
-// rest lays connections to a runner to rest.
-func rest(t *testing.T, pool *Pool, s *scripted, runner string, count int) {
+// leaveIdle leaves idle connections to a runner.
+func leaveIdle(t *testing.T, pool *Pool, s *scriptedRunner, runner string, count int) {
 	t.Helper()
 	var answers []*Answer
 	for range count {
@@ -50,13 +49,13 @@
 		_, err := io.ReadAll(answer)
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, len(restingOf(pool, runner)), count)
+	assert.Equal(t, len(idleOf(pool, runner)), count)
 }
 
-// outlive sends a request that gets no answer in its time.
-func outlive(t *testing.T, pool *Pool, s *scripted, runner string) error {
+// timeOut sends a request that gets no answer before its deadline.
+func timeOut(t *testing.T, pool *Pool, s *scriptedRunner, runner string) error {
 	t.Helper()
-	ctx, cancel := context.WithTimeoutCause(t.Context(), muteLimit+50*time.Millisecond, errOver)
+	ctx, cancel := context.WithTimeoutCause(t.Context(), minMuteTime+50*time.Millisecond, errOver)
 	defer cancel()
 	call := s.call("lost")
 	call.Runner = runner
@@ -65,15 +64,15 @@
 	return err
 }
 
-// TestSilentConnectionDistrustsOthersOfItsRunner: one request pays for the resting
-// connections of a runner that went silent, and no other runner's are dropped.
+// TestSilentConnectionDistrustsOthersOfItsRunner checks that one request detects that a runner's
+// idle connections went silent, and that no other runner's are dropped.
 func TestSilentConnectionDistrustsOthersOfItsRunner(t *testing.T) {
 	s := serveOnce(t)
 	pool := NewPool(testNames)
 	pool.Links = &link.Record{}
-	rest(t, pool, s, "a", 3)
-	rest(t, pool, s, "b", 2)
-	_ = outlive(t, pool, s, "a")
+	leaveIdle(t, pool, s, "a", 3)
+	leaveIdle(t, pool, s, "b", 2)
+	_ = timeOut(t, pool, s, "a")
 	assert.Equal(t, len(pool.idle["a"]), 0)
 	assert.Equal(t, len(pool.idle["b"]), 2)
 	assert.Equal(t, dropped(pool, link.Mute), uint64(1))
@@ -95,78 +94,79 @@
 	return found
 }
 
-// TestSilenceOfTwoRunnersDistrustsAll: a third runner's request that may not be
-// repeated is not trusted to a connection that rested as long.
+// TestSilenceOfTwoRunnersDistrustsAll checks that after the silence of two runners, the idle
+// connections to a third one are dropped as well, as they have been idle for as long: a request
+// that may not be repeated must not depend on them.
 func TestSilenceOfTwoRunnersDistrustsAll(t *testing.T) {
 	s := serveOnce(t)
 	pool := NewPool(testNames)
 	for _, runner := range []string{"a", "b", "c"} {
-		rest(t, pool, s, runner, 2)
+		leaveIdle(t, pool, s, runner, 2)
 	}
 	var both sync.WaitGroup
 	for _, runner := range []string{"a", "b"} {
-		both.Go(func() { _ = outlive(t, pool, s, runner) })
+		both.Go(func() { _ = timeOut(t, pool, s, runner) })
 	}
 	both.Wait()
 	assert.Equal(t, len(pool.idle["c"]), 0)
 }
 
-// TestRequestThatMayNotBeRepeatedAvoidsDoubtfulRest: after one runner's connection was
-// silent, such a request goes on a new connection to another runner, as one silent runner
-// does not show whether all connections are; one that may be repeated tries what rests.
+// TestRequestThatMayNotBeRepeatedAvoidsDoubtfulRest: after one runner's connection was silent, a
+// request that may not be repeated uses a new connection to another runner, as one silent runner
+// does not show whether all connections are silent; one that may be repeated tries an idle one.
 func TestRequestThatMayNotBeRepeatedAvoidsDoubtfulRest(t *testing.T) {
 	s := serveOnce(t)
 	pool := NewPool(testNames)
-	rest(t, pool, s, "a", 1)
-	rest(t, pool, s, "b", 2)
-	_ = outlive(t, pool, s, "a")
+	leaveIdle(t, pool, s, "a", 1)
+	leaveIdle(t, pool, s, "b", 2)
+	_ = timeOut(t, pool, s, "a")
 	call := s.call("once")
 	call.Runner, call.Proved = "b", true
-	ctx, cancel := context.WithTimeoutCause(t.Context(), muteLimit, errOver)
+	ctx, cancel := context.WithTimeoutCause(t.Context(), minMuteTime, errOver)
 	defer cancel()
 	answer, err := pool.Do(ctx, call)
 	assert.NilError(t, err)
 	_, err = io.ReadAll(answer)
 	assert.NilError(t, err)
 	// The new one may be used again, also by such a request.
-	assert.Equal(t, len(restingOf(pool, "b")), 1)
-	assert.Assert(t, !pool.trust.Doubts(restingOf(pool, "b")[0].restedSince))
+	assert.Equal(t, len(idleOf(pool, "b")), 1)
+	assert.Assert(t, !pool.trust.Doubts(idleOf(pool, "b")[0].idleSince))
 }
 
-// TestRestDuringASilenceIsNotTrusted: a connection that was laid to rest while a
-// silent one was waited on may have gone silent with it, and is dropped; one that was
-// made since then stays, however many of the silent ones are noticed later.
+// TestRestDuringASilenceIsNotTrusted checks that a connection that became idle while a request
+// waited on a silent one is dropped, as it may have gone silent with it, and that one made since
+// then stays, however many of the silent ones are noticed later.
 func TestRestDuringASilenceIsNotTrusted(t *testing.T) {
 	s := serveOnce(t)
 	pool := NewPool(testNames)
-	rest(t, pool, s, "a", 2)
+	leaveIdle(t, pool, s, "a", 2)
 	var silent sync.WaitGroup
-	silent.Go(func() { _ = outlive(t, pool, s, "a") })
-	for len(restingOf(pool, "a")) > 1 {
+	silent.Go(func() { _ = timeOut(t, pool, s, "a") })
+	for len(idleOf(pool, "a")) > 1 {
 		time.Sleep(time.Millisecond)
 	}
-	late := restingOf(pool, "a")[0]
+	late := idleOf(pool, "a")[0]
 	silent.Wait()
 	assert.Equal(t, len(pool.idle["a"]), 0)
-	rest(t, pool, s, "a", 1)
-	pool.silent(late, link.Mute, "read answer", "a", errOver)
+	leaveIdle(t, pool, s, "a", 1)
+	pool.handleSilence(late, link.Mute, "read answer", "a", errOver)
 	assert.Equal(t, len(pool.idle["a"]), 1)
 }
 
-func restingOf(pool *Pool, runner string) []*connection {
+func idleOf(pool *Pool, runner string) []*connection {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	return pool.idle[runner]
 }
 
-// TestClientThatLeavesTellsNothing: a client that leaves without an answer, however
+// TestCanceledRequestIsNoSignOfSilence checks that a client that leaves without an answer, however
 // late, does not make connections distrusted.
-func TestClientThatLeavesTellsNothing(t *testing.T) {
+func TestCanceledRequestIsNoSignOfSilence(t *testing.T) {
 	s := serveOnce(t)
 	pool := NewPool(testNames)
-	rest(t, pool, s, "a", 3)
+	leaveIdle(t, pool, s, "a", 3)
 	ctx, leave := context.WithCancel(t.Context())
-	time.AfterFunc(muteLimit+50*time.Millisecond, leave)
+	time.AfterFunc(minMuteTime+50*time.Millisecond, leave)
 	call := s.call("left")
 	call.Runner = "a"
 	_, err := pool.Do(ctx, call)
@@ -174,10 +174,10 @@
 	assert.Equal(t, len(pool.idle["a"]), 2)
 }
 
-// TestNewSilentConnectionTellsNothing: a runner that gives no answer on a new
-// connection may only be slow.
-func TestNewSilentConnectionTellsNothing(t *testing.T) {
-	mute := serveScript(t, func(s *scripted, _ int, conn net.Conn) {
+// TestNewConnectionIsNoSignOfSilence checks that a runner that gives no answer on a new connection,
+// which may only be slow, does not make connections distrusted.
+func TestNewConnectionIsNoSignOfSilence(t *testing.T) {
+	mute := serveScript(t, func(s *scriptedRunner, _ int, conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		for {
 			if _, err := s.next(reader); err != nil {
@@ -187,21 +187,21 @@
 	})
 	s := serveOnce(t)
 	pool := NewPool(testNames)
-	rest(t, pool, s, "a", 2)
-	rest(t, pool, s, "b", 2)
+	leaveIdle(t, pool, s, "a", 2)
+	leaveIdle(t, pool, s, "b", 2)
 	pool.idle["a"], pool.idle["kept"] = nil, pool.idle["a"]
-	_ = outlive(t, pool, mute, "a")
-	_ = outlive(t, pool, mute, "c")
+	_ = timeOut(t, pool, mute, "a")
+	_ = timeOut(t, pool, mute, "c")
 	assert.Equal(t, len(pool.idle["kept"]), 2)
 	assert.Equal(t, len(pool.idle["b"]), 2)
 }
 
-// TestNothingIsSentForAClientThatLeft: not even a byte, however soon its
+// TestNothingIsSentForAClientThatLeft checks that not even a byte is sent, however soon the
 // connection would be closed.
 func TestNothingIsSentForAClientThatLeft(t *testing.T) {
 	s := serveOnce(t)
 	pool := NewPool(testNames)
-	rest(t, pool, s, "r", 1)
+	leaveIdle(t, pool, s, "r", 1)
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
 	for range 100 {
@@ -212,8 +212,8 @@
 	assert.Equal(t, s.requests.Load(), int32(1))
 }
 
-// TestConnectionAttemptEndsWithItsRequest: a runner that does not accept is not
-// waited for once the client left.
+// TestConnectionAttemptEndsWithItsRequest checks that a runner that does not accept is not waited
+// for once the client left.
 func TestConnectionAttemptEndsWithItsRequest(t *testing.T) {
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
@@ -222,10 +222,10 @@
 	assert.Assert(t, errors.Is(err, context.Canceled), "%v", err)
 }
 
-// TestSecondExchangeSendsWithTheShortBound: a connection whose first answer took
-// long sends its next request with the bound for sending.
+// TestSecondExchangeSendsWithTheShortBound checks that a connection whose first answer took long
+// sends its next request with the bound for sending.
 func TestSecondExchangeSendsWithTheShortBound(t *testing.T) {
-	s := serveScript(t, func(s *scripted, _ int, conn net.Conn) {
+	s := serveScript(t, func(s *scriptedRunner, _ int, conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		for {
 			id, err := s.next(reader)
@@ -241,17 +241,17 @@
 	pool := NewPool(testNames)
 	_, err := exchange(pool, s.call("slow"))
 	assert.NilError(t, err)
-	assert.Assert(t, pool.idle["r"][0].patient)
+	assert.Assert(t, pool.idle["r"][0].sendTimedOut)
 	_, err = exchange(pool, s.call("quick"))
 	assert.NilError(t, err)
-	assert.Assert(t, !pool.idle["r"][0].patient)
+	assert.Assert(t, !pool.idle["r"][0].sendTimedOut)
 	assert.Equal(t, s.accepted.Load(), int32(1))
 }
 
-// TestAnswerThatStopsTellsOfSilence: an answer that began and stopped is a sign, also
-// on a new connection.
+// TestAnswerThatStopsTellsOfSilence checks that an answer that began and stopped is a sign of
+// silence, also on a new connection.
 func TestAnswerThatStopsTellsOfSilence(t *testing.T) {
-	stopping := serveScript(t, func(s *scripted, _ int, conn net.Conn) {
+	stopping := serveScript(t, func(s *scriptedRunner, _ int, conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		_, err := s.next(reader)
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nX-Id: part\r\nContent-Length: 10\r\n\r\npart")
@@ -261,8 +261,8 @@
 	})
 	s := serveOnce(t)
 	pool := NewPool(testNames)
-	rest(t, pool, s, "a", 2)
-	ctx, cancel := context.WithTimeoutCause(t.Context(), muteLimit+100*time.Millisecond, errOver)
+	leaveIdle(t, pool, s, "a", 2)
+	ctx, cancel := context.WithTimeoutCause(t.Context(), minMuteTime+100*time.Millisecond, errOver)
 	defer cancel()
 	call := stopping.call("part")
 	call.Runner = "a"
--- a/internal/upstream/wrapped_test.go
+++ b/internal/upstream/wrapped_test.go
@@ -12,18 +12,18 @@
 	"lilacvane/internal/traffic"
 )
 
-// TestCountedConnectionsRest: what counts bytes around a connection hides neither that it
-// is quiet nor its bounds, so that it is used again.
-func TestCountedConnectionsRest(t *testing.T) {
+// TestMeteredConnectionsAreReused checks that a byte counter around a connection hides neither that
+// it is quiescent nor the limits set on it, so that it is used again.
+func TestMeteredConnectionsAreReused(t *testing.T) {
 	s := serveAll(t, "whole")
-	pool := NewPool(ownNames)
+	pool := NewPool(internalNames)
 	pool.Links = &link.Record{}
 	bytes := make(chan int, 64)
 	meter := traffic.NewMeter("north", func(_ traffic.Purpose, _ traffic.Direction, count int) { bytes <- count })
 	pool.Wrap = func(_ string, conn net.Conn) net.Conn { return meter.Connection(conn, place.Region("south")) }
 	client := &http.Client{Transport: pool}
 	for range 3 {
-		assert.NilError(t, question(t, client, s).Body.Close())
+		assert.NilError(t, post(t, client, s).Body.Close())
 	}
 	dialed := uint64(0)
 	pool.Links.Kinds(func(kind link.Kind, count uint64) {
