--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -276,7 +276,7 @@
 		j.dispatcher.Demand.Use(demand.Key{Service: service, Unit: j.request.Unit, Homes: j.query.Homes}, j.request.TokensIn)
 	}
 	j.deadline = j.answerDeadline()
-	j.dispatcher.retryBudget(service).Request()
+	j.dispatcher.retryBudget(service).RecordRequest()
 	ctx, cancel := context.WithDeadlineCause(ctx, j.deadline, errTimeout)
 	defer cancel()
 	ctx, stop := context.WithCancelCause(ctx)
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestBudgetKeepsItsBound: in every window, a node spends at most its part of the
-// slack and its share of the requests.
+// TestBudgetKeepsItsBound checks that in every window, a node spends at most its part of the slack
+// and its share of the requests.
 func TestBudgetKeepsItsBound(t *testing.T) {
 	limits := Limits{Ratio: 0.2, Slack: 54, Window: 10 * time.Second}
 	const nodes = 7
@@ -20,7 +20,7 @@
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "request") {
-				budget.Request()
+				budget.RecordRequest()
 				requests = append(requests, now)
 			}
 			if budget.Take() {
@@ -44,7 +44,7 @@
 	return count
 }
 
-// TestBudgetRefusesWhenSpent: retries end when the slack is gone.
+// TestBudgetRefusesWhenSpent checks that retries end when the slack is used up.
 func TestBudgetRefusesWhenSpent(t *testing.T) {
 	now := time.Unix(1000, 0)
 	budget := NewBudget(Limits{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}, 1, func() time.Time { return now })
--- a/internal/retry/fleet_test.go
+++ b/internal/retry/fleet_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// fleet is a service's budgets on many nodes, and what was spent in each tick.
+// fleet holds a service's budgets on many nodes, and what was requested and retried in each tick.
 type fleet struct {
 	now      time.Time
 	budgets  []*Budget
@@ -27,8 +27,7 @@
 	return f
 }
 
-// step lets a share of the nodes take one request each, all of which fail when
-// failing is set.
+// step sends one request to each of a share of the nodes; all of them fail if failing is set.
 func (f *fleet) step(share float64, failing bool) {
 	f.now = f.now.Add(tick)
 	requests, retries := 0, 0
@@ -37,7 +36,7 @@
 			break
 		}
 		requests++
-		budget.Request()
+		budget.RecordRequest()
 		if failing && budget.Take() {
 			retries++
 		}
@@ -46,7 +45,7 @@
 	f.retries = append(f.retries, retries)
 }
 
-// check fails when some window saw more retries than its requests allow.
+// check fails when some window had more retries than its requests allow.
 func (f *fleet) check(t *testing.T, limits Limits) {
 	t.Helper()
 	window := int(limits.Window / tick)
@@ -60,10 +59,10 @@
 	}
 }
 
-// TestFleetKeepsItsBound: however many nodes share a budget, and also when all
-// requests of a service fail at once after a long calm, no window sees more
-// retries than allowed, and there are some. It failed first for 300 nodes: with a
-// part of less than one retry, no node ever sent a request again.
+// TestFleetKeepsItsBound checks that however many nodes share a budget, and also when all requests
+// of a service fail at once after a long calm, no window has more retries than allowed, and there
+// are some. It first failed for 300 nodes: with a part of less than one retry, no node ever sent a
+// request again.
 func TestFleetKeepsItsBound(t *testing.T) {
 	limits := Limits{Ratio: 0.2, Slack: 54, Window: 10 * time.Second}
 	for _, nodes := range []int{1, 7, 40, 73, 100, 300, 2100} {
