--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -128,7 +128,7 @@
 	attempt.result, attempt.failure, attempt.err = j.checkTakeover(attempt.choice, answer, after != "")
 	if attempt.err == nil {
 		// Some runners send the head of an answer before they have accepted the request.
-		if err := answer.Await(); err != nil {
+		if err := answer.AwaitBody(); err != nil {
 			attempt.result, attempt.err = j.noAnswerResult(attempt.ctx, err)
 		}
 	}
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -95,7 +95,7 @@
 func breaksOff(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 // TestSilentRunnerIsKeptUntilAnotherAnswers checks that whichever of a silent runner and its hedge
-// answers first serves the request, and that a failure of the other one does no harm.
+// answers first serves the request, and that what the other one does has no effect.
 func TestSilentRunnerIsKeptUntilAnotherAnswers(t *testing.T) {
 	const late = 3 * minSilence
 	never := after(time.Hour, refuses)
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -206,8 +206,8 @@
 	}
 }
 
-// Await waits until the first byte of the body has arrived, if there is a body.
-func (a *Answer) Await() error {
+// AwaitBody waits until the first byte of the body has arrived, if there is a body.
+func (a *Answer) AwaitBody() error {
 	if a.Length == 0 {
 		return nil
 	}
