--- a/internal/eligible/callers_test.go
+++ b/internal/eligible/callers_test.go
@@ -19,7 +19,7 @@
 var readers = map[string]string{
 	"internal/eligible/eligible.go":  "decides",
 	"internal/fleet/choose.go":       "hands it to Check",
-	"internal/fleet/keep.go":         "decides what is kept of the list, sends nothing",
+	"internal/fleet/retention.go":    "decides which runners are tracked, sends nothing",
 	"internal/fleet/statements.go":   "joins the list's word and the runner's, for Check",
 	"internal/control/eligible.go":   "hands it to Check",
 	"internal/control/state.go":      "hands Check's answer to the plan",
@@ -33,7 +33,7 @@
 	"internal/node/zonestatus.go":    "tells it to operators",
 	"internal/node/figures.go":       "counts it for operators",
 	"internal/figures/runners.go":    "counts it for operators",
-	"internal/fleet/standing.go":     "counts it for operators",
+	"internal/fleet/state_counts.go": "counts it for operators",
 	"internal/crash/detector.go":     "tells an end by plan from a crash",
 	"internal/command/fleet.go":      "prints it for operators",
 }
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -10,8 +10,9 @@
 	"lilacvane/internal/place"
 )
 
-// largeFleet is a fleet in which one runner in ten holds each of ten models. Its runners
-// may be cold and its zones may have come back, as those of a node, but none did.
+// largeFleet returns a fleet in which each of ten models is held by one runner in ten. As on a
+// real node, cold starts and returned zones are set up, but no runner is cold and no zone was
+// returned.
 func largeFleet(size int) *Fleet {
 	f := New("zone-a", time.Now, noRules{})
 	services, returns := map[string]float64{"s": 6.9}, map[place.Zone]time.Time{}
@@ -29,7 +30,7 @@
 	return f
 }
 
-// BenchmarkChoose: the choice among 1,000 runners of which one in ten holds the unit.
+// BenchmarkChoose measures a choice among 1,000 runners of which one in ten holds the unit.
 func BenchmarkChoose(b *testing.B) {
 	f := largeFleet(1000)
 	query := Query{Service: "s", Unit: backend.Unit{Model: "m3"}}
@@ -43,7 +44,8 @@
 	}
 }
 
-// BenchmarkChooseNone: the look at 10,000 runners of which none may take a request.
+// BenchmarkChooseNone measures a choice among 10,000 runners of which none may take the
+// request.
 func BenchmarkChooseNone(b *testing.B) {
 	f := largeFleet(10_000)
 	query := Query{Service: "s", Unit: backend.Unit{Model: "none"}}
@@ -53,7 +55,8 @@
 	}
 }
 
-// BenchmarkObstacles: why none of 10,000 runners may take a request, asked anew each time.
+// BenchmarkObstacles measures finding out why none of 10,000 runners may take a request,
+// without the cache.
 func BenchmarkObstacles(b *testing.B) {
 	f := largeFleet(10_000)
 	query := Query{Service: "s", Unit: backend.Unit{Model: "none"}}
--- a/internal/fleet/choose.go
+++ b/internal/fleet/choose.go
@@ -11,70 +11,70 @@
 	"lilacvane/internal/place"
 )
 
-// Costs of choosing a runner, in milliseconds of expected delay.
+// Costs by which a runner is chosen, in milliseconds of expected delay.
 const (
-	// prefillTokensPerMillisecond is how fast a runner is expected to read a
-	// prompt.
+	// prefillTokensPerMillisecond is the expected speed at which a runner reads a prompt.
 	prefillTokensPerMillisecond = 35.0
 	costPerRequest              = 4.0
 	costWhenFull                = 400.0
 	costOtherZone               = 2.0
 	costMissing                 = 20_000.0
-	// tieSpread is the random part of a cost, so that nodes with the same
-	// beliefs do not all choose the same runner.
-	tieSpread = 1.0
+	// tieJitter is the random part of a cost, so that nodes with the same information do not
+	// all choose the same runner.
+	tieJitter = 1.0
 )
 
-// Query describes a request to be placed.
+// Query describes a request for which a runner is needed.
 type Query struct {
 	Service string
 	// Unit is empty for services that are not engines.
 	Unit backend.Unit
-	// Prompt are the parts of the prompt, in order.
+	// Prompt lists the parts of the prompt in order.
 	Prompt []Part
-	// Homes are the regions in which alone the request may be served.
+	// Homes are the only regions in which the request may be served.
 	Homes place.Homes
-	// Priority is the request's rank, 0 first: the more urgent, the less it is one that
-	// warms a cold runner.
+	// Priority is the rank of the request; 0 is the most urgent. The more urgent a request,
+	// the less likely it is sent to a cold runner.
 	Priority int
-	// Objective is the time of a prompt answer's first byte; zero where none is told.
+	// Objective is the time within which the first byte of the answer is due; zero if none is
+	// set.
 	Objective time.Duration
-	// Exclude are runners that were tried already.
+	// Exclude lists the runners that were tried already.
 	Exclude []string
-	// Among bounds the choice to these runners; not set for all.
+	// Among restricts the choice to these runners; nil allows all.
 	Among []string
 }
 
-// Choice is the runner chosen for a request, and why.
+// Choice is the runner chosen for a request, with the figures that led to it.
 type Choice struct {
 	Runner backend.Runner
 	// Cost is the expected delay in milliseconds.
 	Cost float64
-	// KeptTokens is how much of the prompt the runner is believed to keep, and
-	// UnreadTokens how much it has to read.
+	// KeptTokens is how many tokens of the prompt the runner is believed to have cached;
+	// UnreadTokens is how many it still has to read.
 	KeptTokens   int
 	UnreadTokens int
-	// InFlight is this node's requests at the runner before this one.
+	// InFlight is the number of this node's requests at the runner before this one.
 	InFlight int
-	// Candidates is how many runners could have been chosen.
+	// Candidates is the number of runners that could have been chosen.
 	Candidates int
-	// Full is set when all slots of the runner are believed taken.
+	// Full is set if all slots of the runner are believed to be taken.
 	Full bool
-	// begun is when the request was counted there, prompt the time within which its
-	// answer is to begin; zero where none is told.
-	begun  time.Time
-	prompt time.Duration
-	// permitUntil is until when the permit holds that was spent on the request; zero
-	// where the runner needed none.
+	// startedAt is when the request was counted as in flight; objective is the time within
+	// which its answer should begin, zero if none is set.
+	startedAt time.Time
+	objective time.Duration
+	// permitUntil is when the permit spent on the request expires; zero if the runner needed
+	// none.
 	permitUntil time.Time
 }
 
-// Choose returns the runner with the least expected delay, and counts the
-// request as under way there until Done is called.
+// Choose returns the runner with the lowest expected delay and counts the request as in flight
+// there until Done is called.
 func (f *Fleet) Choose(query Query) (Choice, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.sweep()
+	f.forgetDeparted()
 	choices := f.choices(query)
 	if len(choices) == 0 {
 		return Choice{}, false
@@ -83,13 +83,14 @@
 	chosen := f.runners[best.Runner.ID]
 	best.Candidates = len(choices)
 	best.InFlight = chosen.inFlight
-	best.begun, best.prompt = f.now(), query.Objective
+	best.startedAt, best.objective = f.now(), query.Objective
 	best.permitUntil = f.spendPermit(chosen)
-	f.begin(chosen, query, best)
+	f.recordStart(chosen, query, best)
 	return best, true
 }
 
-// choices returns the runners that a request may be sent to. mutex is held.
+// choices returns the runners to which a request may be sent, with their costs. mutex must be
+// held.
 func (f *Fleet) choices(query Query) []Choice {
 	var feasible []*runner
 	for _, known := range f.runners {
@@ -97,22 +98,22 @@
 			feasible = append(feasible, known)
 		}
 	}
-	last, apart := lastKept(feasible)
+	limit, split := shortPoolLimit(feasible)
 	drawn := rand.Float64()
 	choices := make([]Choice, 0, len(feasible))
-	fitting := make([]bool, 0, len(feasible))
+	preferred := make([]bool, 0, len(feasible))
 	for _, known := range feasible {
 		choice := f.rank(known, query)
 		zoneCost := f.zoneCost(known, drawn)
 		choice.Cost += zoneCost
-		fits := !apart || query.Unit == (backend.Unit{}) || !f.mixes(known, choice.UnreadTokens, last)
+		fits := !split || query.Unit == (backend.Unit{}) || !f.mixesPromptLengths(known, choice.UnreadTokens, limit)
 		if !fits {
-			choice.Cost += costOfMixing
+			choice.Cost += costMixedPrompts
 		}
 		choices = append(choices, choice)
-		fitting = append(fitting, fits && zoneCost == 0)
+		preferred = append(preferred, fits && zoneCost == 0)
 	}
-	f.preferShared(choices, query, fitting)
+	f.preferPrefixRunner(choices, query, preferred)
 	if query.Among == nil {
 		return choices
 	}
@@ -121,18 +122,18 @@
 
 func compareChoices(a, b Choice) int { return cmp.Compare(a.Cost, b.Cost) }
 
-// Candidates returns the runners of which a request is best sent to one, count at
-// most, best first by what this node knows; none where there is no choice. Where several
-// in this node's region have places, no others are among them.
+// Candidates returns at most count runners to which a request could be sent, best first as far
+// as this node knows; nil if there is no choice between several. If more than one runner of
+// this node's region has free slots, only such runners are returned.
 func (f *Fleet) Candidates(query Query, count int) []backend.Runner {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.sweep()
+	f.forgetDeparted()
 	choices := f.choices(query)
 	if len(choices) < 2 {
 		return nil
 	}
-	if near := f.nearWithPlaces(choices); len(near) > 1 {
+	if near := f.localWithFreeSlots(choices); len(near) > 1 {
 		choices = near
 	}
 	slices.SortFunc(choices, compareChoices)
@@ -143,11 +144,11 @@
 	return candidates
 }
 
-// nearWithPlaces returns the choices in this node's region that are not full.
-func (f *Fleet) nearWithPlaces(choices []Choice) []Choice {
+// localWithFreeSlots returns the choices in this node's region that are not full.
+func (f *Fleet) localWithFreeSlots(choices []Choice) []Choice {
 	near := make([]Choice, 0, len(choices))
 	for _, choice := range choices {
-		if f.ways.near(&choice.Runner) && !choice.Full {
+		if f.latencies.isLocal(&choice.Runner) && !choice.Full {
 			near = append(near, choice)
 		}
 	}
@@ -156,53 +157,55 @@
 
 // feasible reports whether a request may be sent to a runner at all.
 func (f *Fleet) feasible(known *runner, query Query) bool {
-	return f.hinders(known, query) == unhindered
+	return f.blockedBy(known, query) == unblocked
 }
 
-// hinders says why a request may not be sent to a runner, or that it may. mutex is held.
-func (f *Fleet) hinders(known *runner, query Query) Reason {
-	if reason := f.eligible(known, request(query)); reason != eligible.Yes {
+// blockedBy returns why a request may not be sent to a runner, or unblocked. mutex must be
+// held.
+func (f *Fleet) blockedBy(known *runner, query Query) Reason {
+	if reason := f.eligibility(known, request(query)); reason != eligible.Yes {
 		return Reason(reason)
 	}
 	if slices.Contains(query.Exclude, known.listed.ID) {
 		return AlreadyTried
 	}
-	return f.serves(known, query.Unit)
+	return f.unitBlockedBy(known, query.Unit)
 }
 
-// serves says why a runner is not believed to serve a unit, or that it is. mutex is held.
-func (f *Fleet) serves(known *runner, unit backend.Unit) Reason {
+// unitBlockedBy returns why a runner is believed not to serve a unit, or unblocked. mutex must
+// be held.
+func (f *Fleet) unitBlockedBy(known *runner, unit backend.Unit) Reason {
 	switch {
 	case unit == backend.Unit{}:
-		return unhindered
+		return unblocked
 	case !f.holds(known, unit):
 		return UnitNotHeld
 	case f.silent(known):
 		return RunnerSilent
 	default:
-		return unhindered
+		return unblocked
 	}
 }
 
-// eligible says whether something may go to a runner now.
-func (f *Fleet) eligible(known *runner, purpose eligible.Purpose) eligible.Reason {
-	return f.check(known, purpose, f.permit(known), f.takesNoMore(known))
+// eligibility returns whether something may be sent to a runner now, and if not, why.
+func (f *Fleet) eligibility(known *runner, purpose eligible.Purpose) eligible.Reason {
+	return f.eligibilityWith(known, purpose, f.hasPermit(known), f.isResting(known))
 }
 
-// check is eligible for a runner to which one request may go, or not, if it is cold, and which
-// rests or not.
-func (f *Fleet) check(known *runner, purpose eligible.Purpose, permit, resting bool) eligible.Reason {
+// eligibilityWith is eligibility with the permit and the rest given: permit is set if the
+// runner needs no permit or there is one, resting if the runner takes nothing more now.
+func (f *Fleet) eligibilityWith(known *runner, purpose eligible.Purpose, permit, resting bool) eligible.Reason {
 	listed := &known.listed
 	return eligible.Check(f.rules, &eligible.Runner{
 		ID: listed.Name(), Service: listed.Service, Zone: place.Zone(listed.Zone), Region: place.Region(listed.Region),
-		Listed: known.present || listed.Missing, Draining: f.leaves(known), Resting: resting, Permit: permit, Limited: f.limited(known),
+		Listed: known.present || listed.Missing, Draining: f.isDraining(known), Resting: resting, Permit: permit, Limited: f.limited(known),
 	}, purpose)
 }
 
 // rank estimates the delay of a request at a runner.
 func (f *Fleet) rank(known *runner, query Query) Choice {
 	choice := Choice{Runner: known.listed}
-	running := known.told.estimate(f.now(), known.inFlight)
+	running := known.load.estimate(f.now(), known.inFlight)
 	work := 0.0
 	if query.Unit == (backend.Unit{}) {
 		work = max(known.latency, 1) * float64(running+1) / float64(max(known.listed.Slots, 1))
@@ -210,25 +213,25 @@
 		total, kept := known.prompts.match(query.Unit, query.Prompt, f.now())
 		choice.KeptTokens = kept
 		choice.UnreadTokens = total - kept
-		queued := max(known.told.queued(f.now(), known.prefill, f.meanUnread), known.prefill)
+		queued := max(known.load.queued(f.now(), known.prefill, f.meanUnread), known.prefill)
 		work = float64(choice.UnreadTokens+queued)/prefillTokensPerMillisecond + float64(running)*costPerRequest
 	}
-	cost := rand.Float64()*tieSpread + work*known.told.factor(f.now())
+	cost := rand.Float64()*tieJitter + work*known.load.factor(f.now())
 	if known.listed.Slots > 0 && running >= known.listed.Slots {
 		choice.Full = true
 		cost += costWhenFull * float64(running-known.listed.Slots+1)
 	}
-	cost += f.costOfWay(&known.listed)
+	cost += f.locationCost(&known.listed)
 	if known.listed.Missing {
 		cost += costMissing
 	}
 	cost += known.health.penalty(f.now())
-	cost += f.costOfCold(known, query)
+	cost += f.coldCost(known, query)
 	choice.Cost = cost
 	return choice
 }
 
-func (f *Fleet) begin(known *runner, query Query, choice Choice) {
+func (f *Fleet) recordStart(known *runner, query Query, choice Choice) {
 	known.inFlight++
 	known.unanswered++
 	if query.Unit == (backend.Unit{}) {
@@ -243,40 +246,38 @@
 	known.prompts.add(query.Unit, query.Prompt, f.now())
 }
 
-// Started notes that the runner began to answer a request for a unit: its prompt
-// has been read.
+// Started records that a runner began to answer a request: it has read the prompt.
 func (f *Fleet) Started(choice Choice) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if known := f.runners[choice.Runner.ID]; known != nil {
 		known.answeredAt = f.now()
 		known.unanswered--
-		known.cold.Answered(choice.prompt == 0 || f.now().Sub(choice.begun) <= choice.prompt)
+		known.cold.Answered(choice.objective == 0 || f.now().Sub(choice.startedAt) <= choice.objective)
 		known.prefill = max(known.prefill-choice.UnreadTokens, 0)
 	}
 }
 
-// Result is how an attempt at a runner ended.
+// Result is the outcome of an attempt at a runner.
 type Result uint8
 
 // The results.
 const (
 	// Served means that the runner answered.
 	Served Result = iota
-	// Failed means that the runner failed the request or broke off.
+	// Failed means that the runner failed the request or broke off the answer.
 	Failed
-	// Busy means that the runner stated that it did not run the request.
+	// Busy means that the runner reported that it did not run the request.
 	Busy
-	// NotHeld means that the runner stated that it does not hold the unit.
+	// NotHeld means that the runner reported that it does not hold the unit.
 	NotHeld
 	// Unreachable means that no connection could be made.
 	Unreachable
-	// Canceled means that the attempt was ended from this side.
+	// Canceled means that this node ended the attempt.
 	Canceled
 )
 
-// Done notes the end of an attempt. started tells whether Started was called for
-// it.
+// Done records the end of an attempt; started is set if Started was called for it.
 func (f *Fleet) Done(choice Choice, query Query, result Result, elapsed time.Duration, started bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -297,15 +298,15 @@
 		}
 	}
 	if result == Served && !started {
-		known.cold.Answered(choice.prompt == 0 || elapsed <= choice.prompt)
+		known.cold.Answered(choice.objective == 0 || elapsed <= choice.objective)
 	}
-	f.learn(known, query, result, elapsed)
+	f.recordResult(known, query, result, elapsed)
 	if known.inFlight == 0 && !known.present {
-		f.sweep()
+		f.forgetDeparted()
 	}
 }
 
-func (f *Fleet) learn(known *runner, query Query, result Result, elapsed time.Duration) {
+func (f *Fleet) recordResult(known *runner, query Query, result Result, elapsed time.Duration) {
 	now := f.now()
 	switch result {
 	case Served:
@@ -316,39 +317,39 @@
 		known.health.failure(now)
 		known.prompts.clear()
 	case Unreachable:
-		known.health.lost(now)
+		known.health.unreachable(now)
 	case Busy:
 		known.answeredAt = now
 		known.health.failure(now)
-		if !f.noteRest(known) {
-			known.refuse(query.Unit, now)
+		if !f.recordRest(known) {
+			known.recordRefusal(query.Unit, now)
 		}
 	case NotHeld:
 		known.answeredAt = now
-		known.refuse(query.Unit, now)
+		known.recordRefusal(query.Unit, now)
 	case Canceled:
 	}
 }
 
-// refuse notes that the runner refused a request for a unit.
-func (r *runner) refuse(unit backend.Unit, now time.Time) {
+// recordRefusal records that the runner refused a request for a unit.
+func (r *runner) recordRefusal(unit backend.Unit, now time.Time) {
 	if r.refused == nil {
 		r.refused = make(map[backend.Unit]time.Time)
 	}
 	r.refused[unit] = now.Add(RefusalPause)
 }
 
-// Reported notes the load that a runner told when it was asked.
+// ObserveReport records the load from a report that a runner gave when asked.
 func (f *Fleet) Reported(id string, report backend.Report) {
 	f.Told(id, backend.Workload{Running: report.Active, Waiting: report.Queued, Slowness: report.Slowness})
 }
 
-// Told notes the load a runner told in an answer.
+// ObserveWorkload records the load that a runner stated in an answer.
 func (f *Fleet) Told(id string, load backend.Workload) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if known := f.runners[id]; known != nil {
-		known.told = toldLoad{running: load.Running, waiting: load.Waiting, slowness: load.Slowness, own: known.inFlight, prefill: known.prefill, at: f.now()}
+		known.load = reportedLoad{running: load.Running, waiting: load.Waiting, slowness: load.Slowness, own: known.inFlight, prefill: known.prefill, at: f.now()}
 	}
 }
 
--- a/internal/fleet/cold_test.go
+++ b/internal/fleet/cold_test.go
@@ -16,7 +16,7 @@
 	coldQuery = Query{Service: "s", Unit: backend.Unit{Model: "m"}}
 )
 
-// coldFleet knows the runners listed, of a service whose runners may be cold.
+// coldFleet returns a fleet of the given runners, of a service whose runners may be cold.
 func coldFleet(runners ...backend.Runner) (*Fleet, *clock) {
 	f, c := testFleet()
 	f.SetColdStarts(ColdStarts{Terms: func(string) coldstart.Terms { return coldTerms }})
@@ -24,7 +24,7 @@
 	return f, c
 }
 
-// coldFor is a runner whose row says that it is cold for a time.
+// coldFor returns a runner whose row says that it stays cold for that time.
 func coldFor(runner backend.Runner, left time.Duration) backend.Runner {
 	runner.ColdFor = left
 	return runner
@@ -34,7 +34,8 @@
 	f.ApplyPermits([]PermitsLent{{Runner: runner, Count: count}}, c.now)
 }
 
-// TestColdRunnerNeedsAPermit: each request sent takes one, and none goes without.
+// TestColdRunnerNeedsAPermit checks that each request sent to a cold runner takes a permit and
+// none is sent without.
 func TestColdRunnerNeedsAPermit(t *testing.T) {
 	f, c := coldFleet(coldFor(listed("r1", "m"), 2*time.Second))
 	_, ok := f.Choose(coldQuery)
@@ -46,9 +47,9 @@
 	select {
 	case <-changed:
 	default:
-		t.Fatal("nobody was woken")
+		t.Fatal("waiting requests were not woken")
 	}
-	assert.Equal(t, len(f.PermitsWanted("s", coldQuery.Unit, place.Homes{}, 2)), 0, "there are permits")
+	assert.Equal(t, len(f.PermitsWanted("s", coldQuery.Unit, place.Homes{}, 2)), 0, "there are permits left")
 	for range 2 {
 		_, ok = f.Choose(coldQuery)
 		assert.Assert(t, ok)
@@ -57,13 +58,14 @@
 	assert.Assert(t, !ok)
 	c.now = c.now.Add(2 * time.Second)
 	_, ok = f.Choose(coldQuery)
-	assert.Assert(t, ok, "it is warm")
+	assert.Assert(t, ok, "the runner is warm")
 	figures := f.ColdFigures()
 	assert.DeepEqual(t, figures, ColdFigures{Lent: 2, Spent: 2, Refused: 1})
 }
 
-// TestWarmRunnersServeInPlaceOfACold: where one holds the model too, a cold one is not
-// waited for, and is the dearer choice with a permit, the more so for the more urgent.
+// TestWarmRunnersServeInPlaceOfACold checks that a request does not wait for a cold runner
+// while a warm one holds the model. Even with a permit the cold one costs more, and the more
+// urgent the request the more so.
 func TestWarmRunnersServeInPlaceOfACold(t *testing.T) {
 	f, c := coldFleet(coldFor(listed("r2", "m"), 2*time.Second), listed("r1", "m"))
 	choice, ok := f.Choose(coldQuery)
@@ -75,11 +77,11 @@
 	patient := coldQuery
 	patient.Priority = 500
 	choice, _ = f.Choose(patient)
-	assert.Equal(t, choice.Runner.ID, "r2", "it warms the runner")
+	assert.Equal(t, choice.Runner.ID, "r2", "a patient request warms the runner")
 }
 
-// TestColdAgainAndAgain: a later row's word counts, a row that was heard before does not
-// count anew, and no row at all makes a runner cold where none is.
+// TestColdAgainAndAgain checks that the cold state of a newer row counts, that a row applied
+// before does not count again, and that no row makes a runner cold where the terms allow none.
 func TestColdAgainAndAgain(t *testing.T) {
 	f, c := coldFleet(listed("r1", "m"))
 	for revision := uint64(1); revision <= 3; revision++ {
@@ -99,7 +101,8 @@
 	assert.Assert(t, ok)
 }
 
-// TestNewcomerIsCold: one that came while the node ran, until a later row says otherwise.
+// TestNewcomerIsCold checks that a runner first listed while the node runs is cold until a
+// later row says otherwise.
 func TestNewcomerIsCold(t *testing.T) {
 	f, _ := coldFleet(listed("r1"))
 	f.Apply([]backend.Runner{listed("r2", "m")}, nil, false)
@@ -110,7 +113,8 @@
 	assert.Assert(t, ok)
 }
 
-// TestRelistedRunnerIsNoNewcomer: a row that vanished and came back is believed, for a while.
+// TestRelistedRunnerIsNoNewcomer checks that the row of a runner that vanished and came back
+// is believed, for a limited time.
 func TestRelistedRunnerIsNoNewcomer(t *testing.T) {
 	f, c := coldFleet(listed("r1", "m"))
 	f.Apply(nil, []string{"r1"}, false)
@@ -121,16 +125,17 @@
 	f.Replace(nil, false)
 	f.Done(Choice{Runner: listed("r1")}, coldQuery, Served, 0, true)
 	assert.Assert(t, !f.Known("r1"))
-	c.now = c.now.Add(leftLifetime + time.Second)
+	c.now = c.now.Add(departureLifetime + time.Second)
 	f.Apply([]backend.Runner{listed("r2")}, nil, false)
 	f.Apply(nil, []string{"r2"}, false)
-	assert.Equal(t, len(f.left), 1, "only the last is remembered")
+	assert.Equal(t, len(f.departedAt), 1, "only the last departure is remembered")
 	f.Apply([]backend.Runner{listed("r1", "m")}, nil, false)
 	_, ok = f.Choose(coldQuery)
 	assert.Assert(t, !ok)
 }
 
-// TestReturnedZoneIsCold: its runners are cold until their rows say otherwise.
+// TestReturnedZoneIsCold checks that the runners of a zone that was put back are cold for the
+// usual duration of a cold start.
 func TestReturnedZoneIsCold(t *testing.T) {
 	f, c := testFleet()
 	var returned time.Time
@@ -150,8 +155,9 @@
 	assert.Assert(t, ok)
 }
 
-// TestPermitIsExpectedInTime: by what the holder told, not later than the runner is warm,
-// and not before somebody lends at all.
+// TestPermitIsExpectedInTime checks that the expected time of a permit follows what the holder
+// stated, is not later than when the runner is warm, and not earlier than a holder lends at
+// all.
 func TestPermitIsExpectedInTime(t *testing.T) {
 	f, c := coldFleet(coldFor(listed("r1", "m"), 2*time.Second))
 	in, known := f.PermitIn(coldQuery)
@@ -166,8 +172,9 @@
 	assert.Assert(t, !known)
 }
 
-// TestPermitsAreWantedNearFirst: as many as wait, spread over the holders of the model,
-// those first that are near and that the holder expects to lend for.
+// TestPermitsAreWantedNearFirst checks that as many permits are requested as requests wait,
+// spread over the runners that hold the model: first the near ones, last those for which the
+// holder lends later.
 func TestPermitsAreWantedNearFirst(t *testing.T) {
 	far := coldFor(listed("far", "m"), time.Minute)
 	far.Zone = "zone-b"
@@ -180,10 +187,10 @@
 	} {
 		assert.DeepEqual(t, f.PermitsWanted("s", coldQuery.Unit, place.Homes{}, count), wanted)
 	}
-	assert.Equal(t, len(f.PermitsWanted("s", backend.Unit{Model: "other"}, place.Homes{}, 3)), 0, "a warm runner holds it")
+	assert.Equal(t, len(f.PermitsWanted("s", backend.Unit{Model: "other"}, place.Homes{}, 3)), 0, "a warm runner holds the unit")
 }
 
-// TestQuestionsTakeNoPermit: asking for candidates sends nothing.
+// TestQuestionsTakeNoPermit checks that asking for candidates spends no permit.
 func TestQuestionsTakeNoPermit(t *testing.T) {
 	f, c := coldFleet(coldFor(listed("r1", "m"), 2*time.Second), listed("r2", "m"))
 	lend(f, c, "r1", 1)
@@ -193,8 +200,8 @@
 	assert.Equal(t, f.ColdFigures().Spent, uint64(0))
 }
 
-// TestShareGrowsAfterTheCold: a runner that was cold just now does not attract all that
-// comes for its empty queue.
+// TestShareGrowsAfterTheCold checks that a runner that was just cold does not attract all
+// requests because its queue is empty.
 func TestShareGrowsAfterTheCold(t *testing.T) {
 	f, c := coldFleet(coldFor(listed("r1", "m"), time.Second), listed("r2", "m"))
 	c.now = c.now.Add(time.Second)
@@ -208,7 +215,8 @@
 	assert.Equal(t, at["r1"], 1)
 }
 
-// TestColdNews: each becoming cold and warm is told once, and what waits is woken.
+// TestColdNews checks that each change to cold or warm is returned once and that waiting
+// requests are woken.
 func TestColdNews(t *testing.T) {
 	f, c := coldFleet(coldFor(listed("r1", "m"), 2*time.Second), listed("r2", "m"))
 	news, next := f.TakeColdNews()
@@ -225,14 +233,14 @@
 	select {
 	case <-changed:
 	default:
-		t.Fatal("nobody was woken")
+		t.Fatal("waiting requests were not woken")
 	}
 	news, _ = f.TakeColdNews()
 	assert.Equal(t, len(news), 0)
 }
 
-// TestPermitsAreAskedForInHomes: for requests with homes of the runners there alone, how
-// near others may be.
+// TestPermitsAreAskedForInHomes checks that requests with homes ask for permits of the runners
+// there only, even if others are nearer.
 func TestPermitsAreAskedForInHomes(t *testing.T) {
 	near, far := coldFor(listed("r1", "m"), 2*time.Second), coldFor(listed("r2", "m"), 2*time.Second)
 	near.Region, far.Region, far.Zone = "north", "south", "zone-far"
@@ -241,8 +249,8 @@
 	assert.Equal(t, len(f.PermitsWanted("s", coldQuery.Unit, place.Homes{}, 3)), 2)
 }
 
-// TestReservedColdRunnerKeepsItsPermit: what was spent when it was chosen is for the request
-// that goes on there, once, and until the permit has run out.
+// TestReservedColdRunnerKeepsItsPermit checks that the permit spent when a runner was chosen
+// lets that request proceed, until the permit expires.
 func TestReservedColdRunnerKeepsItsPermit(t *testing.T) {
 	f, c := coldFleet(coldFor(listed("r1", "m"), time.Minute))
 	lend(f, c, "r1", 1)
@@ -253,12 +261,13 @@
 	c.now = c.now.Add(time.Millisecond)
 	assert.Assert(t, !f.Allowed(choice, coldQuery))
 	lend(f, c, "r1", 1)
-	assert.Assert(t, !f.Allowed(choice, coldQuery), "the new permit is another request's")
+	assert.Assert(t, !f.Allowed(choice, coldQuery), "the new permit belongs to another request")
 	_, ok = f.Choose(coldQuery)
 	assert.Assert(t, ok)
 }
 
-// TestReservedRunnerThatBecameCold: no permit was spent for it, so it gets nothing.
+// TestReservedRunnerThatBecameCold checks that a request is not sent to a runner that became
+// cold after it was chosen, as no permit was spent.
 func TestReservedRunnerThatBecameCold(t *testing.T) {
 	f, c := coldFleet(listed("r1", "m"))
 	choice, ok := f.Choose(coldQuery)
@@ -268,13 +277,13 @@
 	f.Apply([]backend.Runner{row}, nil, false)
 	assert.Assert(t, !f.Allowed(choice, coldQuery))
 	lend(f, c, "r1", 1)
-	assert.Assert(t, !f.Allowed(choice, coldQuery), "the permit is another request's")
+	assert.Assert(t, !f.Allowed(choice, coldQuery), "the permit belongs to another request")
 	_, ok = f.Choose(coldQuery)
 	assert.Assert(t, ok)
 }
 
-// TestPermitOfARequestThatWasNotSentIsGivenBack: to what waits for one, for as long as it
-// would have held.
+// TestPermitOfARequestThatWasNotSentIsGivenBack checks that an unused permit goes back to the
+// waiting requests, with its original expiry.
 func TestPermitOfARequestThatWasNotSentIsGivenBack(t *testing.T) {
 	f, c := coldFleet(coldFor(listed("r1", "m"), time.Minute))
 	lend(f, c, "r1", 1)
@@ -285,15 +294,15 @@
 	select {
 	case <-changed:
 	default:
-		t.Fatal("nobody was woken")
+		t.Fatal("waiting requests were not woken")
 	}
 	assert.Equal(t, f.ColdFigures().Spent, uint64(0))
 	choice, ok = f.Choose(coldQuery)
 	assert.Assert(t, ok)
 	_, ok = f.Choose(coldQuery)
-	assert.Assert(t, !ok, "one came back, not more")
+	assert.Assert(t, !ok, "only one permit was returned")
 	c.now = c.now.Add(coldstart.Validity)
 	f.Release(choice, coldQuery)
 	_, ok = f.Choose(coldQuery)
-	assert.Assert(t, !ok, "it has run out")
+	assert.Assert(t, !ok, "the permit has expired")
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -11,7 +11,7 @@
 	"lilacvane/internal/place"
 )
 
-// clock is a clock that a test moves.
+// clock is a manual clock.
 type clock struct{ now time.Time }
 
 func (c *clock) read() time.Time { return c.now }
@@ -29,8 +29,8 @@
 	return runner
 }
 
-// TestKeptPromptAttractsRequests: a request that shares a prompt goes where it is
-// believed kept, until that runner has more to do than the prompt is worth.
+// TestKeptPromptAttractsRequests checks that a request that shares a prompt goes to the runner
+// believed to have it cached, until that runner has more work than the cached prompt saves.
 func TestKeptPromptAttractsRequests(t *testing.T) {
 	f, _ := testFleet()
 	f.Replace([]backend.Runner{listed("r1", "m"), listed("r2", "m"), listed("r3", "m")}, false)
@@ -54,9 +54,9 @@
 	t.Fatal("all requests went to one runner")
 }
 
-// TestMissingRunnersAreLastChoice: runners that vanished after a time without the
-// platform are used when nothing else is left, for a while; those whose loss is
-// told are not.
+// TestMissingRunnersAreLastChoice checks that runners which vanished while the platform could
+// not be reached are used for a while if nothing else is left. Runners that are reported as
+// removed are not.
 func TestMissingRunnersAreLastChoice(t *testing.T) {
 	f, c := testFleet()
 	query := Query{Service: "s"}
@@ -74,8 +74,8 @@
 	assert.Assert(t, !ok)
 }
 
-// TestHolderIsBelievedBeforeTheList: the lease holder's account goes before the
-// list's until the list says something newer and the account is old.
+// TestHolderIsBelievedBeforeTheList checks that the lease holder's view takes precedence over
+// the list until the list has newer information and the view is old.
 func TestHolderIsBelievedBeforeTheList(t *testing.T) {
 	f, c := testFleet()
 	f.Replace([]backend.Runner{listed("r1", "old")}, false)
@@ -88,14 +88,14 @@
 	assert.Assert(t, coming && in == time.Second)
 	c.now = c.now.Add(viewLifetime)
 	_, holds = f.Choose(Query{Service: "s", Unit: backend.Unit{Model: "new"}})
-	assert.Assert(t, holds, "the list told nothing since")
+	assert.Assert(t, holds, "the list was not updated since")
 	f.Apply([]backend.Runner{listed("r1", "old")}, nil, false)
 	_, holds = f.Choose(Query{Service: "s", Unit: backend.Unit{Model: "old"}})
 	assert.Assert(t, holds)
 }
 
-// TestRefusingRunnerIsSpared: a runner that stated that it does not hold a unit is
-// not asked for it again at once.
+// TestRefusingRunnerIsSpared checks that a runner which reported that it does not hold a unit
+// is not chosen for it again at once.
 func TestRefusingRunnerIsSpared(t *testing.T) {
 	f, c := testFleet()
 	f.Replace([]backend.Runner{listed("r1", "m")}, false)
@@ -110,8 +110,8 @@
 	assert.Assert(t, ok)
 }
 
-// TestDrainingRunnerGetsNothing: neither one that says that it leaves nor one
-// that an operator empties.
+// TestDrainingRunnerGetsNothing checks that no request goes to a runner that says it is
+// leaving or to one that an operator drains.
 func TestDrainingRunnerGetsNothing(t *testing.T) {
 	f := New("zone-a", time.Now, drains{"r2": true})
 	leaving := listed("r1")
@@ -121,8 +121,8 @@
 	assert.Assert(t, !ok)
 }
 
-// TestUnreachableRunnerIsSparedAtOnce: one failed connection is enough to prefer
-// any other runner.
+// TestUnreachableRunnerIsSparedAtOnce checks that after one failed connection any other runner
+// is preferred.
 func TestUnreachableRunnerIsSparedAtOnce(t *testing.T) {
 	f, _ := testFleet()
 	f.Replace([]backend.Runner{listed("r1", "m"), listed("r2", "m")}, false)
--- a/internal/fleet/homes_test.go
+++ b/internal/fleet/homes_test.go
@@ -24,9 +24,9 @@
 	return runner
 }
 
-// TestNoChoiceLeavesHomes: whatever the fleet, its load and what was tried, a request is
-// sent to, or asked about at, no runner outside its homes; also one whose region is not
-// known.
+// TestNoChoiceLeavesHomes checks that a request is never sent to a runner outside its homes,
+// and that no such runner is asked for its load, whatever the fleet, its load and the earlier
+// attempts. A runner without a known region is outside all homes.
 func TestNoChoiceLeavesHomes(t *testing.T) {
 	regions := []string{"north", "south", "east", ""}
 	rapid.Check(t, func(t *rapid.T) {
@@ -65,8 +65,8 @@
 	})
 }
 
-// TestEstimatesAreOfHomes: what is held, comes, is planned or is kept near outside its
-// homes is of no use to a request.
+// TestEstimatesAreOfHomes checks that estimates for a request ignore what is held, loading,
+// planned or copied outside its homes.
 func TestEstimatesAreOfHomes(t *testing.T) {
 	f, _ := testFleet()
 	there := listedIn("south", "r1", "m")
@@ -90,8 +90,9 @@
 	assert.Assert(t, planned && in == 2*time.Second)
 }
 
-// TestServesByListAlone: a runner that is listed in the homes may take a request some day,
-// also while it leaves, is full or holds nothing; of another service or region it never does.
+// TestServesByListAlone checks that a runner listed in the homes counts as able to serve a
+// request later, also while it is draining, full or holds nothing, and that runners of other
+// services or regions never count.
 func TestServesByListAlone(t *testing.T) {
 	f, _ := testFleet()
 	leaving := listedIn("north", "r1")
@@ -102,5 +103,5 @@
 	assert.Assert(t, !f.Serves("other", north))
 	assert.Assert(t, !f.Serves("s", place.NewHomes([]place.Region{""})))
 	f.Replace([]backend.Runner{listedIn("", "r2")}, true)
-	assert.Assert(t, f.Serves("s", north), "the list is doubted")
+	assert.Assert(t, f.Serves("s", north), "a missing runner counts while the list is doubtful")
 }
--- a/internal/fleet/incarnations_test.go
+++ b/internal/fleet/incarnations_test.go
@@ -9,16 +9,16 @@
 	"lilacvane/internal/backend"
 )
 
-// incarnation is a runner of the name r that was born then.
+// incarnation returns a runner named r that was born at that time.
 func incarnation(born int64, models ...string) backend.Runner {
 	runner := listed(backend.IncarnationID("r", born), models...)
 	runner.Born = born
 	return runner
 }
 
-// TestNothingOfAnEarlierIncarnationCounts: whatever comes of a runner's earlier incarnation, before or
-// after its new one is listed, nothing is sent to the new one for what only the earlier one
-// held.
+// TestNothingOfAnEarlierIncarnationCounts checks that late news of an earlier incarnation of a
+// runner, received before or after the new one is listed, never causes a request to be sent to
+// the new one for what only the earlier one held.
 func TestNothingOfAnEarlierIncarnationCounts(t *testing.T) {
 	query := Query{Service: "s", Unit: backend.Unit{Model: "m"}}
 	old, anew := incarnation(1000, "m"), incarnation(2000)
--- /dev/null
+++ b/internal/fleet/latency.go
@@ -0,0 +1,92 @@
+package fleet
+
+import (
+	"time"
+
+	"lilacvane/internal/backend"
+	"lilacvane/internal/place"
+)
+
+const (
+	// assumedExtraLatency is how much longer an answer from another region is assumed to take
+	// until a runner there was asked: two round trips, one of them for a new connection, over
+	// some hundred kilometres of fibre and network equipment.
+	assumedExtraLatency = 40 * time.Millisecond
+	// latencyRiseWeight is the weight of each slower answer in the latency of a region. Packet
+	// loss or a busy machine makes a few answers slow; a longer network path makes all of them
+	// slow.
+	latencyRiseWeight = 0.02
+)
+
+// regionLatencies tracks the lowest recent time in which runners of each region answer a
+// question. Fleet.mutex guards all fields but local, which does not change.
+type regionLatencies struct {
+	// local is this node's region; if it is empty, not known, all runners count as local.
+	local  place.Region
+	lowest map[place.Region]time.Duration
+}
+
+// isLocal reports whether a runner is in this node's region, or whether one of the regions is
+// not known.
+func (w *regionLatencies) isLocal(runner *backend.Runner) bool {
+	return w.local == "" || runner.Region == "" || place.Region(runner.Region) == w.local
+}
+
+// extra is how much longer an answer from a runner takes than one from a local runner.
+func (w *regionLatencies) extra(runner *backend.Runner) time.Duration {
+	if w.isLocal(runner) {
+		return 0
+	}
+	lowest, known := w.lowest[place.Region(runner.Region)]
+	if !known {
+		return assumedExtraLatency
+	}
+	return max(lowest-w.lowest[w.local], 0)
+}
+
+// observe updates the lowest recent latency of a region.
+func (w *regionLatencies) observe(region place.Region, took time.Duration) {
+	if w.lowest == nil {
+		w.lowest = make(map[place.Region]time.Duration)
+	}
+	lowest, known := w.lowest[region]
+	if !known || took < lowest {
+		w.lowest[region] = took
+		return
+	}
+	w.lowest[region] = lowest + time.Duration(latencyRiseWeight*float64(took-lowest))
+}
+
+// ObserveLatency records how long a runner took to answer a question for its load.
+func (f *Fleet) Answered(id string, took time.Duration) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	if known := f.runners[id]; known != nil && known.listed.Region != "" {
+		f.latencies.observe(place.Region(known.listed.Region), took)
+	}
+}
+
+// ExtraLatency returns how much longer than local runners the farthest of the given runners
+// takes to answer.
+func (f *Fleet) Beyond(runners []backend.Runner) time.Duration {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	longest := time.Duration(0)
+	for i := range runners {
+		longest = max(longest, f.latencies.extra(&runners[i]))
+	}
+	return longest
+}
+
+// locationCost is the cost in milliseconds of sending a request to the zone and region of a
+// runner.
+func (f *Fleet) locationCost(runner *backend.Runner) float64 {
+	switch {
+	case !f.latencies.isLocal(runner):
+		return costOtherZone + milliseconds(f.latencies.extra(runner))
+	case runner.Zone != f.zone:
+		return costOtherZone
+	default:
+		return 0
+	}
+}
--- a/internal/fleet/ways_test.go
+++ b/internal/fleet/latency_test.go
@@ -10,8 +10,8 @@
 	"lilacvane/internal/backend"
 )
 
-// regionFleet is a fleet of a node in the north with so many runners in each region, which
-// hold m and have so many slots.
+// regionFleet returns a fleet for a node in region north, with the given numbers of runners in
+// its own and in another region; each runner holds m and has the given number of slots.
 func regionFleet(near, far, slots int) *Fleet {
 	f, _ := testFleet()
 	f.SetRegion("north")
@@ -31,8 +31,9 @@
 
 var forM = Query{Service: "s", Unit: backend.Unit{Model: "m"}, Prompt: []Part{{ID: "a", Tokens: 100}}}
 
-// TestNearRunnersGoFirst: a runner of another region is chosen once the near ones have more
-// to do than the way there takes, and sooner when the way proves short.
+// TestNearRunnersGoFirst checks that a runner in another region is chosen once the local ones
+// are busier than the extra latency is worth, and earlier if that latency turns out to be
+// short.
 func TestNearRunnersGoFirst(t *testing.T) {
 	sentNear := func(f *Fleet) int {
 		for count := range 100 {
@@ -54,8 +55,8 @@
 	assert.Assert(t, sentNear(short) < assumed)
 }
 
-// TestQuestionsStayNear: runners of other regions are asked for their load only while
-// near ones with places leave no choice.
+// TestQuestionsStayNear checks that runners of other regions are asked for their load only if
+// local runners with free slots leave no choice.
 func TestQuestionsStayNear(t *testing.T) {
 	f := regionFleet(2, 3, 16)
 	for range 8 {
@@ -70,12 +71,12 @@
 	assert.Equal(t, len(regionFleet(0, 2, 16).Candidates(forM, 2)), 2)
 }
 
-// TestWaysFollowAnswers: the time of a region is the least lately; one slow answer moves it
-// little, a longer way moves it in the end.
+// TestWaysFollowAnswers checks that the latency of a region is the lowest recent one: a single
+// slow answer changes it little, a longer path changes it in the end.
 func TestWaysFollowAnswers(t *testing.T) {
 	f := regionFleet(1, 1, 64)
 	far := []backend.Runner{listedIn("south", "far-0")}
-	assert.Equal(t, f.Beyond(far), assumedWay)
+	assert.Equal(t, f.Beyond(far), assumedExtraLatency)
 	f.Answered("far-0", 30*time.Millisecond)
 	f.Answered("far-0", time.Second)
 	assert.Assert(t, f.Beyond(far) < 60*time.Millisecond)
--- a/internal/fleet/listing.go
+++ b/internal/fleet/listing.go
@@ -4,8 +4,8 @@
 	"lilacvane/internal/backend"
 )
 
-// Apply takes over a change of the platform's list. With doubtful set, the
-// runners removed stay as a last choice for a while.
+// Apply applies a change of the platform's list. If doubtful is set, removed runners are kept
+// as a last resort for a while.
 func (f *Fleet) Apply(changed []backend.Runner, removed []string, doubtful bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -16,110 +16,110 @@
 	for _, id := range removed {
 		f.remove(id, doubtful)
 	}
-	f.sweep()
+	f.forgetDeparted()
 	f.notify()
 }
 
-// Replace takes over the whole list. Runners that are not in it have left; with
-// doubtful set they stay as a last choice for a while, as the list was read
-// after a time without the platform.
+// Replace applies the whole list; runners that are not in it have left. If doubtful is set, as
+// after the platform could not be reached for a time, those are kept as a last resort for a
+// while.
 func (f *Fleet) Replace(listed []backend.Runner, doubtful bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	there := make(map[string]bool, len(listed))
+	present := make(map[string]bool, len(listed))
 	for _, runner := range listed {
-		there[runner.ID] = true
+		present[runner.ID] = true
 	}
 	for id, known := range f.runners {
-		if known.present && !there[id] {
+		if known.present && !present[id] {
 			f.remove(id, doubtful)
 		}
 	}
 	f.listVersion++
-	clear(f.keep.passed)
-	f.keep.sort(listed)
+	clear(f.retention.skipped)
+	f.retention.sortByRank(listed)
 	for _, runner := range listed {
 		f.add(runner)
 	}
-	f.replaced = true
-	f.sweep()
+	f.listRead = true
+	f.forgetDeparted()
 	f.notify()
 }
 
-// add takes over what the list tells of a runner, unless it is passed over.
+// add applies the list entry of a runner, unless the runner is skipped.
 func (f *Fleet) add(listed backend.Runner) {
-	f.endEarlier(listed)
+	f.removeEarlierIncarnation(listed)
 	known := f.runners[listed.ID]
-	came := known == nil
-	if came && !f.keep.takes(&listed, len(f.runners)) {
-		f.keep.pass(&listed)
+	isNew := known == nil
+	if isNew && !f.retention.shouldTrack(&listed, len(f.runners)) {
+		f.retention.recordSkipped(&listed)
 		return
 	}
-	f.put(listed, known)
-	if !came && f.idle(known) && f.keep.spares(&listed, len(f.runners)-1) {
+	f.upsert(listed, known)
+	if !isNew && f.idle(known) && f.retention.canDrop(&listed, len(f.runners)-1) {
 		f.drop(listed.ID)
 	}
 }
 
-// put keeps what the list tells of a runner; known is nil for one that was not kept. mutex is
-// held.
-func (f *Fleet) put(listed backend.Runner, known *runner) {
-	came := known == nil
-	if came {
-		known = &runner{order: order(listed.ID)}
+// upsert stores the list entry of a runner; known is nil for a runner that was not tracked.
+// mutex must be held.
+func (f *Fleet) upsert(listed backend.Runner, known *runner) {
+	isNew := known == nil
+	if isNew {
+		known = &runner{hash: hashID(listed.ID)}
 		f.runners[listed.ID] = known
 	}
 	f.incarnations[listed.Name()] = listed.ID
-	f.hearCold(known, listed, came)
+	f.recordColdState(known, listed, isNew)
 	if known.present {
-		f.keep.count(&known.listed, -1)
+		f.retention.count(&known.listed, -1)
 	}
-	f.keep.count(&listed, 1)
-	delete(f.gone, listed.ID)
+	f.retention.count(&listed, 1)
+	delete(f.departed, listed.ID)
 	known.listed = listed
 	known.listedAt = f.now()
 	known.present = true
 	known.units = unitsOf(listed.Models)
 }
 
-// endEarlier takes out the incarnation of a runner before the one that is listed now.
-func (f *Fleet) endEarlier(listed backend.Runner) {
+// removeEarlierIncarnation removes the incarnation before the one that is listed now.
+func (f *Fleet) removeEarlierIncarnation(listed backend.Runner) {
 	if before := f.runners[f.incarnations[listed.Name()]]; before != nil && before.listed.ID != listed.ID {
 		f.remove(before.listed.ID, false)
 		before.listed.Missing = false
 	}
 }
 
-// remove takes a runner out. While requests are under way at it, its entry
-// stays until the last one has ended.
+// remove removes a runner from the list. Its entry stays until the last request in flight
+// there has ended.
 func (f *Fleet) remove(id string, doubtful bool) {
 	known := f.runners[id]
 	if known == nil || !known.present {
 		return
 	}
-	f.keep.count(&known.listed, -1)
+	f.retention.count(&known.listed, -1)
 	known.present = false
-	known.goneAt = f.now()
+	known.removedAt = f.now()
 	known.listed.Missing = doubtful
-	f.gone[id] = known
+	f.departed[id] = known
 }
 
-// sweep forgets runners that left and have no request under way.
-func (f *Fleet) sweep() {
-	for id, known := range f.gone {
-		expired := !known.listed.Missing || f.now().Sub(known.goneAt) > missingLifetime
+// forgetDeparted forgets runners that left the list and have no requests in flight.
+func (f *Fleet) forgetDeparted() {
+	for id, known := range f.departed {
+		expired := !known.listed.Missing || f.now().Sub(known.removedAt) > missingLifetime
 		if known.inFlight == 0 && expired {
 			f.forget(id)
-			f.noteLeft(id)
+			f.recordDeparture(id)
 		}
 	}
 }
 
-// forget drops what is known of a runner. mutex is held.
+// forget deletes everything known of a runner. mutex must be held.
 func (f *Fleet) forget(id string) {
 	name := f.runners[id].listed.Name()
 	delete(f.runners, id)
-	delete(f.gone, id)
+	delete(f.departed, id)
 	if f.incarnations[name] == id {
 		delete(f.incarnations, name)
 	}
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -3,36 +3,38 @@
 import "time"
 
 const (
-	// toldLifetime is how long the load a runner told is believed.
-	toldLifetime = time.Second
-	// slownessLifetime is how long the slowness a runner told is believed, fading: it may
-	// change many times a second, and told later it would send requests to the wrong runners.
+	// loadLifetime is how long a reported load is used.
+	loadLifetime = time.Second
+	// slownessLifetime is how long a reported slowness is used, with fading weight. It may
+	// change many times a second; used for longer, it would send requests to the wrong
+	// runners.
 	slownessLifetime = 200 * time.Millisecond
 	latencyWeight    = 0.1
-	// unreadWeight moves the mean of what a request has to be read with each one.
+	// unreadWeight is the weight of one request in meanUnread.
 	unreadWeight = 0.1
-	// failureWeight moves the failure share of a runner with each answer.
+	// failureWeight is the weight of one answer in the failure share of a runner.
 	failureWeight = 0.25
-	// failurePenalty is the cost of a runner that always fails, in milliseconds.
+	// failurePenalty is the cost in milliseconds of a runner that always fails.
 	failurePenalty = 2_000.0
-	// failureMemory halves the failure share of a runner that gets no requests.
+	// failureMemory is the time after which the penalty of a runner that gets no requests is
+	// halved.
 	failureMemory = 2 * time.Second
 )
 
-// toldLoad is the load a runner told, and this node's own share of it.
-type toldLoad struct {
+// reportedLoad is the load that a runner reported, with this node's own part of it.
+type reportedLoad struct {
 	running int
 	waiting int
 	own     int
-	// prefill is what this node had sent there to be read by then, in tokens.
+	// prefill is how many tokens sent by this node the runner still had to read at that time.
 	prefill int
-	// slowness is how long work took there then, against the usual; zero where not told.
+	// slowness is how long work took then, relative to the usual time; zero if not reported.
 	slowness float64
 	at       time.Time
 }
 
-// factor is how many times as long as usual work is expected to take now.
-func (t toldLoad) factor(now time.Time) float64 {
+// factor is how long work is expected to take now, relative to the usual time.
+func (t reportedLoad) factor(now time.Time) float64 {
 	age := now.Sub(t.at)
 	if t.slowness == 0 || age >= slownessLifetime {
 		return 1
@@ -41,32 +43,32 @@
 	return 1 + (t.slowness-1)*left
 }
 
-// queued is how many tokens are expected to be read at the runner before another
-// prompt: those of the requests that waited when it told, fading with age, and those
-// that this node sent since. meanUnread is what one request has to be read, prefill
-// what this node's requests there still have.
-func (t toldLoad) queued(now time.Time, prefill int, meanUnread float64) int {
+// queued returns how many tokens are expected to be read at the runner before another prompt:
+// those of the requests that waited at the time of the report, fading with age, and those sent
+// by this node since. meanUnread is the mean number of tokens to be read for a request;
+// prefill is what the runner still has to read for this node's requests.
+func (t reportedLoad) queued(now time.Time, prefill int, meanUnread float64) int {
 	age := now.Sub(t.at)
-	if t.at.IsZero() || age >= toldLifetime {
+	if t.at.IsZero() || age >= loadLifetime {
 		return prefill
 	}
-	left := float64(toldLifetime-age) / float64(toldLifetime)
+	left := float64(loadLifetime-age) / float64(loadLifetime)
 	return int(float64(t.waiting)*meanUnread*left) + max(prefill-t.prefill, 0)
 }
 
-// estimate returns the requests expected at the runner: this node's own, and
-// those of others as last told, fading with age.
-func (t toldLoad) estimate(now time.Time, own int) int {
+// estimate returns the number of requests expected at the runner: this node's own, and those
+// of other nodes as last reported, fading with age.
+func (t reportedLoad) estimate(now time.Time, own int) int {
 	age := now.Sub(t.at)
-	if t.at.IsZero() || age >= toldLifetime {
+	if t.at.IsZero() || age >= loadLifetime {
 		return own
 	}
 	others := max(t.running+t.waiting-t.own, 0)
-	left := float64(toldLifetime-age) / float64(toldLifetime)
+	left := float64(loadLifetime-age) / float64(loadLifetime)
 	return own + int(float64(others)*left+0.5)
 }
 
-// health follows how often a runner fails.
+// health tracks how often a runner fails.
 type health struct {
 	failureShare float64
 	at           time.Time
@@ -79,13 +81,13 @@
 	h.at = now
 }
 
-// lost notes that the runner cannot be reached at all.
-func (h *health) lost(now time.Time) {
+// unreachable records that no connection to the runner can be made.
+func (h *health) unreachable(now time.Time) {
 	h.failureShare = 1
 	h.at = now
 }
 
-// penalty returns the cost of a runner that failed lately, in milliseconds.
+// penalty returns the cost in milliseconds of a runner that failed lately.
 func (h *health) penalty(now time.Time) float64 {
 	if h.failureShare < 0.01 {
 		return 0
--- a/internal/fleet/expected.go
+++ b/internal/fleet/load_estimates.go
@@ -10,38 +10,38 @@
 	"lilacvane/internal/place"
 )
 
-// plannedLifetime is how long after its time a planned load is still believed.
+// plannedLifetime is how long a planned load is still expected after its time has passed.
 const plannedLifetime = time.Second
 
-// ApplyPlanned takes over when the control holder expects the models that are
-// waited for at a service and that nothing loads yet.
+// ApplyPlanned records when the control holder expects the models that requests of a service
+// wait for and that no runner has begun to load.
 func (f *Fleet) ApplyPlanned(service string, planned []Coming) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	expected := make(map[homedModel]time.Time, len(planned))
+	expected := make(map[modelInHomes]time.Time, len(planned))
 	f.firm[service] = make(map[string]bool)
 	for _, coming := range planned {
 		if coming.Firm {
 			f.firm[service][coming.Unit.Model] = true
 		}
-		expected[homedModel{model: coming.Unit.Model, homes: coming.Homes}] = f.now().Add(coming.In)
+		expected[modelInHomes{model: coming.Unit.Model, homes: coming.Homes}] = f.now().Add(coming.In)
 	}
-	news := len(expected) > 0
+	wake := len(expected) > 0
 	f.planned[service] = expected
-	if news {
+	if wake {
 		f.notify()
 	}
 }
 
-// Firm reports whether a model's planned load at a service cannot be sooner than expected.
+// Firm reports whether a model's planned load at a service cannot complete any sooner.
 func (f *Fleet) Firm(service, model string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.firm[service][model]
 }
 
-// Expected returns the shortest time until a runner of the service in the homes holds
-// the unit, as far as a load is known to be under way or planned.
+// Expected returns the shortest time until a runner of the service in the homes holds the
+// unit; false if no load of it is known to be in progress or planned.
 func (f *Fleet) Expected(service string, unit backend.Unit, homes place.Homes) (time.Duration, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -54,7 +54,7 @@
 		}
 	}
 	for _, known := range f.runners {
-		if known.view == nil || !f.asked(known, service, homes) {
+		if known.view == nil || !f.mayAsk(known, service, homes) {
 			continue
 		}
 		if at, coming := known.view.coming[unit]; coming {
@@ -62,25 +62,25 @@
 		}
 	}
 	for planned, at := range f.planned[service] {
-		if planned.model == unit.Model && planned.serves(homes) && f.now().Sub(at) < plannedLifetime {
+		if planned.model == unit.Model && planned.appliesTo(homes) && f.now().Sub(at) < plannedLifetime {
 			note(at)
 		}
 	}
 	return shortest, found
 }
 
-// serves reports whether a planned load is of use to requests with the homes: it is
-// planned for them, or they may be served anywhere.
-func (m homedModel) serves(homes place.Homes) bool { return !homes.Bound() || m.homes == homes }
+// appliesTo reports whether a planned load is of use to requests with the homes: it is planned
+// for those homes, or the requests may be served anywhere.
+func (m modelInHomes) appliesTo(homes place.Homes) bool { return !homes.Bound() || m.homes == homes }
 
-// LoadTime returns how long a load of a model takes at least, by where the runners
-// of the service in the homes are listed to keep its weights.
+// LoadTime returns the least time that a load of a model takes, given where the runners of the
+// service in the homes are listed to have a copy of its weights.
 func (f *Fleet) LoadTime(service string, model *config.Model, homes place.Homes) time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	least := model.LoadTime
 	for _, known := range f.runners {
-		if !known.present || f.eligible(known, eligible.Load{Service: service, Homes: homes}) != eligible.Yes {
+		if !known.present || f.eligibility(known, eligible.Load{Service: service, Homes: homes}) != eligible.Yes {
 			continue
 		}
 		switch copies := known.listed.Copies; {
@@ -93,15 +93,15 @@
 	return least
 }
 
-// SetOrdersIn tells when a service's control holder is expected to give orders;
-// zero when it does.
+// SetOrdersIn sets the time until a service's control holder is expected to give orders; zero
+// if it already does.
 func (f *Fleet) SetOrdersIn(service string, in time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.ordersAt[service] = f.now().Add(in)
 }
 
-// OrdersIn is the time until a service's control holder is expected to give orders.
+// OrdersIn returns the time until a service's control holder is expected to give orders.
 func (f *Fleet) OrdersIn(service string) time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/fleet/load_test.go
+++ b/internal/fleet/load_test.go
@@ -9,8 +9,8 @@
 	"lilacvane/internal/backend"
 )
 
-// TestSlowMomentIsAvoided: of two runners with the same queue the one at which work takes as long
-// as usual is chosen, but only as long as the other's word is fresh.
+// TestSlowMomentIsAvoided checks that of two runners with equal queues the one that works at
+// its usual speed is chosen, but only while the slowness that the other reported is fresh.
 func TestSlowMomentIsAvoided(t *testing.T) {
 	for name, query := range map[string]Query{
 		"plain":  {Service: "s"},
@@ -25,8 +25,8 @@
 			return choice.Runner.ID
 		}
 		for range 40 {
-			f.learn(f.runners["usual"], query, Served, 100*time.Millisecond)
-			f.learn(f.runners["slow"], query, Served, 100*time.Millisecond)
+			f.recordResult(f.runners["usual"], query, Served, 100*time.Millisecond)
+			f.recordResult(f.runners["slow"], query, Served, 100*time.Millisecond)
 		}
 		for range 20 {
 			f.Told("usual", backend.Workload{Running: 1, Slowness: 1})
@@ -35,6 +35,6 @@
 		}
 		f.Told("slow", backend.Workload{Running: 1, Slowness: 4})
 		clock.now = clock.now.Add(slownessLifetime)
-		assert.Equal(t, f.runners["slow"].told.factor(clock.now), 1.0, name)
+		assert.Equal(t, f.runners["slow"].load.factor(clock.now), 1.0, name)
 	}
 }
--- a/internal/fleet/obstacles.go
+++ b/internal/fleet/obstacles.go
@@ -13,26 +13,26 @@
 	"lilacvane/internal/wire"
 )
 
-// Reason says why a runner may not take a request, or that it may: an eligible.Reason, or
-// one of those below, which only the fleet knows.
+// Reason is why a runner may not take a request, or that it may: an eligible.Reason or one of
+// the reasons below, which only the fleet determines.
 type Reason uint8
 
-// The reasons of the fleet's own. They lie beyond all of package eligible.
+// The fleet's own reasons. Their values lie above all values of eligible.Reason.
 const (
 	// UnitNotHeld means that the runner is not believed to hold the unit.
 	UnitNotHeld Reason = 128 + iota
-	// RunnerSilent means that the runner answers nobody.
+	// RunnerSilent means that the runner answers no node.
 	RunnerSilent
-	// AlreadyTried means that the request was sent there before.
+	// AlreadyTried means that the request was already sent to the runner.
 	AlreadyTried
 	// NoneKnown means that no runner of the service is known.
 	NoneKnown
 )
 
-// unhindered is the reason of a runner that may take a request.
-const unhindered = Reason(eligible.Yes)
+// unblocked is the reason of a runner that may take a request.
+const unblocked = Reason(eligible.Yes)
 
-// String names the reason as logs and explanations spell it.
+// String returns the reason as spelled in logs and explanations.
 func (r Reason) String() string {
 	switch r {
 	case UnitNotHeld:
@@ -48,22 +48,23 @@
 	}
 }
 
-// Obstacle tells how many runners of a service may not take a request for one reason.
+// Obstacle counts the runners of a service that may not take a request for one reason.
 type Obstacle struct {
 	Reason  Reason
 	Runners int
-	// Holding is how many of them are believed to hold the unit: without the obstacle
-	// they could take the request.
+	// Holding is how many of them are believed to hold the unit: without the obstacle they
+	// could take the request.
 	Holding int
-	// Age is how long ago this node last heard of the runner that it heard of longest ago.
+	// Age is the longest time since this node last received news of one of them.
 	Age time.Duration
 }
 
-// Obstacles are why no runner may take a request, one entry a reason, that which keeps most
-// runners with the unit away first. They are empty when no runner of the service is known.
+// Obstacles explains why no runner may take a request, with one entry per reason. The reason
+// that blocks most runners holding the unit comes first. It is empty if no runner of the
+// service is known.
 type Obstacles []Obstacle
 
-// String lists the obstacles for people.
+// String formats the obstacles as readable text.
 func (o Obstacles) String() string {
 	if len(o) == 0 {
 		return NoneKnown.String()
@@ -76,7 +77,7 @@
 	return strings.Join(parts, "; ")
 }
 
-// Wire lists the obstacles as explanations and logs carry them.
+// Wire returns the obstacles as sent in explanations and logs.
 func (o Obstacles) Wire() []wire.Obstacle {
 	list := make([]wire.Obstacle, 0, len(o))
 	for _, obstacle := range o {
@@ -87,8 +88,8 @@
 	return list
 }
 
-// Main is the obstacle that keeps most of the runners that hold the unit from the request;
-// UnitNotHeld where none holds it and one of them might be loaded with it.
+// MainReason is the reason that blocks most of the runners that hold the unit; UnitNotHeld if
+// none holds it and at least one of the runners might load it.
 func (o Obstacles) Main() Reason {
 	switch {
 	case len(o) == 0:
@@ -101,28 +102,29 @@
 }
 
 const (
-	// obstaclesLifetime is how long obstacles stand for further requests that ask for the
-	// same: many requests for a unit that nobody holds come at once. Runners' rows are read
-	// every 200 ms at most.
+	// obstaclesLifetime is how long found obstacles are reused for requests for the same: many
+	// requests for a unit that no runner holds may come at once. Runners' rows are read every
+	// 200 ms at most.
 	obstaclesLifetime = 200 * time.Millisecond
-	// obstaclesKept bounds them: 256 units asked for in vain within that time.
-	obstaclesKept = 256
+	// maxCachedObstacles bounds the cache: 256 units requested without success within the
+	// lifetime.
+	maxCachedObstacles = 256
 )
 
-// asked is what a request that was not sent yet asks a runner for.
-type asked struct {
+// requestKey is what a request that was not sent yet needs from a runner.
+type requestKey struct {
 	service string
 	unit    backend.Unit
 	homes   place.Homes
 }
 
-type foundObstacles struct {
+type cachedObstacles struct {
 	obstacles Obstacles
 	at        time.Time
 }
 
-// Obstacles tells why no runner of its service may take a request now, or a moment ago. It
-// looks at each runner once, as a choice does; it is asked only for requests that no runner
+// Obstacles returns why no runner of its service may take a request, now or a moment ago. It
+// examines each runner once, as a choice does, and is only called for requests that no runner
 // could take.
 func (f *Fleet) Obstacles(query Query) Obstacles {
 	f.mutex.Lock()
@@ -130,26 +132,26 @@
 	if len(query.Exclude) > 0 {
 		return f.findObstacles(query)
 	}
-	key := asked{service: query.Service, unit: query.Unit, homes: query.Homes}
+	key := requestKey{service: query.Service, unit: query.Unit, homes: query.Homes}
 	if found, known := f.obstacles[key]; known && f.now().Sub(found.at) < obstaclesLifetime {
 		return found.obstacles
 	}
-	if len(f.obstacles) >= obstaclesKept {
+	if len(f.obstacles) >= maxCachedObstacles {
 		clear(f.obstacles)
 	}
-	found := foundObstacles{obstacles: f.findObstacles(query), at: f.now()}
+	found := cachedObstacles{obstacles: f.findObstacles(query), at: f.now()}
 	f.obstacles[key] = found
 	return found.obstacles
 }
 
-// findObstacles looks at all runners. mutex is held.
+// findObstacles examines all runners. mutex must be held.
 func (f *Fleet) findObstacles(query Query) Obstacles {
-	// A reason is a small number: the bound on entries is the number of reasons.
+	// The map is bounded by the number of reasons, which are small numbers.
 	found := make(map[Reason]*Obstacle)
 	now := f.now()
 	for _, known := range f.runners {
-		reason := f.hinders(known, query)
-		if reason == unhindered || reason == Reason(eligible.OtherService) {
+		reason := f.blockedBy(known, query)
+		if reason == unblocked || reason == Reason(eligible.OtherService) {
 			continue
 		}
 		obstacle := found[reason]
@@ -158,17 +160,17 @@
 			found[reason] = obstacle
 		}
 		obstacle.Runners++
-		if f.wouldServe(known, query, reason) {
+		if f.holdsQueriedUnit(known, query, reason) {
 			obstacle.Holding++
 		}
-		obstacle.Age = max(obstacle.Age, now.Sub(heardAt(known)))
+		obstacle.Age = max(obstacle.Age, now.Sub(lastHeardAt(known)))
 	}
-	return sorted(found)
+	return sortObstacles(found)
 }
 
-// wouldServe reports whether a runner that is kept from a request is believed to hold its
-// unit. mutex is held.
-func (f *Fleet) wouldServe(known *runner, query Query, reason Reason) bool {
+// holdsQueriedUnit reports whether a runner that may not take a request is believed to hold
+// its unit. mutex must be held.
+func (f *Fleet) holdsQueriedUnit(known *runner, query Query, reason Reason) bool {
 	switch {
 	case reason == UnitNotHeld:
 		return false
@@ -179,10 +181,10 @@
 	}
 }
 
-// heardAt is when the node last heard of a runner: from the list, from the control holder
-// or from the runner itself. Fleet.mutex is held.
-func heardAt(known *runner) time.Time {
-	at := later(known.listedAt, known.goneAt)
+// lastHeardAt is when the node last received news of a runner: from the list, from the control
+// holder or from the runner itself. Fleet.mutex must be held.
+func lastHeardAt(known *runner) time.Time {
+	at := later(known.listedAt, known.removedAt)
 	if known.view != nil {
 		at = later(at, known.view.at)
 	}
@@ -196,8 +198,8 @@
 	return b
 }
 
-// sorted lists obstacles, those that keep most runners away first.
-func sorted(found map[Reason]*Obstacle) Obstacles {
+// sortObstacles returns the obstacles, those that block most runners first.
+func sortObstacles(found map[Reason]*Obstacle) Obstacles {
 	obstacles := make(Obstacles, 0, len(found))
 	for _, obstacle := range found {
 		obstacles = append(obstacles, *obstacle)
--- a/internal/fleet/obstacles_test.go
+++ b/internal/fleet/obstacles_test.go
@@ -12,15 +12,16 @@
 	"lilacvane/internal/place"
 )
 
-// zonesOut are the zones that are taken out.
+// zonesOut is the set of zones that are taken out.
 type zonesOut map[place.Zone]bool
 
 func (zonesOut) Drained(_, _ string) bool { return false }
 
 func (z zonesOut) ZoneOut(zone place.Zone) bool { return z[zone] }
 
-// TestObstaclesCountRunnersByReason: each runner of the service counts once, under the first
-// reason that keeps it from the request; what keeps those with the unit away comes first.
+// TestObstaclesCountRunnersByReason checks that each runner of the service counts once, under
+// the first reason that blocks it, and that the reasons of runners holding the unit come
+// first.
 func TestObstaclesCountRunnersByReason(t *testing.T) {
 	c := &clock{now: time.Unix(1000, 0)}
 	f := New("zone-a", c.read, zonesOut{"zone-b": true})
@@ -50,7 +51,8 @@
 	assert.Assert(t, !chosen)
 }
 
-// TestObstaclesOutsideHomes: runners outside the request's homes are told as such.
+// TestObstaclesOutsideHomes checks that runners outside the homes of a request are reported as
+// such.
 func TestObstaclesOutsideHomes(t *testing.T) {
 	f, _ := testFleet()
 	f.Replace([]backend.Runner{listed("r1")}, false)
@@ -58,7 +60,8 @@
 	assert.Equal(t, found.Main().String(), "outside_homes")
 }
 
-// TestObstaclesWithoutRunners: a service without runners, and a unit that none holds.
+// TestObstaclesWithoutRunners covers a service without runners and a unit that no runner
+// holds.
 func TestObstaclesWithoutRunners(t *testing.T) {
 	f, _ := testFleet()
 	query := Query{Service: "s", Unit: backend.Unit{Model: "m"}}
@@ -69,8 +72,8 @@
 	assert.Equal(t, f.Obstacles(query).String(), "2 not_held, 0 of them hold it, heard of within 0s")
 }
 
-// TestObstaclesAgreeWithTheChoice: whatever keeps runners away, a request has a choice just
-// where a runner of its service is in no obstacle.
+// TestObstaclesAgreeWithTheChoice checks that a runner can be chosen for a request if and only
+// if a runner of its service is in no obstacle.
 func TestObstaclesAgreeWithTheChoice(t *testing.T) {
 	f, _ := testFleet()
 	f.Replace([]backend.Runner{listed("r1", "m"), listed("r2", "m"), listed("r3")}, false)
@@ -89,8 +92,9 @@
 	}
 }
 
-// TestObstaclesAreLookedAtOnce: requests for the same at the same time share one look; a
-// change of the list, or some time, brings a new one, and what is kept is bounded.
+// TestObstaclesAreLookedAtOnce checks that equal requests at the same time share the obstacles
+// found, that a change of the list or the end of the lifetime causes a new search, and that
+// the cache is bounded.
 func TestObstaclesAreLookedAtOnce(t *testing.T) {
 	f, c := testFleet()
 	f.Replace([]backend.Runner{listed("r1", "m")}, false)
@@ -103,8 +107,8 @@
 	assert.Equal(t, f.Obstacles(query)[0].Runners, 2)
 	c.now = c.now.Add(obstaclesLifetime)
 	assert.Equal(t, f.Obstacles(query)[0].Age, obstaclesLifetime)
-	for i := range 2 * obstaclesKept {
+	for i := range 2 * maxCachedObstacles {
 		f.Obstacles(Query{Service: "s", Unit: backend.Unit{Model: fmt.Sprint(i)}})
-		assert.Assert(t, len(f.obstacles) <= obstaclesKept)
+		assert.Assert(t, len(f.obstacles) <= maxCachedObstacles)
 	}
 }
--- a/internal/fleet/affinity_test.go
+++ b/internal/fleet/prompt_affinity_test.go
@@ -9,15 +9,16 @@
 	"lilacvane/internal/backend"
 )
 
-// sharing is a request for a prompt whose first two parts others share.
+// sharing returns a query for a prompt whose first two parts are shared with other requests.
 func sharing(shared, own int) Query {
 	return Query{Service: "s", Unit: apartUnit, Prompt: []Part{
 		{ID: "system", Tokens: 2800}, {ID: fmt.Sprint("shared", shared), Tokens: 3500}, {ID: fmt.Sprint("own", own), Tokens: 2900},
 	}}
 }
 
-// TestNodesAgreeOnSharedPrompts: nodes that know nothing of each other's requests send
-// those that share parts to one runner, and different ones to different runners.
+// TestNodesAgreeOnSharedPrompts checks that nodes which know nothing of each other's requests
+// send those that share a prefix to the same runner, and those with different prefixes to
+// different runners.
 func TestNodesAgreeOnSharedPrompts(t *testing.T) {
 	used := make(map[string]int)
 	for shared := range 60 {
@@ -36,7 +37,8 @@
 	}
 }
 
-// TestQueueOutweighsSharedPrompt: a prompt is read anew rather than behind a long queue.
+// TestQueueOutweighsSharedPrompt checks that a prompt is read again elsewhere rather than
+// queued behind many others.
 func TestQueueOutweighsSharedPrompt(t *testing.T) {
 	f := apartFleet(8)
 	first, _ := f.Choose(sharing(1, 1))
--- a/internal/fleet/prompts.go
+++ b/internal/fleet/prompts.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// promptEntries bounds what is remembered of one runner's kept prompts.
+	// promptEntries bounds the prompt parts remembered per runner.
 	promptEntries = 512
-	// promptLifetime is how long a prompt is believed kept after its last use.
+	// promptLifetime is how long a prompt is assumed to stay cached after its last use.
 	promptLifetime = 30 * time.Second
 )
 
-// Part is one part of a prompt. Requests share parts; a part is kept only
-// together with all parts before it.
+// Part is one part of a prompt. Requests may share parts; a runner caches a part only together
+// with all parts before it.
 type Part struct {
 	ID     string
 	Tokens int
@@ -23,7 +23,7 @@
 
 type promptKey struct {
 	unit backend.Unit
-	// chain joins the identifiers of a part and all before it.
+	// chain joins the identifiers of a part and of all parts before it.
 	chain string
 }
 
@@ -32,15 +32,15 @@
 	used time.Time
 }
 
-// promptCache is what a runner is believed to keep of prompts, least recently
-// used first out. The zero cache is empty, as those of most runners stay.
+// promptCache models which prompts a runner has cached, evicting the least recently used. The
+// zero value is an empty cache, as it stays for most runners.
 type promptCache struct {
 	entries map[promptKey]*list.Element
 	order   *list.List
 }
 
-// match returns the tokens of a prompt and how many of its leading ones are
-// believed kept.
+// match returns the number of tokens in a prompt and how many of the leading ones are assumed
+// to be cached.
 func (c *promptCache) match(unit backend.Unit, prompt []Part, now time.Time) (total, kept int) {
 	chain := ""
 	matching := true
@@ -60,7 +60,7 @@
 	return total, kept
 }
 
-// add notes that the runner reads a prompt.
+// add records that the runner reads a prompt.
 func (c *promptCache) add(unit backend.Unit, prompt []Part, now time.Time) {
 	if c.entries == nil {
 		c.entries, c.order = make(map[promptKey]*list.Element), list.New()
--- /dev/null
+++ b/internal/fleet/retention.go
@@ -0,0 +1,236 @@
+package fleet
+
+import (
+	"cmp"
+	"slices"
+
+	"lilacvane/internal/backend"
+)
+
+// A node among hundreds sends requests to few of thousands of runners. Unless it controls a
+// service, it tracks only some of the runners that hold each unit and some of each service, in
+// each region, from its own zone and from other zones, and skips the rest. So the state it
+// keeps grows with what may be requested and not with the number of runners. The node that
+// controls a service tracks all runners.
+//
+// All nodes of a zone track the same runners of that zone, so that a prompt which a runner has
+// cached for one node serves the requests of the others. Of other zones each node tracks its
+// own selection, so that together the nodes use all runners.
+
+// Bound limits how many runners a node tracks while it controls no service.
+type Bound struct {
+	// Runners is how many it tracks whatever they hold.
+	Runners int
+	// Unit is how many runners that hold a unit it tracks beyond that, and Service how many of
+	// a service: this many in its own zone and as many in all other zones together, per
+	// region.
+	Unit    int
+	Service int
+}
+
+// DefaultBound keeps the state at 1 to 2 MB with some hundred models.
+var DefaultBound = Bound{Runners: 512, Unit: 16, Service: 64}
+
+// boundGroup is a group of runners to which a bound applies.
+type boundGroup struct {
+	service string
+	// unit is empty for all runners of the service.
+	unit   backend.Unit
+	region string
+	near   bool
+}
+
+// retention decides which runners are tracked. Fleet.mutex guards it.
+type retention struct {
+	// bound is zero if all runners are tracked.
+	bound Bound
+	zone  string
+	// seed gives this node its own order of the runners of other zones.
+	seed uint64
+	// all is set while the node needs all runners. skipped holds the services of which a
+	// runner was skipped since the whole list was read; the value is true if one of those was
+	// not draining.
+	all     bool
+	skipped map[string]bool
+	// tracked counts the present runners by group.
+	tracked map[boundGroup]int
+	// listRevision is the newest revision of the list that this node may have applied.
+	listRevision uint64
+}
+
+// forEachGroup calls visit with each group to which a runner belongs.
+func (k *retention) forEachGroup(listed *backend.Runner, visit func(boundGroup)) {
+	group := boundGroup{service: listed.Service, region: listed.Region, near: listed.Zone == k.zone}
+	visit(group)
+	for _, holding := range listed.Models {
+		group.unit = backend.Unit{Model: holding.Model}
+		visit(group)
+		for _, adapter := range holding.Adapters {
+			group.unit.Adapter = adapter
+			visit(group)
+		}
+	}
+}
+
+// count adds a runner to its groups or removes it. Without a bound nothing is counted.
+func (k *retention) count(listed *backend.Runner, by int) {
+	if k.bound == (Bound{}) {
+		return
+	}
+	k.forEachGroup(listed, func(group boundGroup) {
+		if k.tracked[group] += by; k.tracked[group] == 0 {
+			delete(k.tracked, group)
+		}
+	})
+}
+
+// belowBound reports whether a group of the runner has fewer runners than its bound. others
+// returns how many runners a group has without this one.
+func (k *retention) belowBound(listed *backend.Runner, others func(boundGroup) int) bool {
+	below := false
+	k.forEachGroup(listed, func(group boundGroup) {
+		bound := k.bound.Unit
+		if group.unit == (backend.Unit{}) {
+			bound = k.bound.Service
+		}
+		below = below || others(group) < bound
+	})
+	return below
+}
+
+// recordSkipped records that a runner is not tracked.
+func (k *retention) recordSkipped(listed *backend.Runner) {
+	k.skipped[listed.Service] = k.skipped[listed.Service] || !listed.Draining
+}
+
+// shouldTrack reports whether a runner that is not tracked yet should be, given the number of
+// other tracked runners. A draining runner is of no use to new requests.
+func (k *retention) shouldTrack(listed *backend.Runner, others int) bool {
+	if k.bound == (Bound{}) || k.all || others < k.bound.Runners {
+		return true
+	}
+	return !listed.Draining && k.belowBound(listed, func(group boundGroup) int { return k.tracked[group] })
+}
+
+// canDrop reports whether a tracked runner may be dropped, given the number of others.
+func (k *retention) canDrop(listed *backend.Runner, others int) bool {
+	if k.bound == (Bound{}) || k.all || listed.Draining || others < k.bound.Runners {
+		return false
+	}
+	return !k.belowBound(listed, func(group boundGroup) int { return k.tracked[group] - 1 })
+}
+
+// sortByRank sorts runners by the order in which they are tracked.
+func (k *retention) sortByRank(listed []backend.Runner) {
+	if k.bound == (Bound{}) || k.all {
+		return
+	}
+	rank := func(runner *backend.Runner) uint64 {
+		if runner.Zone == k.zone {
+			return hashID(runner.ID)
+		}
+		return rendezvousWeight(k.seed, hashID(runner.ID))
+	}
+	slices.SortFunc(listed, func(a, b backend.Runner) int { return cmp.Compare(rank(&a), rank(&b)) })
+}
+
+// SetBound limits the runners that the named node tracks. It must be called before the fleet
+// is used; without it all runners are tracked.
+func (f *Fleet) SetBound(node string, bound Bound) {
+	f.retention = retention{bound: bound, zone: f.zone, seed: hashID(node), skipped: make(map[string]bool), tracked: make(map[boundGroup]int)}
+}
+
+// KeepAll sets whether the fleet tracks all runners that it is told of from now on, or only as
+// many as its bound allows. Runners that were skipped have to be listed again; see Complete.
+// It reports whether the setting changed.
+func (f *Fleet) KeepAll(all bool) bool {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	if f.retention.all == all {
+		return false
+	}
+	f.retention.all = all
+	f.listVersion++
+	if !all {
+		f.prune()
+	}
+	return true
+}
+
+// KeepsAll reports whether the fleet tracks all runners that it is told of.
+func (f *Fleet) KeepsAll() bool {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.retention.all
+}
+
+// SetListRevision sets the revision of changes of the list before they are applied.
+func (f *Fleet) SetListRevision(revision uint64) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.retention.listRevision = revision
+}
+
+// trackFromHolder tracks a skipped runner as listed by another node. If that node's list is
+// older than this one's, a change that only this node has applied may be the removal of the
+// runner, so the runner stays skipped. mutex must be held.
+func (f *Fleet) trackFromHolder(listed *backend.Runner, listRevision uint64) {
+	if listed == nil || f.runners[listed.ID] != nil || f.incarnations[listed.Name()] != "" || listRevision < f.retention.listRevision {
+		return
+	}
+	f.listVersion++
+	f.upsert(*listed, nil)
+}
+
+// Complete reports whether no runner was skipped since the whole list was read.
+func (f *Fleet) Whole() bool {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.listRead && len(f.retention.skipped) == 0
+}
+
+// NeedsFullList reports whether few runners of a service are left while others of it were
+// skipped, so that the whole list should be read again. It ignores runners per unit, as the
+// service's control holder tells which runners hold a unit.
+func (f *Fleet) Lacks() bool {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	if len(f.retention.skipped) == 0 {
+		return false
+	}
+	remaining := make(map[string]int)
+	for group, count := range f.retention.tracked {
+		if group.unit == (backend.Unit{}) {
+			remaining[group.service] += count
+		}
+	}
+	for service, ready := range f.retention.skipped {
+		if ready && remaining[service] < f.retention.bound.Service {
+			return true
+		}
+	}
+	return false
+}
+
+// prune drops the runners that need not be tracked and are idle. mutex must be held.
+func (f *Fleet) prune() {
+	for id, known := range f.runners {
+		if known.present && f.idle(known) && f.retention.canDrop(&known.listed, len(f.runners)-1) {
+			f.drop(id)
+		}
+	}
+}
+
+// drop forgets a listed runner that need not be tracked. mutex must be held.
+func (f *Fleet) drop(id string) {
+	known := f.runners[id]
+	f.retention.count(&known.listed, -1)
+	f.retention.recordSkipped(&known.listed)
+	f.forget(id)
+}
+
+// idle reports whether this node has nothing in flight at the runner and expects none of the
+// prompts cached there to be of use. mutex must be held.
+func (f *Fleet) idle(known *runner) bool {
+	return known.inFlight == 0 && known.deferred == 0 && !known.suspect && f.now().Sub(known.answeredAt) > promptLifetime
+}
--- a/internal/fleet/keep_test.go
+++ b/internal/fleet/retention_test.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// rareModels are held by one runner each, busyModels by all the others.
+	// rareModels are held by one runner each, busyModels by all others.
 	rareModels = 250
 	busyModels = 50
 	largeZones = 6
 )
 
-// largeList is the list of a fleet of so many runners, each of which holds two models.
+// largeList returns a list of size runners, each of which holds two models.
 func largeList(size int) []backend.Runner {
 	runners := make([]backend.Runner, size)
 	for i := range runners {
@@ -35,20 +35,20 @@
 	return runners
 }
 
-// boundedFleet is the fleet of a node of zone-0.
+// boundedFleet returns the fleet of a node in zone-0.
 func boundedFleet(node string) *Fleet {
 	f := New("zone-0", time.Now, noRules{})
 	f.SetBound(node, DefaultBound)
 	return f
 }
 
-// state is how many entries a fleet keeps of whatever kind.
+// state returns the number of entries of all kinds that a fleet keeps.
 func (f *Fleet) state() int {
-	return len(f.runners) + len(f.incarnations) + len(f.gone) + len(f.left) + len(f.keep.kept)
+	return len(f.runners) + len(f.incarnations) + len(f.departed) + len(f.departedAt) + len(f.retention.tracked)
 }
 
-// TestStateDoesNotGrowWithUnusedRunners: of twice as many runners a node keeps no more, also
-// after all of them changed what they hold and a part of them left.
+// TestStateDoesNotGrowWithUnusedRunners checks that a node does not keep more state for twice
+// as many runners, also after all runners changed what they hold.
 func TestStateDoesNotGrowWithUnusedRunners(t *testing.T) {
 	kept := make(map[int]int)
 	for _, size := range []int{10_000, 20_000} {
@@ -67,8 +67,9 @@
 	assert.Assert(t, kept[20_000] < 10_000, "entries kept: %v", kept)
 }
 
-// TestEachUnitStaysKnown: of each unit that a runner holds a node knows some, from its zone and
-// from others where there are any; nodes of a zone know the same of it.
+// TestEachUnitStaysKnown checks that a node tracks some runners for each unit, from its own
+// zone and from others where there are any, and that nodes of a zone track the same ones
+// there.
 func TestEachUnitStaysKnown(t *testing.T) {
 	f, other := boundedFleet("node"), boundedFleet("other")
 	f.Replace(largeList(10_000), false)
@@ -96,8 +97,8 @@
 	}
 }
 
-// TestSmallFleetIsKeptWhole: a node passes nothing over while there are few runners, also none that
-// leaves.
+// TestSmallFleetIsKeptWhole checks that a node skips no runner while there are few, not even a
+// draining one.
 func TestSmallFleetIsKeptWhole(t *testing.T) {
 	f := boundedFleet("node")
 	list := largeList(DefaultBound.Runners)
@@ -107,8 +108,9 @@
 	assert.Assert(t, f.Whole())
 }
 
-// TestHolderKeepsAll: a node that controls keeps all runners once the list was read anew, and
-// drops those that it does not need when it controls no more, but not what it uses.
+// TestHolderKeepsAll checks that a node that controls a service tracks all runners once the
+// list was read again. When it stops controlling, it drops those that it does not need, except
+// runners in use.
 func TestHolderKeepsAll(t *testing.T) {
 	const size = 5000
 	f := boundedFleet("node")
@@ -128,12 +130,13 @@
 	f.Done(choice, query, Served, time.Millisecond, false)
 }
 
-// TestLostRunnersAreReplaced: a node that lost most of what it knows of a service, of which it
-// passed others over, asks for the list; one that lost a zone does not.
+// TestLostRunnersAreReplaced checks that a node asks for the list again after it lost most of
+// the runners it tracked of a service while it had skipped others. The loss of a zone is not
+// enough.
 func TestLostRunnersAreReplaced(t *testing.T) {
 	f := boundedFleet("node")
 	list := largeList(10_000)
-	// A service of few runners is known whole.
+	// All runners of a small service are tracked.
 	for i := range 3 {
 		list[i].Service = "few"
 		list[i].Draining = i == 2
@@ -158,7 +161,7 @@
 	assert.Assert(t, !f.Lacks())
 }
 
-// BenchmarkStateBytes states the bytes that a node holds of the runners.
+// BenchmarkStateBytes reports the memory that a node uses for the runners.
 func BenchmarkStateBytes(b *testing.B) {
 	for _, size := range []int{2500, 10_000, 20_000} {
 		for _, bound := range []Bound{{}, DefaultBound} {
@@ -183,7 +186,7 @@
 	}
 }
 
-// heapInUse is how many bytes of the heap are reachable.
+// heapInUse returns the number of reachable bytes on the heap.
 func heapInUse() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -191,9 +194,9 @@
 	return float64(stats.HeapAlloc)
 }
 
-// TestHolderTellsOfPassedOverRunner: a runner that a node passed over is used as soon as the
-// holder tells where it is, unless the node's own list is newer than the holder's: the runner
-// may have left since.
+// TestHolderTellsOfPassedOverRunner checks that a skipped runner is used as soon as the
+// control holder sends its list entry, unless the node's own list is newer than the holder's:
+// the runner may have left since.
 func TestHolderTellsOfPassedOverRunner(t *testing.T) {
 	list := largeList(10_000)
 	for _, c := range []struct {
--- a/internal/fleet/apart_test.go
+++ b/internal/fleet/short_prompts_test.go
@@ -12,7 +12,8 @@
 
 var apartUnit = backend.Unit{Model: "m"}
 
-// apartFleet knows some runners that hold one model, and the mean prompt.
+// apartFleet returns a fleet of runners that all hold one model, with a known mean prompt
+// length.
 func apartFleet(runners int) *Fleet {
 	f := New("zone", time.Now, noRules{})
 	listed := make([]backend.Runner, 0, runners)
@@ -26,7 +27,7 @@
 	return f
 }
 
-// runnersOf returns the runners to which a number of prompts went, one after the other.
+// runnersOf returns the runners to which count prompts were sent, one after the other.
 func runnersOf(f *Fleet, tokens, count int) map[string]bool {
 	used := make(map[string]bool)
 	for i := range count {
@@ -43,8 +44,8 @@
 	return used
 }
 
-// TestShortPromptsAreKeptApart: whatever node they come to, short prompts go to one set
-// of a model's runners and long ones to the others.
+// TestShortPromptsAreKeptApart checks that all nodes send short prompts to the same subset of
+// a model's runners, and long ones to the rest.
 func TestShortPromptsAreKeptApart(t *testing.T) {
 	for runners, kept := range map[int]int{2: 1, 3: 1, 4: 1, 8: 2, 20: 5} {
 		short := runnersOf(apartFleet(runners), 500, 400)
@@ -59,8 +60,8 @@
 	assert.Equal(t, len(runnersOf(apartFleet(1), 9000, 10)), 1)
 }
 
-// TestQueueOutweighsKeepingApart: a prompt goes to the other kind's runner rather than
-// behind a long prompt.
+// TestQueueOutweighsKeepingApart checks that a prompt goes to a runner for the other kind
+// rather than behind a queued long prompt.
 func TestQueueOutweighsKeepingApart(t *testing.T) {
 	f := apartFleet(2)
 	kept := runnersOf(f, 500, 1)
@@ -77,8 +78,8 @@
 	}
 }
 
-// TestNoRunnerIsLeftOutForever: where all prompts are long, the runners kept for short
-// ones take some as soon as the others have requests under way.
+// TestNoRunnerIsLeftOutForever checks that the runners kept for short prompts also serve long
+// ones, if there are no others, as soon as the other runners have requests in flight.
 func TestNoRunnerIsLeftOutForever(t *testing.T) {
 	f := apartFleet(4)
 	used := make(map[string]bool)
@@ -87,5 +88,5 @@
 		choice, _ := f.Choose(query)
 		used[choice.Runner.ID] = true
 	}
-	assert.Equal(t, len(used), 4, "with requests under way at the others")
+	assert.Equal(t, len(used), 4, "with requests in flight at the other runners")
 }
--- a/internal/fleet/standing_test.go
+++ b/internal/fleet/state_counts_test.go
@@ -11,8 +11,8 @@
 	"lilacvane/internal/place"
 )
 
-// TestZonesCountRunnersOnce: each listed runner counts in its zone, under one state; a cold
-// one is no longer so once the time that it told is over.
+// TestZonesCountRunnersOnce checks that each listed runner counts in its zone under one state,
+// and that a cold runner counts as ready once the time it reported has passed.
 func TestZonesCountRunnersOnce(t *testing.T) {
 	c := &clock{now: time.Unix(1000, 0)}
 	f := New("zone-a", c.read, drains{"r3": true})
--- a/internal/fleet/statements.go
+++ b/internal/fleet/statements.go
@@ -7,23 +7,23 @@
 	"lilacvane/internal/eligible"
 )
 
-// leaves reports whether a runner said that it leaves, on the platform's list or in an answer:
-// the list is late, by seconds while the store is away. mutex is held.
-func (f *Fleet) leaves(known *runner) bool {
+// isDraining reports whether a runner stated that it is leaving, in the platform's list or in
+// an answer. The list lags, by seconds while the store is down. mutex must be held.
+func (f *Fleet) isDraining(known *runner) bool {
 	return known.listed.Draining || f.statements.Of(known.listed.ID).Leaving
 }
 
-// AllLeave reports whether there are runners of a query's service in its homes, and all of them
-// leave, so that none can take the request, whatever it holds.
+// AllDraining reports whether there are runners of the query's service in its homes and all of
+// them are draining, so that none can take the request, whatever it holds.
 func (f *Fleet) AllLeave(query Query) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	found := false
 	for _, known := range f.runners {
-		if !known.present || !known.serves(query.Service, query.Homes) {
+		if !known.present || !known.isServing(query.Service, query.Homes) {
 			continue
 		}
-		if !f.leaves(known) {
+		if !f.isDraining(known) {
 			return false
 		}
 		found = true
@@ -31,73 +31,77 @@
 	return found
 }
 
-// takesNoMore reports whether a runner wants nothing from this node, or has rested and has as much as
-// it may have at once. mutex is held.
-func (f *Fleet) takesNoMore(known *runner) bool {
+// isResting reports whether a runner asked for a rest, or has rested and has as many requests
+// as it may have at once afterwards. mutex must be held.
+func (f *Fleet) isResting(known *runner) bool {
 	stated := f.statements.Of(known.listed.ID)
 	return stated.Rest > 0 || (stated.Window > 0 && known.unanswered >= stated.Window)
 }
 
-// Rests reports whether a runner asked this node for a time without requests that lasts.
+// Rests reports whether a runner asked this node for a rest that has not ended.
 func (f *Fleet) Rests(id string) bool { return f.statements.Of(id).Rest > 0 }
 
-// leastTaken is what a runner that rested is supposed to take at least.
-const leastTaken = 2
+// minRestCapacity is the least number of requests that a rested runner is assumed to take.
+const minRestCapacity = 2
 
-// noteRest notes what a runner that turned a request away took, as it begins to rest, and
-// reports whether it rests. mutex is held.
-func (f *Fleet) noteRest(known *runner) bool {
+// recordRest records, as a rest begins, how many requests the runner was answering. It is
+// called when the runner refused a request, and reports whether the runner rests. mutex must
+// be held.
+func (f *Fleet) recordRest(known *runner) bool {
 	rest := f.statements.Of(known.listed.ID).Rest
 	if rest == 0 {
 		return false
 	}
 	now := f.now()
-	if !now.Before(known.restsUntil) {
-		known.tookBefore = max(known.inFlight-known.unanswered, leastTaken)
+	if !now.Before(known.restUntil) {
+		known.activeBeforeRest = max(known.inFlight-known.unanswered, minRestCapacity)
 	}
-	known.restsUntil = now.Add(rest)
+	known.restUntil = now.Add(rest)
 	return true
 }
 
-// AwaitRest notes that a request waits for a rest to end, until end is called, and returns how
-// many wait for the same before it.
+// AwaitRest counts a request that waits for a rest to end, until end is called, and returns
+// how many requests already wait for the same.
 func (f *Fleet) AwaitRest(query Query) (ahead int, end func()) {
-	key := asked{service: query.Service, unit: query.Unit, homes: query.Homes}
+	key := requestKey{service: query.Service, unit: query.Unit, homes: query.Homes}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	ahead = f.restWaits[key]
-	f.restWaits[key]++
+	ahead = f.restWaiters[key]
+	f.restWaiters[key]++
 	return ahead, func() {
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
-		if f.restWaits[key]--; f.restWaits[key] == 0 {
-			delete(f.restWaits, key)
+		if f.restWaiters[key]--; f.restWaiters[key] == 0 {
+			delete(f.restWaiters, key)
 		}
 	}
 }
 
-// returnLook is the time until another look at a runner that has rested and has as much as it may
-// have at once: some answers.
-const returnLook = 50 * time.Millisecond
+// restRecheckInterval is the time until another look at a rested runner that has as many
+// requests as it may have at once: enough for some answers.
+const restRecheckInterval = 50 * time.Millisecond
 
-// restingRunners are those that could serve a request but for their rest. Fleet.mutex guards first.
+// restingRunners describes the runners that could serve a request but for their rest.
+// Fleet.mutex guards first.
 type restingRunners struct {
-	// first is the one whose rest ends first, in that time; nil when there is none.
+	// first is the runner whose rest ends first, after the time in; nil if there is none.
 	first *runner
 	in    time.Duration
-	// room is how many requests of this node they took together before.
-	room int
+	// capacity is the number of requests of this node that these runners were answering
+	// before.
+	capacity int
 }
 
-// restOnly finds the runners that could serve a request but for their rest. mutex is held.
-func (f *Fleet) restOnly(query Query) restingRunners {
+// restBlocked finds the runners that could serve a request but for their rest. mutex must be
+// held.
+func (f *Fleet) restBlocked(query Query) restingRunners {
 	var found restingRunners
 	for id, known := range f.runners {
-		if f.eligible(known, request(query)) != eligible.Resting || slices.Contains(query.Exclude, id) || f.serves(known, query.Unit) != unhindered {
+		if f.eligibility(known, request(query)) != eligible.Resting || slices.Contains(query.Exclude, id) || f.unitBlockedBy(known, query.Unit) != unblocked {
 			continue
 		}
-		found.room += max(known.tookBefore, leastTaken)
-		left := max(f.statements.Of(id).Rest, returnLook)
+		found.capacity += max(known.activeBeforeRest, minRestCapacity)
+		left := max(f.statements.Of(id).Rest, restRecheckInterval)
 		if found.first == nil || left < found.in {
 			found.first, found.in = known, left
 		}
@@ -106,28 +110,28 @@
 }
 
 // RestEndsIn returns the shortest time until a request may be sent to one of the runners that
-// could serve it but for their rest, and how many requests of this node they took before; false
-// when there is none.
-func (f *Fleet) RestEndsIn(query Query) (in time.Duration, room int, rests bool) {
+// could serve it but for their rest, and how many requests of this node those runners were
+// answering before; false if there are none.
+func (f *Fleet) RestEndsIn(query Query) (in time.Duration, capacity int, rests bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	found := f.restOnly(query)
-	return found.in, found.room, found.first != nil
+	found := f.restBlocked(query)
+	return found.in, found.capacity, found.first != nil
 }
 
-// ReturnAfterRest returns when a request that is refused may come back: once the first rest has
-// ended and the runner has had the time for those that were told the same before, by its mean
-// time for an answer and its slots. It is zero when no runner rests.
+// RetryAfterRest returns after what time a refused request may be sent again: once the first
+// rest has ended and the runner has had time for the requests that were given an earlier time,
+// by its mean answer time and its slots. It is zero if no runner rests.
 func (f *Fleet) ReturnAfterRest(query Query) time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	found := f.restOnly(query)
+	found := f.restBlocked(query)
 	first, in := found.first, found.in
 	if first == nil {
 		return 0
 	}
-	if now := f.now(); first.deferredTo.Before(now) {
-		first.deferred, first.deferredTo = 0, now.Add(in)
+	if now := f.now(); first.deferredUntil.Before(now) {
+		first.deferred, first.deferredUntil = 0, now.Add(in)
 	}
 	each := time.Duration(first.latency * float64(time.Millisecond) / float64(max(first.listed.Slots, 1)))
 	first.deferred++
--- a/internal/fleet/statements_test.go
+++ b/internal/fleet/statements_test.go
@@ -20,7 +20,7 @@
 	limitHeader   = "X-Limit"
 )
 
-// statedFleet is a fleet of runners of model m, and what they state.
+// statedFleet returns a fleet of runners that hold model m, and the book of their statements.
 func statedFleet(names ...string) (*Fleet, *statement.Book, *clock) {
 	f, c := testFleet()
 	book := statement.NewBook(statement.Options{
@@ -38,21 +38,22 @@
 	return f, book, c
 }
 
-// sayLeaving lets a runner say in an answer that it leaves.
+// sayLeaving records an answer in which a runner states that it is leaving.
 func sayLeaving(book *statement.Book, id string) {
 	book.Hear(statement.Source{Runner: id}, http.StatusOK, http.Header{leavingHeader: {"1"}})
 }
 
 var statedQuery = Query{Service: "s", Unit: backend.Unit{Model: "m"}}
 
-// TestRunnerThatSaysItLeavesGetsNothing: neither requests nor questions go to a runner that said
-// in an answer that it leaves, also when its row still says that it is ready, or comes again.
+// TestRunnerThatSaysItLeavesGetsNothing checks that a runner which stated in an answer that it
+// is leaving gets no requests and no load queries, even if its row still says that it is ready
+// or is listed again.
 func TestRunnerThatSaysItLeavesGetsNothing(t *testing.T) {
 	f, book, c := statedFleet("r1", "r2", "r3")
 	before, ok := f.Choose(statedQuery)
 	assert.Assert(t, ok)
 	sayLeaving(book, before.Runner.ID)
-	assert.Assert(t, !f.Allowed(before, statedQuery), "one that was chosen before goes there")
+	assert.Assert(t, !f.Allowed(before, statedQuery), "a request for which it was chosen earlier may still be sent")
 	f.Apply([]backend.Runner{listed(before.Runner.ID, "m")}, nil, false)
 	for range 20 {
 		choice, ok := f.Choose(statedQuery)
@@ -62,7 +63,7 @@
 		}
 	}
 	assert.Equal(t, f.Zones()["zone-a"], Standing{Ready: 2, Draining: 1})
-	// Its row lapses while the store is away, and comes back.
+	// Its row expires while the store is down and comes back.
 	f.Replace([]backend.Runner{listed("r2", "m"), listed("r3", "m")}, true)
 	c.now = c.now.Add(missingLifetime + time.Second)
 	f.Replace([]backend.Runner{listed("r1", "m"), listed("r2", "m"), listed("r3", "m")}, false)
@@ -72,7 +73,8 @@
 	}
 }
 
-// TestLaterIncarnationDoesNotLeave: what an earlier incarnation said does not bind a later one.
+// TestLaterIncarnationDoesNotLeave checks that a statement of an earlier incarnation does not
+// apply to a later one.
 func TestLaterIncarnationDoesNotLeave(t *testing.T) {
 	f, book, _ := statedFleet()
 	born := func(at int64) backend.Runner {
@@ -89,32 +91,33 @@
 	assert.Assert(t, ok && choice.Runner.ID == born(2).ID)
 }
 
-// TestAllLeave: runners of other services, and those that are gone, do not count.
+// TestAllLeave checks that runners of other services and departed runners do not count.
 func TestAllLeave(t *testing.T) {
 	f, book, _ := statedFleet("r1", "r2")
-	assert.Assert(t, !f.AllLeave(Query{Service: "other"}), "there is none")
+	assert.Assert(t, !f.AllLeave(Query{Service: "other"}), "the service has no runners")
 	sayLeaving(book, "r1")
 	assert.Assert(t, !f.AllLeave(statedQuery))
 	sayLeaving(book, "r2")
 	assert.Assert(t, f.AllLeave(statedQuery))
 	assert.Equal(t, f.Refusal(statedQuery), eligible.Draining)
 	f.Apply([]backend.Runner{listed("r3")}, nil, false)
-	assert.Assert(t, !f.AllLeave(statedQuery), "one without the model may load it")
+	assert.Assert(t, !f.AllLeave(statedQuery), "a runner without the model may load it")
 }
 
-// askRest lets a runner ask for a rest as it turns a request away.
+// askRest records a refusal in which a runner asks for a rest.
 func askRest(book *statement.Book, id, seconds string) {
 	book.Hear(statement.Source{Runner: id}, http.StatusServiceUnavailable, http.Header{"Retry-After": {seconds}})
 }
 
-// answer lets a runner answer a request.
+// answer records that a runner answered a request.
 func answer(f *Fleet, book *statement.Book, choice Choice) {
 	book.Hear(statement.Source{Runner: choice.Runner.ID, Request: "q"}, http.StatusOK, http.Header{})
 	f.Started(choice)
 	f.Done(choice, statedQuery, Served, time.Millisecond, true)
 }
 
-// TestRunnerThatRestsGetsNothing: for any unit, until its rest has ended; others are chosen.
+// TestRunnerThatRestsGetsNothing checks that a resting runner gets no requests for any unit
+// until its rest has ended, and that other runners are chosen.
 func TestRunnerThatRestsGetsNothing(t *testing.T) {
 	f, book, c := statedFleet("r1", "r2")
 	f.Apply([]backend.Runner{listed("r1", "m", "other")}, nil, false)
@@ -126,8 +129,8 @@
 	}
 	other := Query{Service: "s", Unit: backend.Unit{Model: "other"}}
 	_, ok := f.Choose(other)
-	assert.Assert(t, !ok, "of another model")
-	assert.Assert(t, f.Holds("s", "other", other.Homes), "it holds it all the same")
+	assert.Assert(t, !ok, "a resting runner got a request for another model")
+	assert.Assert(t, f.Holds("s", "other", other.Homes), "a resting runner still holds its model")
 	assert.Equal(t, f.Obstacles(other).Main().String(), "resting")
 	in, _, rests := f.RestEndsIn(other)
 	assert.Assert(t, rests && in == 3*time.Second, "%s", in)
@@ -136,8 +139,9 @@
 	assert.Assert(t, ok && choice.Runner.ID == "r1")
 }
 
-// TestRunnerReturnsByDegrees: after its rest a runner gets two requests, then more with each
-// answer, until it takes any number; another refusal starts anew.
+// TestRunnerReturnsByDegrees checks that after its rest a runner gets two requests at once,
+// then more with each answer until there is no limit, and that another refusal starts this
+// again.
 func TestRunnerReturnsByDegrees(t *testing.T) {
 	f, book, c := statedFleet("r1")
 	take := func() (taken []Choice) {
@@ -164,11 +168,11 @@
 	c.now = c.now.Add(time.Second)
 	assert.Equal(t, len(take()), 2)
 	in, room, rests := f.RestEndsIn(statedQuery)
-	assert.Assert(t, rests && in == returnLook && room == leastTaken, "%s %d", in, room)
+	assert.Assert(t, rests && in == restRecheckInterval && room == minRestCapacity, "%s %d", in, room)
 }
 
-// TestReturnIsTrueForTheNumberThatWaits: who is refused later comes back later, by the runner's
-// time for an answer and its slots.
+// TestReturnIsTrueForTheNumberThatWaits checks that requests refused later are told to come
+// back later, by the runner's answer time and its slots.
 func TestReturnIsTrueForTheNumberThatWaits(t *testing.T) {
 	f, book, c := statedFleet("r1")
 	for range 200 {
@@ -187,11 +191,11 @@
 	assert.Assert(t, eleventh > 2900*time.Millisecond && eleventh <= 3*time.Second, "%s", eleventh)
 	c.now = c.now.Add(3 * time.Second)
 	askRest(book, "r1", "2")
-	assert.Equal(t, f.ReturnAfterRest(statedQuery), 2*time.Second, "of the next rest")
+	assert.Equal(t, f.ReturnAfterRest(statedQuery), 2*time.Second, "the next rest starts anew")
 }
 
-// TestRoomIsWhatARunnerTook: as many wait for its return as it was answering when it began to
-// rest.
+// TestRoomIsWhatARunnerTook checks that the capacity of a resting runner is the number of
+// requests it was answering when the rest began.
 func TestRoomIsWhatARunnerTook(t *testing.T) {
 	f, book, _ := statedFleet("r1")
 	for range 5 {
@@ -211,8 +215,8 @@
 	}
 }
 
-// TestRunnerThatNamedALimitNeedsAPermit: others go first; each request takes a permit, and the limit
-// ends with the runner's word.
+// TestRunnerThatNamedALimitNeedsAPermit checks that each request to a runner that stated a
+// limit takes a permit, and that the limit ends with an answer that states none.
 func TestRunnerThatNamedALimitNeedsAPermit(t *testing.T) {
 	f, book, c := statedFleet("r1")
 	f.SetColdStarts(ColdStarts{
@@ -227,11 +231,11 @@
 	assert.Assert(t, ok)
 	named := http.Header{limitHeader: {"2"}}
 	book.Hear(statement.Source{Runner: "r1", Request: "a"}, http.StatusOK, named)
-	assert.Assert(t, !f.Allowed(before, statedQuery), "one that was chosen before goes there")
+	assert.Assert(t, !f.Allowed(before, statedQuery), "a request for which it was chosen earlier may still be sent")
 	_, ok = f.Choose(statedQuery)
 	assert.Assert(t, !ok)
 	assert.Assert(t, f.WaitsForPermit(statedQuery))
-	assert.Equal(t, f.eligible(f.runners["r1"], request(statedQuery)), eligible.Limited)
+	assert.Equal(t, f.eligibility(f.runners["r1"], request(statedQuery)), eligible.Limited)
 	assert.DeepEqual(t, f.PermitsWanted("s", statedQuery.Unit, place.Homes{}, 1), []PermitsWanted{{Runner: "r1", Count: 1, Rate: 2}})
 	f.ApplyPermits([]PermitsLent{{Runner: "r1", Count: 1}}, c.now)
 	chosen, ok := f.Choose(statedQuery)
--- a/internal/fleet/suspect.go
+++ b/internal/fleet/suspect.go
@@ -3,21 +3,20 @@
 import "time"
 
 const (
-	// suspectPause is the least time between two suspicions of a runner.
-	suspectPause = 500 * time.Millisecond
-	// silentLifetime is how long the holder's word that a runner is silent counts;
-	// it repeats it while that is so.
+	// suspectInterval is the least time between two suspicions of a runner.
+	suspectInterval = 500 * time.Millisecond
+	// silentLifetime is how long a runner counts as silent after the holder reported it; the
+	// holder repeats the report while it applies.
 	silentLifetime = 1500 * time.Millisecond
 )
 
-// Suspect notes that a runner leaves a request without any answer for longer than
-// is usual. It returns whether that is to be told to the service's control holder,
-// which asks the runner itself.
+// Suspect records that a runner has left a request unanswered for unusually long. It reports
+// whether to tell the service's control holder, which then checks the runner itself.
 func (f *Fleet) Suspect(id string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	known := f.runners[id]
-	if known == nil || f.now().Sub(known.suspectedAt) < suspectPause {
+	if known == nil || f.now().Sub(known.suspectedAt) < suspectInterval {
 		return false
 	}
 	known.suspect, known.suspectedAt = true, f.now()
@@ -38,8 +37,8 @@
 	return suspects
 }
 
-// silent reports whether the holder found a runner silent and it has not answered
-// this node since: some nodes may reach a runner that others do not. mutex is held.
+// silent reports whether the holder found a runner silent and the runner has not answered this
+// node since: some nodes may reach a runner that others cannot. mutex must be held.
 func (f *Fleet) silent(known *runner) bool {
 	v := known.view
 	return v != nil && v.silent && f.now().Sub(v.at) < silentLifetime && known.answeredAt.Before(v.at)
--- a/internal/fleet/suspect_test.go
+++ b/internal/fleet/suspect_test.go
@@ -10,8 +10,8 @@
 	"lilacvane/internal/place"
 )
 
-// TestSilentRunnerIsLeftAlone: what the holder found silent gets no request, until
-// the holder's word is old or the runner has answered this node.
+// TestSilentRunnerIsLeftAlone checks that a runner which the holder found silent gets no
+// request until the holder's report is too old or the runner has answered this node.
 func TestSilentRunnerIsLeftAlone(t *testing.T) {
 	now := time.Unix(1000, 0)
 	unit := backend.Unit{Model: "m"}
@@ -28,17 +28,18 @@
 	now = now.Add(time.Millisecond)
 	f.Done(first, query, Served, time.Millisecond, true)
 	_, found = f.Choose(query)
-	assert.Assert(t, found, "it answered this node")
+	assert.Assert(t, found, "the runner answered this node")
 	now = now.Add(time.Second)
 	f.ApplyViews([]View{silent}, 0)
 	_, found = f.Choose(query)
 	assert.Assert(t, !found)
 	now = now.Add(silentLifetime)
 	_, found = f.Choose(query)
-	assert.Assert(t, found, "the holder does not repeat it")
+	assert.Assert(t, found, "the holder did not repeat its report")
 }
 
-// TestSuspicionsAreToldOnce: a runner is suspected at intervals, and told once.
+// TestSuspicionsAreToldOnce checks that a runner is suspected at most once per interval and
+// returned once.
 func TestSuspicionsAreToldOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f := New("zone", func() time.Time { return now }, noRules{})
@@ -49,6 +50,6 @@
 	assert.Assert(t, !f.Suspect("r"))
 	assert.DeepEqual(t, f.TakeSuspects("s"), []string{"r"})
 	assert.Equal(t, len(f.TakeSuspects("s")), 0)
-	now = now.Add(suspectPause)
+	now = now.Add(suspectInterval)
 	assert.Assert(t, f.Suspect("r"))
 }
--- a/internal/fleet/views.go
+++ b/internal/fleet/views.go
@@ -7,27 +7,26 @@
 	"lilacvane/internal/place"
 )
 
-// View is the control holder's account of a runner.
+// View is the control holder's report on a runner.
 type View struct {
 	Runner string
-	// Listed is what the platform lists of the runner, told to a node that may have passed it
-	// over and waits for what it holds; nil otherwise.
+	// Listed is the runner's entry in the platform's list, sent to a node that may have
+	// skipped it and waits for what it holds; nil otherwise.
 	Listed *backend.Runner
 	Ready  []backend.Holding
-	// Coming lists units being loaded.
+	// Pending lists the units being loaded.
 	Coming []Coming
-	// Silent is set while the runner does not answer the holder, after nodes
-	// suspected it.
+	// Silent is set while the runner does not answer the holder after nodes suspected it.
 	Silent bool
 }
 
-// Coming is a unit that is being loaded and the time until it is expected.
+// PendingUnit is a unit that is being loaded, with the time until it is expected.
 type Coming struct {
 	Unit backend.Unit
 	In   time.Duration
-	// Homes are those of the requests that a planned load is for.
+	// Homes are those of the requests for which the load is planned.
 	Homes place.Homes
-	// Firm is set where a planned load cannot be sooner.
+	// Firm is set if a planned load cannot complete any sooner.
 	Firm bool
 }
 
@@ -38,14 +37,15 @@
 	silent bool
 }
 
-// ApplyViews takes over accounts of a service's control holder, whose list is of listRevision.
+// ApplyViews applies the views of a service's control holder, whose list has revision
+// listRevision.
 func (f *Fleet) ApplyViews(views []View, listRevision uint64) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for _, account := range views {
-		f.admit(account.Listed, listRevision)
-		if known := f.runners[account.Runner]; known != nil {
-			known.view = f.newView(account)
+	for _, view := range views {
+		f.trackFromHolder(view.Listed, listRevision)
+		if known := f.runners[view.Runner]; known != nil {
+			known.view = f.newView(view)
 			clear(known.refused)
 		}
 	}
@@ -54,12 +54,12 @@
 	}
 }
 
-func (f *Fleet) newView(account View) *view {
-	taken := &view{at: f.now(), silent: account.Silent, ready: unitsOf(account.Ready), coming: make(map[backend.Unit]time.Time, len(account.Coming))}
-	for _, coming := range account.Coming {
-		taken.coming[coming.Unit] = f.now().Add(coming.In)
+func (f *Fleet) newView(reported View) *view {
+	built := &view{at: f.now(), silent: reported.Silent, ready: unitsOf(reported.Ready), coming: make(map[backend.Unit]time.Time, len(reported.Coming))}
+	for _, coming := range reported.Coming {
+		built.coming[coming.Unit] = f.now().Add(coming.In)
 	}
-	return taken
+	return built
 }
 
 func unitsOf(models []backend.Holding) map[backend.Unit]bool {
@@ -78,14 +78,14 @@
 	if until, ok := known.refused[unit]; ok && f.now().Before(until) {
 		return false
 	}
-	if known.view != nil && f.viewCounts(known) {
+	if known.view != nil && f.viewIsCurrent(known) {
 		return known.view.ready[unit]
 	}
 	return known.units[unit]
 }
 
-// viewCounts reports whether the holder's account of a runner goes before the
-// list's: it is young, or the list told nothing since.
-func (f *Fleet) viewCounts(known *runner) bool {
+// viewIsCurrent reports whether the holder's view of a runner takes precedence over the list:
+// it is recent, or the list has not been updated since.
+func (f *Fleet) viewIsCurrent(known *runner) bool {
 	return f.now().Sub(known.view.at) < viewLifetime || !known.listedAt.After(known.view.at)
 }
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -5,20 +5,21 @@
 	"lilacvane/internal/place"
 )
 
-// costReturning is the cost in milliseconds of a runner in a zone that was taken back, for
-// the part of the requests that the zone is not to be given yet: they go there when
-// nobody else holds what they need, or when all others are a second behind.
+// costReturning is the cost in milliseconds of a runner in a zone that was put back into
+// service, for the share of requests that the zone should not get yet. Those go there only if
+// no other runner holds what they need or if all others are a second slower.
 const costReturning = 1_000.0
 
-// Zones tells what operators' decisions about zones weigh where there is a choice.
+// Zones tells how decisions of operators about zones affect the choice of a runner.
 type Zones interface {
-	// Share is the part, 0 to 1, of what a zone would be given that it is to be given now:
-	// nothing while it is about to be left, rising after it was taken back.
+	// Share is the part, 0 to 1, of its usual requests that a zone should get now: zero while
+	// it is about to be taken out, and rising after it was put back.
 	Share(zone place.Zone) float64
 }
 
-// zoneCost is the cost in milliseconds of a runner's zone. drawn, 0 to 1, is the same for
-// all runners of one choice, so that a share of the choices goes by the others' costs.
+// zoneCost is the cost in milliseconds of a runner's zone. drawn is a random number from 0 to
+// 1, the same for all runners of one choice, so that in a share of the choices only the other
+// costs count.
 func (f *Fleet) zoneCost(known *runner, drawn float64) float64 {
 	if f.zones == nil {
 		return 0
@@ -33,18 +34,18 @@
 	}
 }
 
-// Refusal says why no runner of a service in its homes may get a request, whatever it holds;
-// eligible.Yes when one may, now or once it takes more. A zone that is out goes before
-// other reasons, as it is what may be undone.
+// Refusal returns why no runner of a service in its homes may get a request, whatever it
+// holds; eligible.Yes if one may, now or once it takes more. A zone that is taken out takes
+// precedence over other reasons, as it is the one that operators can undo.
 func (f *Fleet) Refusal(query Query) eligible.Reason {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	refusal := eligible.Gone
 	for _, known := range f.runners {
-		if !known.serves(query.Service, query.Homes) {
+		if !known.isServing(query.Service, query.Homes) {
 			continue
 		}
-		switch reason := f.eligible(known, eligible.Question{Request: request(query)}); reason {
+		switch reason := f.eligibility(known, eligible.Question{Request: request(query)}); reason {
 		case eligible.Yes:
 			return eligible.Yes
 		case eligible.ZoneOut:
@@ -58,16 +59,16 @@
 	return refusal
 }
 
-// Allowed reports whether a request may still be sent to the runner that was chosen for
-// it some time ago.
+// Allowed reports whether a request may still be sent to the runner that was chosen for it
+// some time ago.
 func (f *Fleet) Allowed(choice Choice, query Query) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	known := f.runners[choice.Runner.ID]
-	return known != nil && f.check(known, request(query), f.permitted(known, choice), f.Rests(known.listed.ID)) == eligible.Yes
+	return known != nil && f.eligibilityWith(known, request(query), f.permitted(known, choice), f.Rests(known.listed.ID)) == eligible.Yes
 }
 
-// CountIn returns how many runners are listed in a zone.
+// CountIn returns the number of runners listed in a zone.
 func (f *Fleet) CountIn(zone place.Zone) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -80,12 +81,12 @@
 	return count
 }
 
-// request is what a query asks of eligible.
+// request converts a query for package eligible.
 func request(query Query) eligible.Request {
 	return eligible.Request{Service: query.Service, Homes: query.Homes}
 }
 
-// asked reports whether a runner of a service may be asked for anything. mutex is held.
-func (f *Fleet) asked(known *runner, service string, homes place.Homes) bool {
-	return f.eligible(known, eligible.Question{Request: eligible.Request{Service: service, Homes: homes}}) == eligible.Yes
+// mayAsk reports whether a runner of a service may be asked for its load. mutex must be held.
+func (f *Fleet) mayAsk(known *runner, service string, homes place.Homes) bool {
+	return f.eligibility(known, eligible.Question{Request: eligible.Request{Service: service, Homes: homes}}) == eligible.Yes
 }
--- a/internal/fleet/zones_test.go
+++ b/internal/fleet/zones_test.go
@@ -13,7 +13,7 @@
 	"lilacvane/internal/place"
 )
 
-// zones are states of zones that a test sets.
+// zones holds the states of zones as a test sets them.
 type zones struct {
 	out      map[place.Zone]bool
 	share    map[place.Zone]float64
@@ -46,8 +46,8 @@
 	return runner
 }
 
-// TestZoneOutGetsNothing: neither requests, nor questions, and what it holds or loads is
-// not counted on.
+// TestZoneOutGetsNothing checks that a zone that was taken out gets neither requests nor
+// questions, and that nothing it holds or loads is counted on.
 func TestZoneOutGetsNothing(t *testing.T) {
 	f, z, _ := zonedFleet(inZone("r1", "zone-a", "m"), inZone("r2", "zone-b", "m"), inZone("r3", "zone-b", "m"))
 	coming := backend.Unit{Model: "next"}
@@ -70,8 +70,8 @@
 	assert.Equal(t, f.Refusal(query), eligible.ZoneOut)
 }
 
-// TestReservedRunnerIsAskedForAgain: a runner chosen before its zone was taken out is not
-// sent what was reserved there.
+// TestReservedRunnerIsAskedForAgain checks that a request is not sent to a runner chosen
+// before its zone was taken out.
 func TestReservedRunnerIsAskedForAgain(t *testing.T) {
 	f, z, _ := zonedFleet(inZone("r1", "zone-a"))
 	query := Query{Service: "s"}
@@ -81,7 +81,8 @@
 	assert.Assert(t, !f.Allowed(choice, query))
 }
 
-// TestZoneAboutToBeLeftIsLastChoice: it serves what nobody else holds.
+// TestZoneAboutToBeLeftIsLastChoice checks that a zone about to be taken out serves only what
+// no other runner holds.
 func TestZoneAboutToBeLeftIsLastChoice(t *testing.T) {
 	f, z, _ := zonedFleet(inZone("r1", "zone-a", "m", "only"), inZone("r2", "zone-b", "m"))
 	z.share["zone-a"] = 0
@@ -93,8 +94,8 @@
 	assert.Assert(t, ok && choice.Runner.ID == "r1")
 }
 
-// TestDemandReturnsByDegrees: the part of the choices that a zone that came back takes
-// follows its share, though it is the nearest and idle.
+// TestDemandReturnsByDegrees checks that a zone that was put back gets the share of the
+// choices that is set, even if it is the nearest and idle.
 func TestDemandReturnsByDegrees(t *testing.T) {
 	f, z, _ := zonedFleet(inZone("r1", "zone-a"), inZone("r2", "zone-b"))
 	const choices = 2000
@@ -118,8 +119,8 @@
 	assert.Equal(t, took(1), 1.0)
 }
 
-// TestRunnerOfReturnedZoneIsColdUntilItsNextRow: what it said before the return does not
-// count.
+// TestRunnerOfReturnedZoneIsColdUntilItsNextRow checks that rows from before the zone was put
+// back do not count.
 func TestRunnerOfReturnedZoneIsColdUntilItsNextRow(t *testing.T) {
 	f, z, c := zonedFleet(inZone("r1", "zone-a"), inZone("r2", "zone-b"))
 	f.SetColdStarts(ColdStarts{
@@ -135,8 +136,8 @@
 	assert.Equal(t, f.Cold()["r1"], time.Duration(0))
 }
 
-// TestSharedPromptsLeaveTheZoneTogether: while a zone is left, prompts that nodes sent to
-// one runner there go to one other runner, the same from all nodes.
+// TestSharedPromptsLeaveTheZoneTogether checks that when a zone is about to be taken out,
+// prompts that nodes sent to one runner there go to one other runner, the same for all nodes.
 func TestSharedPromptsLeaveTheZoneTogether(t *testing.T) {
 	const prompts = 20
 	var runners []backend.Runner
@@ -157,8 +158,8 @@
 	}
 }
 
-// TestZoneOutsideTheHomesRefusesNothing: a zone that could not serve the request anyway is
-// not why it is not served.
+// TestZoneOutsideTheHomesRefusesNothing checks that a zone which could not serve the request
+// anyway is not given as the reason why it is refused.
 func TestZoneOutsideTheHomesRefusesNothing(t *testing.T) {
 	home, away := inZone("r1", "zone-a"), inZone("r2", "zone-b")
 	home.Region, away.Region, home.Draining = "north", "south", true
