--- a/internal/eligible/callers_test.go
+++ b/internal/eligible/callers_test.go
@@ -14,48 +14,50 @@
 	"gotest.tools/v3/assert"
 )
 
-// readers are the files that may read what decides about a runner, and why they may: all
-// others ask Check. The stand-ins in lab stand for the platform.
-var readers = map[string]string{
+// allowedReaders are the files that may read the state that decides about a runner, with the
+// reason; all others must call Check. The lab's stand-ins are exempt, as they act for the
+// platform.
+var allowedReaders = map[string]string{
 	"internal/eligible/eligible.go":  "decides",
-	"internal/fleet/choose.go":       "hands it to Check",
+	"internal/fleet/choose.go":       "passes it to Check",
 	"internal/fleet/retention.go":    "decides which runners are tracked, sends nothing",
-	"internal/fleet/statements.go":   "joins the list's word and the runner's, for Check",
-	"internal/control/eligible.go":   "hands it to Check",
-	"internal/control/state.go":      "hands Check's answer to the plan",
-	"internal/scheduler/state.go":    "takes Check's answer",
-	"internal/scheduler/plan.go":     "takes Check's answer",
-	"internal/scheduler/adapters.go": "takes Check's answer",
-	"internal/node/rules.go":         "answers Check",
+	"internal/fleet/statements.go":   "combines the list's statement and the runner's for Check",
+	"internal/control/eligible.go":   "passes it to Check",
+	"internal/control/state.go":      "passes the result of Check to the planner",
+	"internal/scheduler/state.go":    "uses the result of Check",
+	"internal/scheduler/plan.go":     "uses the result of Check",
+	"internal/scheduler/adapters.go": "uses the result of Check",
+	"internal/node/rules.go":         "implements the rules for Check",
 	"internal/node/follow.go":        "logs it",
-	"internal/node/statements.go":    "tells other nodes what the list does not tell them",
-	"internal/node/zones.go":         "answers Check and logs it",
-	"internal/node/zonestatus.go":    "tells it to operators",
+	"internal/node/statements.go":    "sends other nodes what the list does not say",
+	"internal/node/zones.go":         "implements the rules for Check and logs them",
+	"internal/node/zonestatus.go":    "shows it to operators",
 	"internal/node/figures.go":       "counts it for operators",
 	"internal/figures/runners.go":    "counts it for operators",
 	"internal/fleet/state_counts.go": "counts it for operators",
-	"internal/crash/detector.go":     "tells an end by plan from a crash",
+	"internal/crash/detector.go":     "distinguishes a planned end from a crash",
 	"internal/command/fleet.go":      "prints it for operators",
 }
 
-// reads are the fields and methods that decide about a runner.
-var reads = []string{"Draining", "Drained", "ZoneOut", "Drains"}
+// guardedNames are the fields and methods that decide about a runner.
+var guardedNames = []string{"Draining", "Drained", "ZoneOut", "Drains"}
 
-// senders are the files that may call what reaches a runner.
-var senders = map[string]string{
+// allowedSenders are the files that may call what sends something to a runner.
+var allowedSenders = map[string]string{
 	"internal/dispatch/attempt.go": "a request to a runner that fleet chose",
-	"internal/dispatch/hedge.go":   "a hedge to a runner that fleet chose and still allows",
-	"internal/dispatch/ask.go":     "a question for the runners that fleet named",
+	"internal/dispatch/hedge.go":   "a hedged request to a runner that fleet chose and still allows",
+	"internal/dispatch/ask.go":     "a load query to the runners that fleet returned",
 	"internal/control/ordering.go": "an order that mayOrder allowed",
 	"internal/control/reports.go":  "a report that mayReport allowed",
-	"internal/node/node.go":        "hands it to dispatch",
+	"internal/node/node.go":        "passes it to dispatch",
 }
 
-// sends are the calls that reach a runner, by the field that they go through.
-var sends = map[string][]string{"Pool": {"Do"}, "Runners": {"Order", "Report"}, "dispatcher": {"Report"}, "Control": {"Order", "Report"}}
+// sendingCalls are the calls that reach a runner, by the name of the field or variable they
+// are called on.
+var sendingCalls = map[string][]string{"Pool": {"Do"}, "Runners": {"Order", "Report"}, "dispatcher": {"Report"}, "Control": {"Order", "Report"}}
 
-// selectors calls visit with each selector of each file of the program, tests and the
-// lab's stand-ins left out.
+// selectors calls visit with each selector in each file of the program, except tests and the
+// lab's stand-ins.
 func selectors(t *testing.T, visit func(file string, selector *ast.SelectorExpr)) {
 	t.Helper()
 	root := filepath.Join("..", "..")
@@ -85,8 +87,8 @@
 	assert.NilError(t, err)
 }
 
-// through is the last name of what a selector selects from.
-func through(selector *ast.SelectorExpr) string {
+// receiverName returns the last name in the expression that a selector selects from.
+func receiverName(selector *ast.SelectorExpr) string {
 	switch from := selector.X.(type) {
 	case *ast.Ident:
 		return from.Name
@@ -97,31 +99,31 @@
 	}
 }
 
-// TestNothingChoosesPastCheck: no other file looks at what decides about a runner, and no
-// other one sends anything to a runner. A new call site asks Check, and is listed here.
+// TestNothingChoosesPastCheck checks that no other file reads the state that decides about a
+// runner or sends anything to a runner. A new call site has to call Check and be listed here.
 func TestNothingChoosesPastCheck(t *testing.T) {
 	seen := make(map[string]bool)
 	selectors(t, func(file string, selector *ast.SelectorExpr) {
 		name := selector.Sel.Name
-		if slices.Contains(reads, name) && !ownConstant(selector) && !configured(file) {
+		if slices.Contains(guardedNames, name) && !isReason(selector) && !isOperatorObject(file) {
 			seen[file] = true
-			assert.Check(t, readers[file] != "", "%s reads %s past eligible.Check", file, name)
+			assert.Check(t, allowedReaders[file] != "", "%s reads %s without eligible.Check", file, name)
 		}
-		if slices.Contains(sends[through(selector)], name) {
+		if slices.Contains(sendingCalls[receiverName(selector)], name) {
 			seen[file] = true
-			assert.Check(t, senders[file] != "", "%s calls %s.%s, which no check goes before", file, through(selector), name)
+			assert.Check(t, allowedSenders[file] != "", "%s calls %s.%s without a check before", file, receiverName(selector), name)
 		}
 	})
-	for file := range senders {
-		assert.Check(t, seen[file], "%s sends nothing any more: %v", file, slices.Sorted(maps.Keys(seen)))
+	for file := range allowedSenders {
+		assert.Check(t, seen[file], "%s sends nothing to runners any more; files found: %v", file, slices.Sorted(maps.Keys(seen)))
 	}
 }
 
-// ownConstant reports whether a selector names one of this package's reasons.
-func ownConstant(selector *ast.SelectorExpr) bool { return through(selector) == "eligible" }
+// isReason reports whether a selector names one of this package's reasons.
+func isReason(selector *ast.SelectorExpr) bool { return receiverName(selector) == "eligible" }
 
-// configured reports whether a file belongs to the operators' objects, which planned stops
-// are part of.
-func configured(file string) bool {
+// isOperatorObject reports whether a file belongs to the operators' objects, of which planned
+// stops are a part.
+func isOperatorObject(file string) bool {
 	return strings.HasPrefix(file, "internal/config/") || strings.HasPrefix(file, "internal/api/") || file == "internal/node/questions.go"
 }
--- a/internal/eligible/eligible.go
+++ b/internal/eligible/eligible.go
@@ -1,71 +1,73 @@
-// Package eligible answers one question: may this go to this runner now? Every choice
-// of a runner asks it: first choices and repetitions of requests, resumed streams,
-// questions for a runner's load, loads of models and adapters, unloads. It decides from
-// the runner's own word, from what operators took out, and from what the request or
-// its tenant demands. It is pure, takes constant time and allocates nothing.
+// Package eligible decides whether something may be sent to a runner now. Every choice of a
+// runner asks it: first attempts and retries of requests, resumed streams, queries for a
+// runner's load, loads of models and adapters, unloads. The decision follows from what the
+// runner stated, from what operators took out of service, and from the demands of the request
+// or its tenant. It is a pure function, takes constant time and allocates nothing.
 package eligible
 
 import (
 	"lilacvane/internal/place"
 )
 
-// Reason says why something may not go to a runner, or that it may.
+// Reason is why something may not be sent to a runner, or that it may.
 type Reason uint8
 
-// The reasons, in the order in which they are looked at.
+// The reasons, in the order in which they are checked.
 const (
-	// Yes means that it may go there.
+	// Yes means that it may be sent.
 	Yes Reason = iota
 	// OtherService means that the runner belongs to another service.
 	OtherService
 	// Gone means that the runner left the platform's list.
 	Gone
-	// Draining means that the runner says that it leaves.
+	// Draining means that the runner stated that it is leaving.
 	Draining
-	// Drained means that a planned stop of lilacvane's operators empties the runner.
+	// Drained means that a planned stop by operators of lilacvane drains the runner.
 	Drained
-	// ZoneOut means that the runner's zone is taken out.
+	// ZoneOut means that the runner's zone was taken out of service.
 	ZoneOut
-	// OutsideHomes means that it may not be served in the runner's region.
+	// OutsideHomes means that the request may not be served in the runner's region.
 	OutsideHomes
 	// Cold means that the runner is cold and takes no more from this node now.
 	Cold
-	// Limited means that the runner named a limit and takes no more from this node now.
+	// Limited means that the runner stated a limit and takes no more from this node now.
 	Limited
-	// Resting means that the runner asked this node for a time without requests, or has rested
-	// and takes no more at once.
+	// Resting means that the runner asked this node for a time without requests, or that it
+	// has rested and takes no more at once.
 	Resting
 )
 
-// String names the reason as logs and explanations spell it.
+// String returns the reason as spelled in logs and explanations.
 func (r Reason) String() string {
 	return [...]string{"eligible", "other_service", "gone", "draining", "drained", "zone_out", "outside_homes", "cold", "limited", "resting"}[r]
 }
 
-// Runner is what decides about a runner.
+// Runner holds what is known of a runner and decides whether something may be sent to it.
 type Runner struct {
-	// ID is the name by which operators know it.
+	// ID is the name by which operators know the runner.
 	ID      string
 	Service string
 	Zone    place.Zone
 	Region  place.Region
-	// Listed is set while the platform lists the runner, or its absence proves nothing.
+	// Listed is set while the platform lists the runner, or while its absence from the list
+	// proves nothing.
 	Listed bool
-	// Draining is the runner's own word that it leaves, on the platform's list or in an answer.
+	// Draining is set if the runner stated that it is leaving, in the platform's list or in an
+	// answer.
 	Draining bool
-	// Resting is set while the runner wants nothing from this node, or no more at once. Its
-	// reports need no slot, so it is asked questions all the same.
+	// Resting is set while the runner wants nothing from this node, or no more at once. Load
+	// queries are still sent, as they need no slot.
 	Resting bool
-	// Permit is set unless the runner is cold, or named a limit, and this node may send it nothing
-	// now; Limited is set where that is for its limit.
+	// Permit is set if this node may send the runner a request now. It is unset only for a
+	// runner that is cold or stated a limit; Limited is set if the reason is the limit.
 	Permit  bool
 	Limited bool
 }
 
-// Purpose is what is to go to a runner: a Request, a Question, a Load or an Unload.
+// Purpose is what is to be sent to a runner: a Request, a Question, a Load or an Unload.
 type Purpose interface{ purpose() }
 
-// Request is a client's request, sent for the first time or again, or its stream resumed.
+// Request is a client's request, sent for the first time or again, or its resumed stream.
 type Request struct {
 	Service string
 	Homes   place.Homes
@@ -74,14 +76,15 @@
 // Question asks a runner for its load before a request is sent there.
 type Question struct{ Request }
 
-// Load is a load of a model or an adapter, for requests that come or that are expected.
+// Load is a load of a model or an adapter, for current or expected requests.
 type Load struct {
 	Service string
-	// Homes are those of the requests that it is for.
+	// Homes are those of the requests for which it is loaded.
 	Homes place.Homes
 }
 
-// Unload is an unload of a model or an adapter. It frees room also where nothing new may go.
+// Unload is an unload of a model or an adapter. It frees memory also where nothing new may be
+// sent.
 type Unload struct{ Service string }
 
 func (Request) purpose()  {}
@@ -89,26 +92,27 @@
 func (Load) purpose()     {}
 func (Unload) purpose()   {}
 
-// Rules is what operators decided about runners and zones.
+// Rules provides the decisions of operators about runners and zones.
 type Rules interface {
 	// Drained reports whether a planned stop of a runner or its zone is in force.
 	Drained(runner, zone string) bool
-	// ZoneOut reports whether a zone is taken out, so that nothing new may go there.
+	// ZoneOut reports whether a zone was taken out of service, so that nothing new may be sent
+	// there.
 	ZoneOut(zone place.Zone) bool
 }
 
-// Check says whether something may go to a runner now.
+// Check returns whether something may be sent to a runner now, and if not, why.
 func Check(rules Rules, runner *Runner, purpose Purpose) Reason {
 	switch p := purpose.(type) {
 	case Request:
 		return checkRequest(rules, runner, p)
 	case Question:
-		// A question counts as nothing that a cold runner has to bear.
+		// A question is no load that a cold runner would have to handle.
 		asked := *runner
 		asked.Permit, asked.Resting = true, false
 		return checkRequest(rules, &asked, p.Request)
 	case Load:
-		if reason := check(rules, runner, p.Service); reason != Yes {
+		if reason := checkCommon(rules, runner, p.Service); reason != Yes {
 			return reason
 		}
 		if reason := checkHomes(runner, p.Homes); reason != Yes {
@@ -122,8 +126,8 @@
 	}
 }
 
-// check looks at what binds everything new.
-func check(rules Rules, runner *Runner, service string) Reason {
+// checkCommon checks what applies to every purpose that adds work.
+func checkCommon(rules Rules, runner *Runner, service string) Reason {
 	switch {
 	case runner.Service != service:
 		return OtherService
@@ -141,7 +145,7 @@
 }
 
 func checkRequest(rules Rules, runner *Runner, request Request) Reason {
-	if reason := check(rules, runner, request.Service); reason != Yes {
+	if reason := checkCommon(rules, runner, request.Service); reason != Yes {
 		return reason
 	}
 	if reason := checkHomes(runner, request.Homes); reason != Yes {
--- a/internal/eligible/eligible_test.go
+++ b/internal/eligible/eligible_test.go
@@ -9,7 +9,7 @@
 	"lilacvane/internal/place"
 )
 
-// rules are fixed rules.
+// rules implements Rules with fixed answers.
 type rules struct {
 	drained map[string]bool
 	out     map[place.Zone]bool
@@ -20,9 +20,9 @@
 func (r rules) ZoneOut(zone place.Zone) bool { return r.out[zone] }
 
 func TestCheck(t *testing.T) {
-	sound := Runner{ID: "r1", Service: "engines", Zone: "a", Region: "north", Listed: true, Permit: true}
-	changed := func(change func(*Runner)) Runner {
-		runner := sound
+	healthy := Runner{ID: "r1", Service: "engines", Zone: "a", Region: "north", Listed: true, Permit: true}
+	with := func(change func(*Runner)) Runner {
+		runner := healthy
 		change(&runner)
 		return runner
 	}
@@ -30,9 +30,9 @@
 	request := Request{Service: "engines"}
 	out := rules{out: map[place.Zone]bool{"a": true}}
 	drained := rules{drained: map[string]bool{"r1": true}}
-	cold := changed(func(r *Runner) { r.Permit = false })
-	leaving := changed(func(r *Runner) { r.Draining = true })
-	resting := changed(func(r *Runner) { r.Resting = true })
+	cold := with(func(r *Runner) { r.Permit = false })
+	leaving := with(func(r *Runner) { r.Draining = true })
+	resting := with(func(r *Runner) { r.Resting = true })
 	for _, test := range []struct {
 		name    string
 		rules   rules
@@ -40,21 +40,21 @@
 		purpose Purpose
 		want    Reason
 	}{
-		{"request", rules{}, sound, request, Yes},
-		{"request of another service", rules{}, sound, Request{Service: "mail"}, OtherService},
-		{"runner gone", rules{}, changed(func(r *Runner) { r.Listed = false }), request, Gone},
+		{"request", rules{}, healthy, request, Yes},
+		{"request of another service", rules{}, healthy, Request{Service: "mail"}, OtherService},
+		{"runner gone", rules{}, with(func(r *Runner) { r.Listed = false }), request, Gone},
 		{"runner leaves", rules{}, leaving, request, Draining},
-		{"runner drained", drained, sound, request, Drained},
-		{"zone out", out, sound, request, ZoneOut},
-		{"question in a zone out", out, sound, Question{request}, ZoneOut},
-		{"load in a zone out", out, sound, Load{Service: "engines"}, ZoneOut},
-		{"unload in a zone out", out, sound, Unload{Service: "engines"}, Yes},
-		{"unload at a drained runner", drained, sound, Unload{Service: "engines"}, Yes},
+		{"runner drained", drained, healthy, request, Drained},
+		{"zone out", out, healthy, request, ZoneOut},
+		{"question in a zone out", out, healthy, Question{request}, ZoneOut},
+		{"load in a zone out", out, healthy, Load{Service: "engines"}, ZoneOut},
+		{"unload in a zone out", out, healthy, Unload{Service: "engines"}, Yes},
+		{"unload at a drained runner", drained, healthy, Unload{Service: "engines"}, Yes},
 		{"unload at a runner that leaves", rules{}, leaving, Unload{Service: "engines"}, Draining},
-		{"at home", rules{}, sound, Request{Service: "engines", Homes: north}, Yes},
-		{"outside homes", rules{}, sound, Request{Service: "engines", Homes: south}, OutsideHomes},
-		{"question outside homes", rules{}, sound, Question{Request{Service: "engines", Homes: south}}, OutsideHomes},
-		{"load outside homes", rules{}, sound, Load{Service: "engines", Homes: south}, OutsideHomes},
+		{"at home", rules{}, healthy, Request{Service: "engines", Homes: north}, Yes},
+		{"outside homes", rules{}, healthy, Request{Service: "engines", Homes: south}, OutsideHomes},
+		{"question outside homes", rules{}, healthy, Question{Request{Service: "engines", Homes: south}}, OutsideHomes},
+		{"load outside homes", rules{}, healthy, Load{Service: "engines", Homes: south}, OutsideHomes},
 		{"cold", rules{}, cold, request, Cold},
 		{"question at a cold runner", rules{}, cold, Question{request}, Yes},
 		{"load at a cold runner", rules{}, cold, Load{Service: "engines"}, Yes},
@@ -62,7 +62,7 @@
 		{"question at a runner that rests", rules{}, resting, Question{request}, Yes},
 		{"load at a runner that rests", rules{}, resting, Load{Service: "engines"}, Resting},
 		{"unload at a runner that rests", rules{}, resting, Unload{Service: "engines"}, Resting},
-		{"runner that rests and leaves", rules{}, changed(func(r *Runner) { r.Resting, r.Draining = true, true }), request, Draining},
+		{"runner that rests and leaves", rules{}, with(func(r *Runner) { r.Resting, r.Draining = true, true }), request, Draining},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			assert.Equal(t, Check(test.rules, &test.runner, test.purpose).String(), test.want.String())
@@ -70,7 +70,7 @@
 	}
 }
 
-// BenchmarkCheck asks about each of 10,000 runners in turn.
+// BenchmarkCheck checks 10,000 runners in turn.
 func BenchmarkCheck(b *testing.B) {
 	runners := make([]Runner, 10_000)
 	for i := range runners {
