--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,5 +1,5 @@
-// Package place names where machines and runners stand, and in which regions
-// something may be served. It is pure.
+// Package place defines zones and regions, and the regions in which something may be served.
+// It is pure.
 package place
 
 import (
@@ -7,19 +7,20 @@
 	"strings"
 )
 
-// Zone names a zone: machines that may be lost or taken out together.
+// Zone is the name of a zone: a group of machines that may fail or be taken out of service
+// together.
 type Zone string
 
-// Region names a region: zones with short ways between them.
+// Region is the name of a region: a group of zones with low latency between them.
 type Region string
 
-// Map tells the region of each zone.
+// Map holds the region of each zone.
 type Map map[Zone]Region
 
-// Region returns the region of a zone; empty when it is not known.
+// Region returns the region of a zone; empty if not known.
 func (m Map) Region(zone Zone) Region { return m[zone] }
 
-// Knows reports whether a zone lies in a region.
+// HasRegion reports whether a zone lies in a region.
 func (m Map) Knows(region Region) bool {
 	for _, of := range m {
 		if of == region {
@@ -29,19 +30,19 @@
 	return false
 }
 
-// Homes are the regions in which alone something may be served. The zero Homes bounds
-// nothing. Homes are comparable: equal ones allow the same regions.
+// Homes are the only regions in which something may be served. The zero value allows all
+// regions. Homes are comparable: equal values allow the same regions.
 type Homes struct {
 	bound bool
-	// regions are those allowed, sorted, each between separators, so that a look-up
-	// needs no memory.
+	// regions holds the allowed regions, sorted, with a separator before and after each, so
+	// that a lookup allocates nothing.
 	regions string
 }
 
-// separator cannot be a part of a region's name: NewHomes leaves such names out.
+// separator cannot occur in the name of a region: NewHomes drops such names.
 const separator = "\x00"
 
-// NewHomes returns homes in the regions named; none for no regions.
+// NewHomes returns homes that allow the given regions; the zero Homes if there are none.
 func NewHomes(regions []Region) Homes {
 	if len(regions) == 0 {
 		return Homes{}
@@ -60,11 +61,11 @@
 	return Homes{bound: true, regions: separator + strings.Join(names, separator) + separator}
 }
 
-// Bound reports whether the homes bound anything.
+// Restricted reports whether the homes restrict anything.
 func (h Homes) Bound() bool { return h.bound }
 
-// Allows reports whether something may be served in a region. A region that is not known
-// is in no homes.
+// Allows reports whether something may be served in a region. A region that is not known is in
+// no homes.
 func (h Homes) Allows(region Region) bool {
 	if !h.bound {
 		return true
@@ -83,7 +84,7 @@
 	return false
 }
 
-// Regions lists the regions allowed, sorted; none when nothing is bound.
+// Regions returns the allowed regions, sorted; nil if nothing is restricted.
 func (h Homes) Regions() []Region {
 	var regions []Region
 	for name := range strings.SplitSeq(strings.Trim(h.regions, separator), separator) {
@@ -94,8 +95,8 @@
 	return regions
 }
 
-// Names lists the regions for messages; one empty name when no region is allowed, none
-// when nothing is bound.
+// Names returns the regions for messages: a single empty name if no region is allowed, nil if
+// nothing is restricted.
 func (h Homes) Names() []string {
 	if h.bound && h.regions == "" {
 		return []string{""}
@@ -107,7 +108,7 @@
 	return names
 }
 
-// HomesOf reads what Names lists.
+// HomesFromNames parses what Names returns.
 func HomesOf(names []string) Homes {
 	regions := make([]Region, 0, len(names))
 	for _, name := range names {
@@ -116,8 +117,8 @@
 	return NewHomes(regions)
 }
 
-// And returns the homes that both allow. Where both bind and have no region in common,
-// nothing may be served.
+// Intersect returns the homes that both allow. If both are restricted and have no region in
+// common, no region is allowed.
 func (h Homes) And(other Homes) Homes {
 	switch {
 	case !h.bound:
@@ -132,8 +133,8 @@
 	return NewHomes(common)
 }
 
-// String lists the regions for logs; "any" when nothing is bound, "none" when
-// no region is allowed.
+// String lists the regions for logs: "any" if nothing is restricted, "none" if no region is
+// allowed.
 func (h Homes) String() string {
 	if !h.bound {
 		return "any"
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -26,7 +26,7 @@
 		{"both bind, other region", both.And(south), "north", false},
 		{"nothing in common", north.And(south), "north", false},
 		{"only one bound", Homes{}.And(south), "north", false},
-		{"only names that cannot be", NewHomes([]Region{""}), "north", false},
+		{"only invalid names", NewHomes([]Region{""}), "north", false},
 		{"empty list", NewHomes([]Region{}), "north", true},
 	} {
 		t.Run(test.name, func(t *testing.T) { assert.Equal(t, test.homes.Allows(test.region), test.want) })
