--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,6 +1,6 @@
-// Package backend is the seam to the runners: what they tell of themselves, and
-// the orders they take. Runners themselves fence nothing; an order carries the
-// sequence number its author expects, and the runner refuses any other.
+// Package backend defines the interface to the runners: what they report about themselves, and
+// the orders they accept. Runners do no fencing by themselves; an order carries the sequence
+// number that its author expects, and the runner refuses any other.
 package backend
 
 import (
@@ -15,56 +15,58 @@
 	// ID is unique for each incarnation; see IncarnationID.
 	ID      string
 	Service string
-	// Born is the start of the runner's process, in Unix milliseconds; zero when it did not
-	// tell. One that starts again may keep its name, and holds nothing then.
+	// Born is the start time of the runner's process in Unix milliseconds; zero if not
+	// reported. A runner that restarts may keep its name and then holds nothing.
 	Born int64
-	// Address is ip:port. It may be given to another runner later.
+	// Address is ip:port. It may later be assigned to another runner.
 	Address string
 	Zone    string
-	// Region is where the zone lies; empty when it is not known.
+	// Region is the region of the zone; empty if not known.
 	Region string
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests it runs at once.
 	Slots int
-	// Draining is set when the platform takes it away: nothing new goes there.
+	// Draining is set if the platform is removing the runner: nothing new is sent there.
 	Draining bool
-	// ColdFor is how much longer the runner said it stays cold: it bears only few
-	// requests a second until then.
+	// ColdFor is how much longer the runner reported to stay cold; until then it handles only
+	// few requests a second.
 	ColdFor time.Duration
-	// Models is what the runner held when it last told the platform.
+	// Models is what the runner held when it last reported to the platform.
 	Models []Holding
-	// Copies are the weights the runner keeps near.
+	// Copies lists the weights that the runner keeps in host memory and on disk.
 	Copies Copies
-	// Sequence is the number of orders it had taken by then.
+	// Sequence is the number of orders it had accepted by then.
 	Sequence uint64
-	// Revision is that of the row; zero where it is not known.
+	// Revision is the revision of the row; zero if not known.
 	Revision uint64
-	// Missing is set when the platform dropped the runner without saying that
-	// it left, in a time when the platform's word is not proof.
+	// Missing is set if the platform dropped the runner without reporting that it left, at a
+	// time when absence from the list is no proof.
 	Missing bool
 }
 
-// incarnationMark stands between a runner's name and its start in its identifier.
-const incarnationMark = "@"
+// incarnationSeparator separates a runner's name from its start time in the identifier.
+const incarnationSeparator = "@"
 
-// IncarnationID identifies one incarnation of a runner: its name on the platform, and its start where it
-// told that. All that is known of a runner is kept by it, so that nothing of an earlier incarnation
-// counts for a later one.
+// IncarnationID returns the identifier of one incarnation of a runner: its name on the
+// platform, followed by its start time if it reported one. Everything known about a runner is
+// stored under this identifier, so that nothing of an earlier incarnation applies to a later
+// one.
 func IncarnationID(name string, born int64) string {
 	if born == 0 {
 		return name
 	}
-	return name + incarnationMark + strconv.FormatInt(born, 10)
+	return name + incarnationSeparator + strconv.FormatInt(born, 10)
 }
 
-// Name is the runner's name on the platform, which several incarnations may have.
+// Name returns the runner's name on the platform, which several incarnations may share.
 func (r Runner) Name() string {
 	if r.Born == 0 {
 		return r.ID
 	}
-	return strings.TrimSuffix(r.ID, incarnationMark+strconv.FormatInt(r.Born, 10))
+	return strings.TrimSuffix(r.ID, incarnationSeparator+strconv.FormatInt(r.Born, 10))
 }
 
-// EndedBy reports whether a runner of this name that tells this start is a later incarnation.
+// SupersededBy reports whether a runner of the same name that reports this start time is a
+// later incarnation.
 func (r Runner) EndedBy(born int64) bool { return r.Born != 0 && born > r.Born }
 
 // Holding is a loaded model with its loaded adapters.
@@ -73,28 +75,28 @@
 	Adapters []string
 }
 
-// Copies lists weights kept in host memory and on disk.
+// Copies lists the models whose weights are kept in host memory and on disk.
 type Copies struct {
 	Host []string
 	Disk []string
 }
 
-// Report is a runner's account of itself. It lags by some hundred milliseconds.
+// Report is a runner's report about itself. It lags by some hundred milliseconds.
 type Report struct {
 	Models []Holding
-	// Pending are adapters on their way.
+	// Pending lists the adapters being loaded.
 	Pending []Unit
 	Copies  Copies
-	// Busy is set while a model is loaded or unloaded.
+	// Busy is set while a model is being loaded or unloaded.
 	Busy bool
-	// Sequence is the number of orders it has taken.
+	// Sequence is the number of orders it has accepted.
 	Sequence uint64
-	// Queued and Active are requests that wait and that run there.
+	// Queued and Active count the requests that wait and that run there.
 	Queued int
 	Active int
-	// Slowness is that of Workload; zero where it was not told.
+	// Slowness is as in Workload; zero if not reported.
 	Slowness float64
-	// CacheUsed and CacheTotal are tokens.
+	// CacheUsed and CacheTotal are counted in tokens.
 	CacheUsed  int
 	CacheTotal int
 }
@@ -127,9 +129,9 @@
 type Order struct {
 	Action Action
 	Unit   Unit
-	// Expected is the sequence number at which the runner may accept the order.
+	// Expected is the only sequence number at which the runner may accept the order.
 	Expected uint64
-	// Owner and Token name the lease under which the order is given.
+	// Owner and Token identify the lease under which the order is given.
 	Owner string
 	Token uint64
 }
@@ -137,8 +139,8 @@
 // Verdict is a runner's answer to an order.
 type Verdict uint8
 
-// The verdicts. Lost means that no answer came: the order may be carried out
-// later, as long as the runner's sequence number is still the expected one.
+// The verdicts. Lost means that no answer arrived: the order may still be carried out, as long
+// as the runner's sequence number is the expected one.
 const (
 	Lost Verdict = iota
 	Accepted
@@ -149,20 +151,19 @@
 	NotSent
 )
 
-// String names the verdict.
+// String returns the name of the verdict.
 func (v Verdict) String() string {
 	return [...]string{"lost", "accepted", "already_held", "conflict", "refused", "not_sent"}[v]
 }
 
-// Control gives orders to runners and reads their reports.
+// Control sends orders to runners and reads their reports.
 type Control interface {
-	// Order gives an order. The error explains every verdict but Accepted and
-	// AlreadyHeld.
+	// Order sends an order. The error explains every verdict except Accepted and AlreadyHeld.
 	Order(ctx context.Context, runner Runner, order Order) (Verdict, error)
-	// Report reads a runner's report. It fails with fault.CodeNotFound when another runner
-	// has the address, or a later incarnation of this one.
+	// Report reads a runner's report. It fails with fault.CodeNotFound if the address belongs
+	// to another runner or to a later incarnation of this one.
 	Report(ctx context.Context, runner Runner) (Report, error)
 }
 
-// ReportLag is how far a report may be behind the runner's state.
+// ReportLag is how far a report may lag behind the runner's state.
 const ReportLag = 150 * time.Millisecond
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestIncarnationsOfARunner: a later start is another incarnation of the same name; a runner that tells no
-// start has only one.
+// TestIncarnationsOfARunner checks that a later start is another incarnation of the same name,
+// and that a runner that reports no start time has only one incarnation.
 func TestIncarnationsOfARunner(t *testing.T) {
 	first := Runner{ID: IncarnationID("r", 1000), Born: 1000}
 	second := Runner{ID: IncarnationID("r", 2000), Born: 2000}
@@ -19,6 +19,6 @@
 	assert.Assert(t, !first.EndedBy(first.Born))
 
 	plain := Runner{ID: IncarnationID("r@2000", 0)}
-	assert.Equal(t, plain.Name(), "r@2000", "a name may hold the mark")
+	assert.Equal(t, plain.Name(), "r@2000", "a name may contain the separator")
 	assert.Assert(t, !plain.EndedBy(2000))
 }
--- a/internal/backend/workload.go
+++ b/internal/backend/workload.go
@@ -5,26 +5,26 @@
 	"strings"
 )
 
-// Workload is what a runner tells of its load at a moment.
+// Workload is the load that a runner reports at one moment.
 type Workload struct {
-	// Running and Waiting are requests.
+	// Running and Waiting are numbers of requests.
 	Running int
 	Waiting int
-	// Slowness is how long work takes there at the moment, against the usual; 1 where the runner
-	// does not tell. A runner that shares its machine changes it many times a second.
+	// Slowness is how long work currently takes there, relative to the usual time; 1 if not
+	// reported. For a runner that shares its machine it changes many times a second.
 	Slowness float64
 }
 
 const (
-	// usualTime is the figure of a load's text for work that takes as long as usual.
+	// usualTime is the reported figure for work that takes the usual time.
 	usualTime = 100
-	// longestTime bounds it: no more is believed.
-	longestTime = 100 * usualTime
+	// maxTime is the largest figure that is accepted.
+	maxTime = 100 * usualTime
 )
 
-// ParseWorkload reads "running,waiting,slots" or "running,waiting,slots,time", the last being
-// how long work takes in hundredths of the usual. It returns false when there is no load in
-// it; a time that cannot be read counts as the usual one.
+// ParseWorkload parses "running,waiting,slots" or "running,waiting,slots,time", where time is
+// how long work takes in hundredths of the usual time. It returns false if the text is no
+// valid load; a time that cannot be parsed counts as the usual one.
 func ParseWorkload(text string) (Workload, bool) {
 	fields := strings.Split(text, ",")
 	if len(fields) < 2 {
@@ -42,7 +42,7 @@
 	if len(fields) < 4 {
 		return load, true
 	}
-	if time, err := strconv.ParseFloat(strings.TrimSpace(fields[3]), 64); err == nil && time > 0 && time <= longestTime {
+	if time, err := strconv.ParseFloat(strings.TrimSpace(fields[3]), 64); err == nil && time > 0 && time <= maxTime {
 		load.Slowness = time / usualTime
 	}
 	return load, true
--- a/internal/backend/workload_test.go
+++ b/internal/backend/workload_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestParseWorkload: three figures or four are read; what cannot be read of the fourth counts as
-// usual, of the others as nothing told.
+// TestParseWorkload checks that texts of three or four fields are parsed, that an invalid
+// fourth field counts as the usual time, and that other invalid fields make the text invalid.
 func TestParseWorkload(t *testing.T) {
 	for text, want := range map[string]Workload{
 		"3,0,8": {Running: 3, Slowness: 1}, "3, 2, 8, 250": {Running: 3, Waiting: 2, Slowness: 2.5}, "0,0,8,40": {Slowness: 0.4},
@@ -24,7 +24,8 @@
 	}
 }
 
-// FuzzParseWorkload: whatever a runner tells, what is taken of it can be reckoned with.
+// FuzzParseWorkload checks that the result is always in the valid range, whatever a runner
+// reports.
 func FuzzParseWorkload(f *testing.F) {
 	f.Add("3,0,8,100")
 	f.Add("3,0,8")
