--- a/internal/traffic/connection.go
+++ b/internal/traffic/connection.go
@@ -6,21 +6,21 @@
 	"syscall"
 )
 
-// counted is a connection to a runner in another region.
-type counted struct {
+// countedConn is a connection to a runner in another region that counts its bytes.
+type countedConn struct {
 	net.Conn
 	count Count
 }
 
-// Read reads and counts.
-func (c *counted) Read(buffer []byte) (int, error) {
+// Read reads from the connection and counts the bytes.
+func (c *countedConn) Read(buffer []byte) (int, error) {
 	read, err := c.Conn.Read(buffer)
 	c.count(Requests, Received, read)
 	return read, err
 }
 
-// Write writes and counts.
-func (c *counted) Write(content []byte) (int, error) {
+// Write writes to the connection and counts the bytes.
+func (c *countedConn) Write(content []byte) (int, error) {
 	written, err := c.Conn.Write(content)
 	c.count(Requests, Sent, written)
 	return written, err
@@ -28,8 +28,9 @@
 
 var errNotRaw = errors.New("the connection has no descriptor")
 
-// SyscallConn gives the connection's descriptor, by which its pool looks whether it is quiet.
-func (c *counted) SyscallConn() (syscall.RawConn, error) {
+// SyscallConn returns the raw connection, with which the connection pool checks that no data
+// is pending.
+func (c *countedConn) SyscallConn() (syscall.RawConn, error) {
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return nil, errNotRaw
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,5 +1,5 @@
-// Package traffic counts the bytes that a node exchanges with other regions, by what they
-// are for. Each exchange is counted by the node that began it, both ways.
+// Package traffic counts the bytes that a node exchanges with other regions, by purpose. Each
+// exchange is counted, in both directions, by the node that started it.
 package traffic
 
 import (
@@ -9,56 +9,57 @@
 	"lilacvane/internal/place"
 )
 
-// Purpose says what bytes are for.
+// Purpose is what bytes are exchanged for.
 type Purpose string
 
 // The purposes.
 const (
-	// Requests are those sent to runners, and their answers.
+	// Requests are requests sent to runners, with their answers.
 	Requests Purpose = "requests"
-	// Demand is what a node tells a lease holder, and the accounts it gets back.
+	// Demand is what a node reports to a lease holder, with the views it gets back.
 	Demand Purpose = "demand"
-	// Relay is what is read of the store's tables through another node.
+	// Relay is reads of the store's tables through another node.
 	Relay Purpose = "relay"
-	// Limits are questions to lenders of tenants' limits.
+	// Limits are queries to the nodes that lend shares of tenants' limits.
 	Limits Purpose = "limits"
-	// Operators are operators' questions that other nodes answer.
+	// Operators are queries by operators that other nodes answer.
 	Operators Purpose = "operators"
 )
 
-// Direction is the way that bytes take.
+// Direction is the direction of a transfer.
 type Direction string
 
-// The directions, as the node that began an exchange sees them.
+// The directions, as seen by the node that started the exchange.
 const (
 	Sent     Direction = "sent"
 	Received Direction = "received"
 )
 
-// Count takes over bytes exchanged with another region. It may be called concurrently.
+// Count is called with bytes exchanged with another region. It may be called concurrently.
 type Count func(purpose Purpose, direction Direction, bytes int)
 
-// Meter knows where peers are and counts what goes to other regions and comes from them.
-// Its methods may be called concurrently.
+// Meter tracks the regions of peers and counts the bytes exchanged with other regions. Its
+// methods may be called concurrently.
 type Meter struct {
 	own   place.Region
 	count Count
 
 	mutex sync.Mutex
-	// peers are the regions of the peers that told theirs, by address.
+	// peers holds the regions of the peers that reported theirs, by address.
 	peers map[string]place.Region
 }
 
-// NewMeter returns a meter for a node in a region; empty when that is not known, and
-// nothing is counted.
+// NewMeter returns a meter for a node in region own. If that is empty, not known, nothing is
+// counted.
 func NewMeter(own place.Region, count Count) *Meter {
 	return &Meter{own: own, count: count, peers: make(map[string]place.Region)}
 }
 
-// maximumPeers bounds the addresses that are remembered; beyond, they are learned anew.
+// maximumPeers bounds the addresses that are stored; beyond it all are dropped and learned
+// again.
 const maximumPeers = 4096
 
-// Learn notes the region of the peer at an address.
+// Learn stores the region of the peer at an address.
 func (m *Meter) Learn(address string, region place.Region) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -68,7 +69,7 @@
 	m.peers[address] = region
 }
 
-// Knows reports whether the peer at an address told its region.
+// Knows reports whether the region of the peer at an address is known or not needed.
 func (m *Meter) Knows(address string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -76,26 +77,28 @@
 	return known || m.own == ""
 }
 
-// Exchanged counts a call to a peer and its answer, in bytes of the messages alone.
+// Exchanged counts a call to a peer and its answer; bytes are those of the messages alone.
 func (m *Meter) Exchanged(address string, purpose Purpose, sent, received int) {
 	m.mutex.Lock()
 	region := m.peers[address]
 	m.mutex.Unlock()
-	if !m.far(region) {
+	if !m.isRemote(region) {
 		return
 	}
 	m.count(purpose, Sent, sent)
 	m.count(purpose, Received, received)
 }
 
-// far reports whether a region is known to be another one.
-func (m *Meter) far(region place.Region) bool { return m.own != "" && region != "" && region != m.own }
+// isRemote reports whether a region is known to be another one.
+func (m *Meter) isRemote(region place.Region) bool {
+	return m.own != "" && region != "" && region != m.own
+}
 
-// Connection counts all bytes of a connection to a runner in a region; one that is not
-// known to be another is returned as it is.
+// Connection returns a connection that counts all bytes exchanged with a runner in a region.
+// If that is not known to be another region, conn is returned unchanged.
 func (m *Meter) Connection(conn net.Conn, region place.Region) net.Conn {
-	if !m.far(region) {
+	if !m.isRemote(region) {
 		return conn
 	}
-	return &counted{Conn: conn, count: m.count}
+	return &countedConn{Conn: conn, count: m.count}
 }
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -21,8 +21,8 @@
 	return NewMeter(place.Region(own), func(purpose Purpose, direction Direction, bytes int) { sums[key{purpose, direction}] += bytes }), sums
 }
 
-// TestOnlyOtherRegionsCount: calls to peers of the own region, of one that is not known, and
-// of peers that did not tell theirs are not counted.
+// TestOnlyOtherRegionsCount checks that calls to peers in the same region and to peers whose
+// region is not known are not counted, and that a node without a region counts nothing.
 func TestOnlyOtherRegionsCount(t *testing.T) {
 	meter, sums := testMeter("north")
 	assert.Assert(t, !meter.Knows("far:1"))
@@ -34,13 +34,13 @@
 		meter.Exchanged(address, Demand, 10, 300)
 	}
 	assert.DeepEqual(t, sums, map[key]int{{Demand, Sent}: 10, {Demand, Received}: 300})
-	homeless, none := testMeter("")
-	homeless.Learn("far:1", "south")
-	homeless.Exchanged("far:1", Demand, 10, 300)
-	assert.Assert(t, homeless.Knows("any:1") && len(none) == 0)
+	unplaced, none := testMeter("")
+	unplaced.Learn("far:1", "south")
+	unplaced.Exchanged("far:1", Demand, 10, 300)
+	assert.Assert(t, unplaced.Knows("any:1") && len(none) == 0)
 }
 
-// TestPeersAreBounded: a node does not remember more addresses than it is told to.
+// TestPeersAreBounded checks that a node stores at most maximumPeers addresses.
 func TestPeersAreBounded(t *testing.T) {
 	meter, _ := testMeter("north")
 	for number := range 3 * maximumPeers {
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestConnectionCounts: a connection to another region counts both ways and still shows
-// its descriptor; others are left as they are.
+// TestConnectionCounts checks that a connection to another region counts both directions and
+// still gives access to its descriptor, and that other connections are returned unchanged.
 func TestConnectionCounts(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
