--- a/internal/control/planned.go
+++ b/internal/control/planned.go
@@ -34,7 +34,7 @@
 // tellYield lets waiting nodes hear at once that this holder acts no more. mutex is
 // held.
 func (c *Controller) tellYield() {
-	word, ok := c.Lessor.Word()
+	word, ok := c.Lessor.Status()
 	if !ok || !word.Yielded || c.toldYield == word.Token {
 		return
 	}
--- a/internal/control/sync.go
+++ b/internal/control/sync.go
@@ -81,7 +81,7 @@
 	response := wire.SyncResponse{Token: c.token, Version: c.version, Nodes: nodes.count, Valid: c.Lessor.Valid(),
 		BestSpare: nodes.bestSpare, StoreLimit: c.store.Estimate().Limit, StoreCapacity: c.store.Estimate().Capacity}
 	response.ActsInMs = c.Lessor.ActsIn().Milliseconds()
-	if word, ok := c.Lessor.Word(); ok && word.Token == c.token {
+	if word, ok := c.Lessor.Status(); ok && word.Token == c.token {
 		response.LeaseRenewal, response.LeaseYielded, response.LeaseQuietMs = word.Renewal, word.Yielded, word.Quiet.Milliseconds()
 	}
 	for want, at := range c.planned {
--- a/internal/control/syncer.go
+++ b/internal/control/syncer.go
@@ -319,7 +319,7 @@
 	}
 	s.mutex.Unlock()
 	if response.LeaseRenewal > 0 {
-		s.lessor.Hear(lease.Word{
+		s.lessor.Observe(lease.HolderStatus{
 			Token: response.Token, Renewal: response.LeaseRenewal, Yielded: response.LeaseYielded,
 			Quiet: time.Duration(response.LeaseQuietMs) * time.Millisecond,
 		})
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,7 +1,7 @@
-// Package lease lets one node at a time hold a named lease, kept as one row of
-// the platform's table. A holder may act while its lease is valid by its own
-// steady clock; a new holder acts only when the turn gap has passed since the
-// last moment at which the old one can have acted.
+// Package lease implements a named lease that at most one node holds at a time, stored as
+// one row of the platform's table. The holder may act while its lease is valid by its own
+// monotonic clock. A new holder acts only after the turn gap has passed since the last
+// moment at which the previous holder can have acted.
 package lease
 
 import (
@@ -18,77 +18,75 @@
 	"lilacvane/internal/table"
 )
 
-// Record is the row's value.
+// Record is the value of the lease's row.
 type Record struct {
-	// Holder is the node that holds the lease.
+	// Holder is the name of the node that holds the lease.
 	Holder string `json:"holder"`
-	// Address is where the holder's peers reach it (ip:port).
+	// Address is where peers reach the holder (ip:port).
 	Address string `json:"address"`
-	// Process tells two processes of one node apart.
+	// Process distinguishes successive processes of one node.
 	Process string `json:"process"`
-	// Token grows with every change of the holding process.
+	// Token increases whenever the holding process changes.
 	Token uint64 `json:"token"`
-	// Renewal grows with every renewal.
+	// Renewal increases with each renewal.
 	Renewal uint64 `json:"renewal"`
-	// Settled is set once the holder waited out the turn gap after the one
-	// before it.
+	// Settled is set once the holder has waited out the turn gap after the previous holder.
 	Settled bool `json:"settled,omitempty"`
-	// Released is set when the holder gave the lease back: it acts no more.
+	// Released is set when the holder has given up the lease and no longer acts.
 	Released bool `json:"released,omitempty"`
-	// QuietMs is how long nobody had acted when the holder released; below zero
-	// while an earlier holder may still have been acting.
+	// QuietMs is the time since anyone last acted, measured when the holder released the
+	// lease. It is negative while an earlier holder may still have been acting.
 	QuietMs int64 `json:"quietMs,omitempty"`
-	// GapLeftMs is how long the holder still waits out the turn gap of the one before
-	// it; zero once it is settled.
+	// GapLeftMs is how much of the turn gap after the previous holder remains; zero once the
+	// holder is settled.
 	GapLeftMs int64 `json:"gapLeftMs,omitempty"`
-	// Nodes is how many nodes contend for the lease, as far as the holder knows: one that
-	// starts learns it here.
+	// Nodes is how many nodes contend for the lease, as far as the holder knows. A starting
+	// node learns the number from here.
 	Nodes int `json:"nodes,omitempty"`
 }
 
-// Options are the times of a lease.
+// Options configures a Lessor.
 type Options struct {
 	// Validity is how long the holder may act after it sent a renewal.
 	Validity time.Duration
-	// Interval is the time between renewals, and between looks of the others.
+	// Interval is the time between renewals, and between reads of the row by the other nodes.
 	Interval time.Duration
-	// TurnGap must lie between the last act of one node and the first of
+	// TurnGap is the minimum time between the last act of one node and the first act of
 	// another.
 	TurnGap time.Duration
-	// ActMargin is how long before the end of its validity a holder stops to
-	// act: the time that one act may take.
+	// ActMargin is how long before the end of its validity a holder stops acting. It covers
+	// the duration of one act.
 	ActMargin time.Duration
 	// CallTimeout bounds one call to the store.
 	CallTimeout time.Duration
-	// Reluctance is how much later than others this node takes a lease that is
-	// free, so that nodes with more to spare come first; not set for no later.
+	// TakeoverDelay is how much longer than others this node waits before it takes a free
+	// lease, so that nodes with more spare capacity take it first. Nil means no delay.
 	Reluctance func() time.Duration
-	// Heard reports whether the holder was heard of by other means just now, so
-	// that the others need not look at the row; they always look when it is not set.
+	// Heard reports whether the holder was recently heard from by other means, in which case
+	// the row need not be read. If nil, the row is always read.
 	Heard func() bool
-	// LookFirst is set when this process looks at the row itself once, whatever Heard and
-	// Ask say: its node may be the holder that was lost, and goes on at once.
+	// ReadStoreOnce makes this process read the row from the store once, whatever Heard and
+	// ReadFromPeer say: its node may have held the lease when the previous process ended, and
+	// then continues at once.
 	LookFirst bool
-	// LookAtOnce is set when this process looks at the row once as soon as it runs, to know
-	// who holds the lease.
+	// ReadAtStart makes Run read the row as soon as it begins, to learn who holds the lease.
 	LookAtOnce bool
-	// Ask reads the row from another node in place of the store; not set for none. ok is
-	// false when this node is to look itself. The row may be old: it is taken over like
-	// an old answer of the store, and never taken by who only asks.
+	// ReadFromPeer reads the row from another node instead of the store; it may be nil. ok is
+	// false if this node must read the store itself. The row may be stale: it is handled like
+	// a stale answer of the store, and a node that only reads from peers never takes the
+	// lease.
 	Ask func(ctx context.Context) (value []byte, revision uint64, ok bool)
-	// Nodes is how many nodes contend for the lease, as far as is known; not set for
-	// few. The more there are, the less often each looks at a row whose store does
-	// not answer.
+	// Nodes returns how many nodes contend for the lease, as far as is known; nil means few.
+	// The more there are, the less often each reads the row of a store that does not answer.
 	Nodes func() int
-	// Regained is called when the store answers again after it failed a call; not set for
-	// nobody.
+	// Regained is called when the store answers again after a failed call; it may be nil.
 	Regained func()
-	// Now is the steady clock; clock.Now when it is not set: a holder that was suspended must
-	// not take its lease for valid by a clock that stood still.
+	// Now is a monotonic clock, by default clock.Now. It has to advance while the machine is
+	// suspended, or a holder that was suspended would still consider its lease valid.
 	Now func() time.Time
 }
 
-// Lessor takes part in holding one lease. Its methods may be called
+// Lessor competes for one lease and holds it when it can. Its methods may be called
 // concurrently.
 type Lessor struct {
 	table   table.Table
@@ -98,38 +96,38 @@
 	log     logr.Logger
 
 	mutex sync.Mutex
-	// seen is the newest record known, seenAt when its revision was first seen.
-	seen     Record
+	// latest is the newest record known; seenAt is when its revision was first seen.
+	latest   Record
 	revision uint64
 	seenAt   time.Time
-	read     bool
-	// othersUntil is until when an earlier holder's acts forbid those of this
-	// process.
-	othersUntil time.Time
-	// held is set while this process is the holder by the newest record.
+	rowKnown bool
+	// earliestAct is the earliest time at which this process could act if it took the lease:
+	// until then an earlier holder may act, or its turn gap has not passed.
+	earliestAct time.Time
+	// held is set while the newest record names this process as the holder.
 	held bool
 	// confirmed is the newest renewal of this process that the store confirmed.
 	confirmed uint64
-	// yieldedToken is the lease under which this process gave its word not to act
-	// any more.
+	// yieldedToken is the token under which this process announced that it no longer acts.
 	yieldedToken uint64
-	heard        heard
+	observed     observedStatus
 	validUntil   time.Time
 	actsFrom     time.Time
 	lastAct      time.Time
 	stopped      bool
-	lost         bool
-	// looked is set once this process looked at the row itself.
-	looked bool
-	// retry is set while a renewal was not confirmed.
-	retry bool
-	// wake ends the pause between two steps as a holder yielded, again as the store answers.
-	wake  chan struct{}
-	again chan struct{}
+	storeLost    bool
+	// readStore is set once this process has read the row from the store.
+	readStore bool
+	// retrySoon is set while a renewal is unconfirmed.
+	retrySoon bool
+	// wake ends the pause between two steps when the holder has yielded; retryNow ends it when
+	// the store answers again.
+	wake     chan struct{}
+	retryNow chan struct{}
 }
 
-// New returns a lessor for a node. process tells this process from an earlier
-// one of the same node.
+// New returns a Lessor for a node. process distinguishes this process from earlier ones of
+// the same node.
 func New(rows table.Table, key, node, address, process string, options Options, log logr.Logger) *Lessor {
 	if options.Now == nil {
 		options.Now = clock.Now
@@ -141,20 +139,20 @@
 		table: rows, key: key, options: options, log: log.WithValues("lease", key),
 		self: Record{Holder: node, Address: address, Process: process},
 		// An earlier process of this node may have acted until now.
-		lastAct: options.Now(),
-		wake:    make(chan struct{}, 1),
-		again:   make(chan struct{}, 1),
+		lastAct:  options.Now(),
+		wake:     make(chan struct{}, 1),
+		retryNow: make(chan struct{}, 1),
 	}
 }
 
-// Holds reports whether this process is the holder by the newest record.
+// Holds reports whether the newest record names this process as the holder.
 func (l *Lessor) Holds() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.held
 }
 
-// Act returns the lease's token if the holder may act now, and notes the act.
+// Act returns the lease's token if the holder may act now, and records the time of the act.
 // It must be called right before each act.
 func (l *Lessor) Act() (token uint64, ok bool) {
 	l.mutex.Lock()
@@ -163,27 +161,28 @@
 		return 0, false
 	}
 	l.lastAct = l.options.Now()
-	return l.seen.Token, true
+	return l.latest.Token, true
 }
 
-// Valid reports whether this process holds the lease by a renewal that still counts.
+// Valid reports whether this process holds the lease and its last renewal has not expired.
 func (l *Lessor) Valid() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.held && !l.stopped && !l.yielded() && l.options.Now().Before(l.validUntil)
 }
 
-// Acting reports whether the holder may act now.
+// Acting reports whether this process holds the lease and may act now.
 func (l *Lessor) Acting() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.mayAct()
 }
 
-// quiet is how long nobody can have acted: since this process's last act, and since
-// the last moment at which the holder before it can have acted, which may lie ahead.
-// mutex is held.
-func (l *Lessor) quiet() time.Duration {
+// sinceLastAct returns how long no node can have acted: the time since this process's last
+// act or since the last moment at which the previous holder can have acted, whichever is
+// later. The result is negative while that moment lies in the future. The caller holds
+// mutex.
+func (l *Lessor) sinceLastAct() time.Duration {
 	last := l.lastAct
 	if others := l.actsFrom.Add(-l.options.TurnGap); !l.actsFrom.IsZero() && others.After(last) {
 		last = others
@@ -191,18 +190,18 @@
 	return l.options.Now().Sub(last)
 }
 
-// wholeMs rounds down to milliseconds, below zero too.
-func wholeMs(d time.Duration) int64 { return int64(math.Floor(float64(d) / float64(time.Millisecond))) }
+// floorMs rounds down to whole milliseconds, also below zero.
+func floorMs(d time.Duration) int64 { return int64(math.Floor(float64(d) / float64(time.Millisecond))) }
 
-// settle says in a record whether the holder waits out a gap, and for how long. It
-// is called before the record is sent.
-func (l *Lessor) settle(record *Record, actsFrom time.Time) {
+// setGap records whether the holder still waits out a turn gap, and for how long. It is
+// called right before the record is sent.
+func (l *Lessor) setGap(record *Record, actsFrom time.Time) {
 	wait := actsFrom.Sub(l.options.Now())
 	record.Settled = wait <= 0
-	record.GapLeftMs = max(-wholeMs(-wait), 0)
+	record.GapLeftMs = max(-floorMs(-wait), 0)
 }
 
-// nodes is how many nodes contend for the lease; zero when that is not known.
+// nodes returns how many nodes contend for the lease; zero if unknown.
 func (l *Lessor) nodes() int {
 	if l.options.Nodes == nil {
 		return 0
@@ -215,43 +214,44 @@
 	return l.held && !l.stopped && !l.yielded() && now.Add(l.options.ActMargin).Before(l.validUntil) && !now.Before(l.actsFrom)
 }
 
-// ActsIn is the time until this process may act if it holds the lease: until the
-// turn gap after the holder before it has passed.
+// ActsIn returns the time until this process may act if it holds the lease, that is until
+// the turn gap after the previous holder has passed.
 func (l *Lessor) ActsIn() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return max(l.actsFrom.Sub(l.options.Now()), 0)
 }
 
-// TurnGap is the least time between the acts of two nodes.
+// TurnGap returns the minimum time between the acts of two nodes.
 func (l *Lessor) TurnGap() time.Duration { return l.options.TurnGap }
 
-// Holder returns the newest record known.
+// Holder returns the newest record known, and whether it names a current holder.
 func (l *Lessor) Holder() (Record, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.seen, l.read && !l.seen.Released && l.seen.Holder != ""
+	return l.latest, l.rowKnown && !l.latest.Released && l.latest.Holder != ""
 }
 
-// Looked reports whether the row was read, by this process or from what others told.
+// RowKnown reports whether the row has been read, from the store or from a peer.
 func (l *Lessor) Looked() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.read
+	return l.rowKnown
 }
 
-func (l *Lessor) look(ctx context.Context) error {
+func (l *Lessor) readRow(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, l.options.CallTimeout)
 	defer cancel()
 	row, err := l.table.Get(ctx, l.key)
 	if err != nil {
 		return err
 	}
-	return l.saw(row.Value, row.Revision)
+	return l.applyRow(row.Value, row.Revision)
 }
 
-// saw takes over a record that was read. An older one than known is passed over.
-func (l *Lessor) saw(value []byte, revision uint64) error {
+// applyRow takes over a record that was read. It ignores records older than the newest
+// known one.
+func (l *Lessor) applyRow(value []byte, revision uint64) error {
 	var record Record
 	if revision != 0 {
 		if err := json.Unmarshal(value, &record); err != nil {
@@ -260,50 +260,49 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.read && revision <= l.revision {
+	if l.rowKnown && revision <= l.revision {
 		return nil
 	}
-	if record.Holder != l.seen.Holder || record.Token != l.seen.Token || record.Released != l.seen.Released {
+	if record.Holder != l.latest.Holder || record.Token != l.latest.Token || record.Released != l.latest.Released {
 		l.log.Info("lease seen", "holder", record.Holder, "token", record.Token, "released", record.Released, "revision", revision)
 	}
-	l.seen, l.revision, l.seenAt, l.read = record, revision, l.seenSince(record), true
-	l.noteOthers()
+	l.latest, l.revision, l.seenAt, l.rowKnown = record, revision, l.knownSince(record), true
+	l.updateEarliestAct()
 	return nil
 }
 
-// noteOthers derives from the record just seen until when the acts of others
-// forbid those of this process. The holder acts no longer than its validity
-// after its last renewal, which was sent before it was seen. mutex is held.
-func (l *Lessor) noteOthers() {
+// updateEarliestAct computes from the newest record how long this process must wait before
+// it may act. A holder acts no longer than the validity after its last renewal, which was
+// sent before it was seen. The caller holds mutex.
+func (l *Lessor) updateEarliestAct() {
 	switch {
-	case l.seen.Holder == "":
-	case l.seen.Process == l.self.Process:
-	case l.seen.Holder == l.self.Holder:
-		// An earlier process of this node: only those before it count.
-		l.othersUntil = l.seenAt.Add(time.Duration(l.seen.GapLeftMs) * time.Millisecond)
-	case l.seen.Released:
-		l.othersUntil = l.seenAt.Add(l.options.TurnGap - time.Duration(l.seen.QuietMs)*time.Millisecond)
-	case l.heardYield():
-		l.othersUntil = l.heard.quietSince.Add(l.options.TurnGap)
+	case l.latest.Holder == "":
+	case l.latest.Process == l.self.Process:
+	case l.latest.Holder == l.self.Holder:
+		// An earlier process of the same node: only the gap that it still had to wait out counts.
+		l.earliestAct = l.seenAt.Add(time.Duration(l.latest.GapLeftMs) * time.Millisecond)
+	case l.latest.Released:
+		l.earliestAct = l.seenAt.Add(l.options.TurnGap - time.Duration(l.latest.QuietMs)*time.Millisecond)
+	case l.holderYielded():
+		l.earliestAct = l.observed.quietSince.Add(l.options.TurnGap)
 	default:
-		l.othersUntil = l.seenAt.Add(l.options.Validity + l.options.TurnGap)
+		l.earliestAct = l.seenAt.Add(l.options.Validity + l.options.TurnGap)
 	}
 }
 
-// mayTake decides whether the lease may be taken. The revision that was last
-// seen is the condition of the write, so a renewal that was not seen makes the
-// write fail.
+// mayTake reports whether this process may try to take the lease. The write is conditional
+// on the revision last seen, so it fails if the holder has renewed since.
 func (l *Lessor) mayTake() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.stopped || !l.read {
+	if l.stopped || !l.rowKnown {
 		return false
 	}
-	if l.seen.Released || l.seen.Holder == "" || l.seen.Holder == l.self.Holder {
+	if l.latest.Released || l.latest.Holder == "" || l.latest.Holder == l.self.Holder {
 		return true
 	}
-	if l.heardYield() {
-		return l.options.Now().Sub(l.heard.yieldedAt) >= yieldPatience+l.options.Reluctance()
+	if l.holderYielded() {
+		return l.options.Now().Sub(l.observed.yieldedAt) >= yieldGrace+l.options.Reluctance()
 	}
 	return l.options.Now().Sub(l.seenAt) >= l.options.Validity+l.options.Interval+l.options.Reluctance()
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -21,18 +21,18 @@
 	testGap      = 3 * time.Second
 )
 
-// fakeTable is a table whose answers are lost, whose writes come late and whose
-// reads are old, as a test says.
+// fakeTable is a table that loses answers, delays writes and serves stale reads, as the
+// test requires.
 type fakeTable struct {
 	rows     []table.Row
 	revision uint64
 	late     []table.Transaction
-	// next is what becomes of the next write: "", "lost", "late" or "refused".
+	// next is the fate of the next write: "", "lost", "late" or "refused".
 	next string
-	// behind is how many writes a read is behind; down refuses all.
+	// behind is how many writes a read lags behind; down makes all calls fail.
 	behind int
 	down   bool
-	// during is called while a write is under way.
+	// during is called in the middle of a write.
 	during func()
 }
 
@@ -88,29 +88,29 @@
 	return true
 }
 
-// world is a set of nodes that contend for one lease under a fake clock.
-type world struct {
+// cluster is a set of nodes that contend for one lease under a fake clock.
+type cluster struct {
 	table   *fakeTable
 	now     time.Time
 	nodes   []*Lessor
 	started int
-	// acts are the last acts, by node.
+	// lastBy and lastAt are the node and time of the last act.
 	lastBy string
 	lastAt time.Time
-	// words are those of holders that were not heard yet.
-	words []Word
+	// statuses holds the statuses sent by holders, for delivery to other nodes.
+	statuses []HolderStatus
 }
 
-func newWorld(nodes int) *world {
-	w := &world{table: &fakeTable{}, now: time.Unix(1000, 0)}
+func newCluster(nodes int) *cluster {
+	w := &cluster{table: &fakeTable{}, now: time.Unix(1000, 0)}
 	for index := range nodes {
 		w.nodes = append(w.nodes, w.start(index))
 	}
 	return w
 }
 
-// start begins a new process of a node.
-func (w *world) start(index int) *Lessor {
+// start starts a new process of a node.
+func (w *cluster) start(index int) *Lessor {
 	w.started++
 	name := fmt.Sprintf("node-%d", index)
 	options := Options{
@@ -120,8 +120,8 @@
 	return New(w.table, "lease", name, name+":1", fmt.Sprint(w.started), options, logr.Discard())
 }
 
-// act lets a node act if it may, and checks the gap to another node's last act.
-func (w *world) act(t *rapid.T, index int) {
+// act lets a node act if it may, and checks the gap since another node's last act.
+func (w *cluster) act(t *rapid.T, index int) {
 	node := w.nodes[index]
 	if _, ok := node.Act(); !ok {
 		return
@@ -132,10 +132,10 @@
 	w.lastBy, w.lastAt = node.self.Holder, w.now
 }
 
-// TestNeverTwoHolders drives nodes through lost, late and refused writes, old
-// reads, a store that is down, pauses of any length, restarts and releases, by a
-// random schedule: acts of two nodes always lie the turn gap apart, and tokens of
-// acts never fall. A hundred schedules miss what a few thousand find.
+// TestNeverTwoHolders runs random schedules of lost, late and refused writes, stale reads,
+// store outages, pauses of any length, restarts and releases. It checks that acts of two
+// nodes are always at least the turn gap apart and that the tokens of acts never decrease.
+// Some faults show up only in a few thousand schedules; one hundred miss them.
 func TestNeverTwoHolders(t *testing.T) {
 	const rounds = 20
 	for range rounds {
@@ -144,7 +144,7 @@
 }
 
 func neverTwoHolders(t *rapid.T) {
-	w := newWorld(rapid.IntRange(2, 4).Draw(t, "nodes"))
+	w := newCluster(rapid.IntRange(2, 4).Draw(t, "nodes"))
 	var newest uint64
 	for range rapid.IntRange(1, 150).Draw(t, "steps") {
 		index := rapid.IntRange(0, len(w.nodes)-1).Draw(t, "node")
@@ -155,7 +155,7 @@
 			w.act(t, index)
 			if token, ok := w.nodes[index].Act(); ok {
 				if token < newest {
-					t.Fatalf("token %d after %d", token, newest)
+					t.Fatalf("act with token %d after one with token %d", token, newest)
 				}
 				newest = token
 			}
@@ -175,12 +175,12 @@
 		case "restart":
 			w.nodes[index] = w.start(index)
 		case "say":
-			if word, ok := w.nodes[index].Word(); ok {
-				w.words = append(w.words, word)
+			if status, ok := w.nodes[index].Status(); ok {
+				w.statuses = append(w.statuses, status)
 			}
 		case "hear":
-			if len(w.words) > 0 {
-				w.nodes[index].Hear(w.words[rapid.IntRange(0, len(w.words)-1).Draw(t, "word")])
+			if len(w.statuses) > 0 {
+				w.nodes[index].Observe(w.statuses[rapid.IntRange(0, len(w.statuses)-1).Draw(t, "word")])
 			}
 		case "release":
 			w.nodes[index].Release(context.Background())
@@ -189,12 +189,12 @@
 	}
 }
 
-// TestNextHolderWaitsTheGap: the holder is cut off from the table and acts as long
-// as it may; the next one acts no sooner than the turn gap after that. The random
-// schedules rarely come this close.
+// TestNextHolderWaitsTheGap cuts the holder off from the table, lets it act as long as it
+// may, and checks that the next holder waits the turn gap after that. Random schedules
+// rarely come this close to the limit.
 func TestNextHolderWaitsTheGap(t *testing.T) {
 	const tick = 50 * time.Millisecond
-	w := newWorld(2)
+	w := newCluster(2)
 	holder, next := w.nodes[0], w.nodes[1]
 	var cutAt, lastAct, firstAct time.Time
 	for firstAct.IsZero() {
@@ -210,19 +210,19 @@
 		if _, ok := next.Act(); ok {
 			firstAct = w.now
 		}
-		assert.Assert(t, w.now.Sub(cutAt) < time.Minute, "nobody acts again")
+		assert.Assert(t, w.now.Sub(cutAt) < time.Minute, "no node acts again")
 	}
 	assert.Assert(t, !lastAct.IsZero())
 	assert.Assert(t, firstAct.Sub(lastAct) >= testGap, "%s", firstAct.Sub(lastAct))
 }
 
-// TestYieldedLeaseIsTakenSoon: a holder without the store acts as long as it may
-// and says when it acts no more; another one that hears it acts the turn gap after
-// its last act. It failed first: the next holder waited for validity and gap from
-// the moment at which it looked at the row.
+// TestYieldedLeaseIsTakenSoon checks that once a holder without the store has announced
+// that it no longer acts, a node that received the announcement acts the turn gap after the
+// holder's last act. Without that, the next holder waits for the validity and the gap from
+// the moment at which it read the row.
 func TestYieldedLeaseIsTakenSoon(t *testing.T) {
 	const tick = 50 * time.Millisecond
-	w := newWorld(2)
+	w := newCluster(2)
 	holder, next := w.nodes[0], w.nodes[1]
 	var lastAct, firstAct time.Time
 	began := w.now
@@ -231,36 +231,36 @@
 		if w.now.Before(began.Add(3 * time.Second)) {
 			holder.step(t.Context())
 		}
-		if word, ok := holder.Word(); ok {
-			next.Hear(word)
+		if status, ok := holder.Status(); ok {
+			next.Observe(status)
 		}
 		if _, ok := holder.Act(); ok {
 			lastAct = w.now
 		}
-		if lastAct.IsZero() || w.now.Sub(lastAct) > yieldPatience {
+		if lastAct.IsZero() || w.now.Sub(lastAct) > yieldGrace {
 			next.step(t.Context())
 		}
 		if _, ok := next.Act(); ok {
 			firstAct = w.now
 		}
-		assert.Assert(t, w.now.Sub(began) < time.Minute, "nobody acts again")
+		assert.Assert(t, w.now.Sub(began) < time.Minute, "no node acts again")
 	}
 	gap := firstAct.Sub(lastAct)
-	assert.Assert(t, gap >= testGap && gap <= testGap+yieldPatience, "%s", gap)
+	assert.Assert(t, gap >= testGap && gap <= testGap+yieldGrace, "%s", gap)
 }
 
-// TestRenewalUnderWayDuringYield: a renewal that was sent before the holder yielded
-// and is confirmed after it does not let it act under the token that it gave up.
+// TestRenewalUnderWayDuringYield checks that a renewal sent before the holder yielded and
+// confirmed afterwards does not let it act under the token it gave up.
 func TestRenewalUnderWayDuringYield(t *testing.T) {
-	w := newWorld(1)
+	w := newCluster(1)
 	holder := w.nodes[0]
 	holder.step(t.Context())
 	before, acts := holder.Act()
 	assert.Assert(t, acts)
 	w.now = w.now.Add(testValidity)
 	w.table.during = func() {
-		word, _ := holder.Word()
-		assert.Assert(t, word.Yielded)
+		status, _ := holder.Status()
+		assert.Assert(t, status.Yielded)
 	}
 	holder.step(t.Context())
 	w.table.during = nil
@@ -272,26 +272,27 @@
 	assert.Equal(t, after, before+1)
 }
 
-// TestYieldedHolderGoesOn: a holder that yielded and that nobody replaced goes on at
-// once under a new token, when the store answers again.
-func TestYieldedHolderGoesOn(t *testing.T) {
-	w := newWorld(1)
+// TestYieldedHolderContinues checks that a holder that yielded and was not replaced continues
+// at once, under a new token, when the store answers again.
+func TestYieldedHolderContinues(t *testing.T) {
+	w := newCluster(1)
 	holder := w.nodes[0]
 	holder.step(t.Context())
 	before, acts := holder.Act()
 	assert.Assert(t, acts)
 	w.now = w.now.Add(testValidity)
-	word, _ := holder.Word()
-	assert.Assert(t, word.Yielded)
+	status, _ := holder.Status()
+	assert.Assert(t, status.Yielded)
 	holder.step(t.Context())
 	after, acts := holder.Act()
 	assert.Assert(t, acts)
 	assert.Equal(t, after, before+1)
 }
 
-// TestSomebodyHolds: on a sound store one node acts, and after its end another.
-func TestSomebodyHolds(t *testing.T) {
-	w := newWorld(3)
+// TestSomeNodeHolds checks that with a working store one node acts, and another one after
+// that node is gone.
+func TestSomeNodeHolds(t *testing.T) {
+	w := newCluster(3)
 	run := func(seconds int, without int) int {
 		acting := -1
 		for range seconds * 2 {
@@ -315,10 +316,10 @@
 	assert.Assert(t, second >= 0 && second != first)
 }
 
-// TestRestartedNodeGoesOnAtOnce: a process of the same node needs no gap, but for
-// one that its predecessor had still to wait out.
-func TestRestartedNodeGoesOnAtOnce(t *testing.T) {
-	w := newWorld(1)
+// TestRestartedNodeNeedsNoGap checks that a new process of the same node needs no gap of
+// its own; it only waits out a gap that its predecessor still had to wait out.
+func TestRestartedNodeNeedsNoGap(t *testing.T) {
+	w := newCluster(1)
 	w.nodes[0].step(context.Background())
 	assert.Assert(t, w.nodes[0].Acting())
 	w.nodes[0] = w.start(0)
@@ -326,11 +327,11 @@
 	assert.Assert(t, w.nodes[0].Acting())
 }
 
-// TestRestartedHolderReleases: a process that takes its node's lease over and gives
-// it back without an act knows nothing of its predecessor's last act, so the next
-// holder waits the gap from the restart on.
+// TestRestartedHolderReleases covers a process that takes over its node's lease and
+// releases it without acting. It does not know when its predecessor last acted, so the next
+// holder has to wait the gap from the restart on.
 func TestRestartedHolderReleases(t *testing.T) {
-	w := newWorld(2)
+	w := newCluster(2)
 	w.nodes[0].step(t.Context())
 	_, acted := w.nodes[0].Act()
 	assert.Assert(t, acted)
@@ -338,7 +339,7 @@
 	w.nodes[0].step(t.Context())
 	w.nodes[0].Release(t.Context())
 	w.nodes[1].step(t.Context())
-	assert.Assert(t, !w.nodes[1].Acting(), "acts at once after the predecessor")
+	assert.Assert(t, !w.nodes[1].Acting(), "the next holder acts without waiting out the turn gap")
 	w.now = w.now.Add(testGap - time.Millisecond)
 	w.nodes[1].step(t.Context())
 	assert.Assert(t, !w.nodes[1].Acting())
@@ -347,12 +348,12 @@
 	assert.Assert(t, w.nodes[1].Acting())
 }
 
-// TestUnsettledHolderReleases: a holder that still waits out the gap of the one
-// before gives the lease back, and is restarted in the middle of its wait; the next
-// one waits no longer than that gap. It failed first: it waited validity and gap anew.
+// TestUnsettledHolderReleases covers a holder that releases the lease, or restarts, while
+// it still waits out the gap after its predecessor. The next holder waits only the rest of
+// that gap, not the validity and the whole gap again.
 func TestUnsettledHolderReleases(t *testing.T) {
 	for _, restarted := range []bool{false, true} {
-		w := newWorld(3)
+		w := newCluster(3)
 		w.nodes[0].step(t.Context())
 		_, acted := w.nodes[0].Act()
 		assert.Assert(t, acted)
@@ -378,10 +379,10 @@
 	}
 }
 
-// TestReluctantNodeWaitsLonger: of two nodes that see the same lease run out, the
-// one with more to spare takes it.
-func TestReluctantNodeWaitsLonger(t *testing.T) {
-	w := newWorld(3)
+// TestTakeoverDelay checks that of two nodes that see the same lease expire, the one with
+// more spare capacity takes it.
+func TestTakeoverDelay(t *testing.T) {
+	w := newCluster(3)
 	holder, small, large := w.nodes[0], w.nodes[1], w.nodes[2]
 	small.options.Reluctance = func() time.Duration { return 400 * time.Millisecond }
 	holder.step(t.Context())
@@ -397,11 +398,11 @@
 	assert.Assert(t, !small.Holds())
 }
 
-// TestReleaseAfterLateRenewal: a renewal without an answer is carried out right
-// before the lease is given back; it is given back all the same. It failed first:
-// the release was refused, and the next holder waited until the lease ran out.
+// TestReleaseAfterLateRenewal covers an unanswered renewal that takes effect right before
+// the release. The release must still succeed: if it is refused, the next holder has to
+// wait until the lease expires.
 func TestReleaseAfterLateRenewal(t *testing.T) {
-	w := newWorld(2)
+	w := newCluster(2)
 	holder, next := w.nodes[0], w.nodes[1]
 	holder.step(t.Context())
 	assert.Assert(t, holder.Holds())
--- a/internal/lease/ask_test.go
+++ b/internal/lease/peer_test.go
@@ -12,7 +12,7 @@
 	"lilacvane/internal/table"
 )
 
-// oneRow is a store of one row that counts its calls.
+// oneRow is a single-row store that counts its calls.
 type oneRow struct {
 	row   table.Row
 	calls int
@@ -31,27 +31,28 @@
 	return s.row.Revision, nil
 }
 
-// held is a store in which a node holds the lease.
-func held(t *testing.T, node string) *oneRow {
+// storeHeldBy returns a store whose row says that node holds the lease.
+func storeHeldBy(t *testing.T, node string) *oneRow {
 	t.Helper()
 	value, err := json.Marshal(Record{Holder: node, Address: "10.0.0.9:1", Process: "before", Token: 7, Renewal: 3, Settled: true})
 	assert.NilError(t, err)
 	return &oneRow{row: table.Row{Value: value, Revision: 40}}
 }
 
-// asking is a lessor that another node tells the row.
-func asking(store *oneRow, first bool) *Lessor {
+// newPeerReader returns a Lessor that can read the row from a peer.
+func newPeerReader(store *oneRow, first bool) *Lessor {
 	return New(store, "lease", "self", "10.0.0.1:1", "now", Options{
 		Validity: 2 * time.Second, Interval: 500 * time.Millisecond, TurnGap: 3 * time.Second, CallTimeout: time.Second, LookFirst: first,
 		Ask: func(context.Context) ([]byte, uint64, bool) { return store.row.Value, store.row.Revision, true },
 	}, logr.Discard())
 }
 
-// TestAskedRowNamesTheHolder: a node that asks another one knows the holder without a call
-// to the store, and takes no lease by what it was told.
-func TestAskedRowNamesTheHolder(t *testing.T) {
-	store := held(t, "other")
-	l := asking(store, false)
+// TestRowFromPeerNamesHolder checks that a node that reads the row from a peer learns the
+// holder without calling the store, and never takes the lease on the strength of a peer's
+// answer.
+func TestRowFromPeerNamesHolder(t *testing.T) {
+	store := storeHeldBy(t, "other")
+	l := newPeerReader(store, false)
 	for range 20 {
 		l.step(t.Context())
 	}
@@ -66,28 +67,29 @@
 	assert.Assert(t, !l.Holds())
 }
 
-// TestRestartedHolderGoesOnAtOnce: a process looks at the row once by itself, as its node
-// may be the holder whose process was lost, and takes the lease at that look.
-func TestRestartedHolderGoesOnAtOnce(t *testing.T) {
-	l := asking(held(t, "self"), true)
+// TestRestartedHolderContinuesAtOnce checks that a new process reads the row from the store
+// once, because its node may hold the lease from before a crash, and takes the lease on
+// that read.
+func TestRestartedHolderContinuesAtOnce(t *testing.T) {
+	l := newPeerReader(storeHeldBy(t, "self"), true)
 	l.step(t.Context())
 	assert.Assert(t, l.Holds())
-	store := held(t, "other")
-	l = asking(store, true)
+	store := storeHeldBy(t, "other")
+	l = newPeerReader(store, true)
 	for range 5 {
 		l.step(t.Context())
 	}
 	assert.Equal(t, store.calls, 1)
 }
 
-// TestHolderIsLookedAtOnce: a started process knows who holds the lease before its turn to
-// take it comes, takes nothing then, not even its own node's lease, and looks again at its
-// first step.
-func TestHolderIsLookedAtOnce(t *testing.T) {
+// TestRowIsReadAtStart checks that a new process learns the holder before its turn to
+// take the lease comes, that this first read takes no lease, not even its own node's, and
+// that the first step reads the row again.
+func TestRowIsReadAtStart(t *testing.T) {
 	for _, holder := range []string{"other", "self"} {
-		store := held(t, holder)
-		l := asking(store, true)
-		l.lookAtOnce(t.Context())
+		store := storeHeldBy(t, holder)
+		l := newPeerReader(store, true)
+		l.readAtStart(t.Context())
 		record, known := l.Holder()
 		assert.Assert(t, known)
 		assert.Equal(t, record.Holder, holder)
--- a/internal/lease/release.go
+++ b/internal/lease/release.go
@@ -6,12 +6,12 @@
 	"lilacvane/internal/fault"
 )
 
-// releaseTries bounds how often a release is written anew after a conflict.
+// releaseTries is how often a release is attempted in total when it conflicts.
 const releaseTries = 3
 
-// Release gives the lease back: this process acts no more from here on. A renewal
-// that was on its way may change the row meanwhile, so a release that conflicts is
-// written again over the newest row, as long as that is this process's.
+// Release gives up the lease; this process does not act any more afterwards. A renewal
+// still in flight may change the row in the meantime, so a release that conflicts is
+// retried on the newest row as long as that row belongs to this process.
 func (l *Lessor) Release(ctx context.Context) {
 	l.mutex.Lock()
 	l.stopped = true
@@ -22,31 +22,31 @@
 	}
 	confirmed := false
 	for range releaseTries {
-		record, revision, own := l.released()
+		record, revision, own := l.releaseRecord()
 		if !own {
 			break
 		}
-		_, _, err := l.put(ctx, record, revision)
+		_, _, err := l.writeRow(ctx, record, revision)
 		confirmed = err == nil
-		if !fault.IsCode(err, fault.CodeConflict) || l.look(ctx) != nil {
+		if !fault.IsCode(err, fault.CodeConflict) || l.readRow(ctx) != nil {
 			break
 		}
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.held = false
-	l.log.Info("lease released", "token", l.seen.Token, "confirmed", confirmed)
+	l.log.Info("lease released", "token", l.latest.Token, "confirmed", confirmed)
 }
 
-// released returns the record that gives the lease back and the revision that it
-// replaces; own is false when another process holds the lease.
-func (l *Lessor) released() (record Record, revision uint64, own bool) {
+// releaseRecord returns the record that releases the lease and the revision it replaces.
+// own is false if another process holds the lease.
+func (l *Lessor) releaseRecord() (record Record, revision uint64, own bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	record = l.seen
+	record = l.latest
 	record.Released = true
 	record.Renewal++
-	record.QuietMs = wholeMs(min(l.quiet(), l.options.TurnGap))
-	l.settle(&record, l.actsFrom)
-	return record, l.revision, l.seen.Process == l.self.Process && !l.seen.Released
+	record.QuietMs = floorMs(min(l.sinceLastAct(), l.options.TurnGap))
+	l.setGap(&record, l.actsFrom)
+	return record, l.revision, l.latest.Process == l.self.Process && !l.latest.Released
 }
--- a/internal/lease/run.go
+++ b/internal/lease/run.go
@@ -11,86 +11,89 @@
 	"lilacvane/internal/wait"
 )
 
-// Run takes, renews and watches the lease until ctx ends.
+// Run acquires, renews and watches the lease until ctx is done.
 func (l *Lessor) Run(ctx context.Context) {
 	if l.options.LookAtOnce {
-		l.lookAtOnce(ctx)
+		l.readAtStart(ctx)
 	}
-	// Nodes that start together do not all try to take it at once.
+	// Nodes that start together should not all try to take the lease at once.
 	wait.For(ctx, rand.N(l.options.Interval/2)+l.options.Reluctance())
 	for ctx.Err() == nil {
 		l.step(ctx)
-		l.rest(ctx, l.pause())
+		l.pauseUntilNextStep(ctx, l.nextPause())
 	}
 }
 
-// firstLookSpread spreads the first looks of nodes that start together.
-const firstLookSpread = 80 * time.Millisecond
+// firstReadJitter spreads the first reads of nodes that start together.
+const firstReadJitter = 80 * time.Millisecond
 
-// lookAtOnce looks at the row before this process waits for its turn to take it, so that who
-// holds the lease is known soon. The next step looks again: where all were started
-// together, the row may be from before.
-func (l *Lessor) lookAtOnce(ctx context.Context) {
-	wait.For(ctx, rand.N(firstLookSpread))
-	l.noteLoss(l.look(ctx))
+// readAtStart reads the row before this process waits for its turn to take the lease, so
+// that the holder is known early. The next step reads it again: if all nodes were started
+// together, the row may date from before.
+func (l *Lessor) readAtStart(ctx context.Context) {
+	wait.For(ctx, rand.N(firstReadJitter))
+	l.logStoreChange(l.readRow(ctx))
 }
 
-// Retry ends the pause before the next step: other calls show that the store answers again.
+// Retry ends the pause before the next step. It is called when other calls show that the
+// store answers again.
 func (l *Lessor) Retry() {
 	select {
-	case l.again <- struct{}{}:
+	case l.retryNow <- struct{}{}:
 	default:
 	}
 }
 
-// rest waits until the next step is due, the store answers again, or a holder yielded.
-func (l *Lessor) rest(ctx context.Context, pause time.Duration) {
+// pauseUntilNextStep waits until the pause is over, the store answers again, or the holder
+// has yielded.
+func (l *Lessor) pauseUntilNextStep(ctx context.Context, pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-l.again:
+	case <-l.retryNow:
 	case <-l.wake:
-		spread := l.options.Interval / 2 * time.Duration(l.crowd())
-		wait.For(ctx, yieldPatience+l.options.Reluctance()+rand.N(spread))
+		spread := l.options.Interval / 2 * time.Duration(l.pauseFactor())
+		wait.For(ctx, yieldGrace+l.options.Reluctance()+rand.N(spread))
 	}
 }
 
-// retryPause lies between a renewal that was not confirmed and the next one.
+// retryPause is the time between an unconfirmed renewal and the next one.
 const retryPause = 50 * time.Millisecond
 
-// unreachablePause is how many times as long the others wait between two looks
-// while the store does not answer them.
-const unreachablePause = 4
+// outageFactor multiplies the time between two reads of a node that does not hold the lease
+// while the store does not answer it.
+const outageFactor = 4
 
 const (
-	// nodesPerCrowd is for how many nodes the pauses of each need not be longer.
-	nodesPerCrowd = 16
-	// largestCrowd bounds how many times as long they are.
-	largestCrowd = 4
+	// nodesPerPauseFactor is how many contending nodes there are per unit of the pause factor.
+	// With fewer than twice as many, pauses need not be longer.
+	nodesPerPauseFactor = 16
+	// maxPauseFactor bounds the pause factor.
+	maxPauseFactor = 4
 )
 
-// crowd is how many times as long each node waits, so that many do not all call the
-// store at once.
-func (l *Lessor) crowd() int {
-	return min(max(l.nodes()/nodesPerCrowd, 1), largestCrowd)
+// pauseFactor returns how many times longer each node waits, so that many nodes do not all
+// call the store at once.
+func (l *Lessor) pauseFactor() int {
+	return min(max(l.nodes()/nodesPerPauseFactor, 1), maxPauseFactor)
 }
 
-// pause is the time until the next step.
-func (l *Lessor) pause() time.Duration {
+// nextPause returns the time until the next step.
+func (l *Lessor) nextPause() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	pause := l.options.Interval/2 + rand.N(l.options.Interval)
 	switch {
-	case l.held && l.retry:
+	case l.held && l.retrySoon:
 		return retryPause
 	case l.held:
 		return l.options.Interval
-	case l.lost && l.read:
-		return unreachablePause * pause * time.Duration(l.crowd())
-	case l.lost:
-		return unreachablePause * pause
+	case l.storeLost && l.rowKnown:
+		return outageFactor * pause * time.Duration(l.pauseFactor())
+	case l.storeLost:
+		return outageFactor * pause
 	default:
 		return pause
 	}
@@ -101,31 +104,32 @@
 		l.renew(ctx)
 		return
 	}
-	if l.othersTell(ctx) {
+	if l.learnsFromOthers(ctx) {
 		return
 	}
-	l.looked = true
-	if err := l.look(ctx); err != nil {
-		l.noteLoss(err)
+	l.readStore = true
+	if err := l.readRow(ctx); err != nil {
+		l.logStoreChange(err)
 		return
 	}
-	l.noteLoss(nil)
+	l.logStoreChange(nil)
 	if l.mayTake() {
 		l.take(ctx)
 	}
 }
 
-// othersTell reports whether this process need not look at the row now, as it hears of the
-// holder, or of the row, from others.
-func (l *Lessor) othersTell(ctx context.Context) bool {
-	if l.options.LookFirst && !l.looked {
+// learnsFromOthers reports whether the row need not be read from the store now, because
+// this process hears from the holder or reads the row from a peer.
+func (l *Lessor) learnsFromOthers(ctx context.Context) bool {
+	if l.options.LookFirst && !l.readStore {
 		return false
 	}
-	return l.options.Heard != nil && l.options.Heard() || l.ask(ctx)
+	return l.options.Heard != nil && l.options.Heard() || l.readFromPeer(ctx)
 }
 
-// ask reads the row from another node. It returns whether this one need not look itself.
-func (l *Lessor) ask(ctx context.Context) bool {
+// readFromPeer reads the row from another node. It reports whether the store need not be
+// read.
+func (l *Lessor) readFromPeer(ctx context.Context) bool {
 	if l.options.Ask == nil {
 		return false
 	}
@@ -136,46 +140,46 @@
 	if revision == 0 {
 		return true
 	}
-	if err := l.saw(value, revision); err != nil {
-		l.log.Info("lease told by a peer unreadable", "revision", revision, "error", err.Error())
+	if err := l.applyRow(value, revision); err != nil {
+		l.log.Info("lease row from a peer is unreadable", "revision", revision, "error", err.Error())
 		return false
 	}
 	return true
 }
 
-// Row returns the row as this process knows it; a revision of zero is none.
+// Row returns the row as this process knows it. A revision of zero means there is none.
 func (l *Lessor) Row() (value []byte, revision uint64, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if !l.read || l.revision == 0 {
+	if !l.rowKnown || l.revision == 0 {
 		return nil, 0, nil
 	}
-	value, err = json.Marshal(l.seen)
+	value, err = json.Marshal(l.latest)
 	return value, l.revision, err
 }
 
-// take writes this process as the holder.
+// take tries to write this process as the holder.
 func (l *Lessor) take(ctx context.Context) {
 	nodes := l.nodes()
 	l.mutex.Lock()
 	record := l.self
 	record.Nodes = nodes
-	record.Token = l.seen.Token + 1
+	record.Token = l.latest.Token + 1
 	record.Renewal = 1
 	expected := l.revision
-	actsFrom := l.othersUntil
-	l.settle(&record, actsFrom)
+	actsFrom := l.earliestAct
+	l.setGap(&record, actsFrom)
 	l.mutex.Unlock()
-	revision, sent, err := l.put(ctx, record, expected)
+	revision, sent, err := l.writeRow(ctx, record, expected)
 	if err != nil {
 		l.log.Info("lease not taken", "token", record.Token, "expected", expected, "error", err.Error())
 		return
 	}
-	l.hold(record, revision, sent, actsFrom)
+	l.setHeld(record, revision, sent, actsFrom)
 	l.log.Info("lease taken", "token", record.Token, "revision", revision, "actsInMs", max(actsFrom.Sub(l.options.Now()), 0).Milliseconds())
 }
 
-func (l *Lessor) put(ctx context.Context, record Record, expected uint64) (uint64, time.Time, error) {
+func (l *Lessor) writeRow(ctx context.Context, record Record, expected uint64) (uint64, time.Time, error) {
 	value, err := json.Marshal(record)
 	if err != nil {
 		return 0, time.Time{}, fault.From(err, "encode lease")
@@ -190,17 +194,17 @@
 	return revision, sent, err
 }
 
-func (l *Lessor) hold(record Record, revision uint64, sent, actsFrom time.Time) {
+func (l *Lessor) setHeld(record Record, revision uint64, sent, actsFrom time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.seen, l.revision, l.seenAt, l.held = record, revision, l.options.Now(), true
+	l.latest, l.revision, l.seenAt, l.held = record, revision, l.options.Now(), true
 	l.validUntil = sent.Add(l.options.Validity)
 	l.actsFrom = actsFrom
 	l.confirmed = record.Renewal
 }
 
-// renew writes the next renewal. When its answer is lost, the row tells at the
-// next step whether it, or another holder's write, took effect.
+// renew writes the next renewal. If its answer is lost, reading the row shows whether the
+// renewal or another holder's write took effect.
 func (l *Lessor) renew(ctx context.Context) {
 	nodes := l.nodes()
 	l.mutex.Lock()
@@ -208,51 +212,51 @@
 		l.mutex.Unlock()
 		return
 	}
-	record := l.seen
+	record := l.latest
 	record.Nodes = nodes
 	record.Renewal++
 	if l.yielded() {
 		record.Token++
 	}
 	expected, actsFrom := l.revision, l.actsFrom
-	l.settle(&record, actsFrom)
+	l.setGap(&record, actsFrom)
 	l.mutex.Unlock()
-	revision, sent, err := l.put(ctx, record, expected)
-	l.noteLoss(err)
-	l.noteRetry(err)
+	revision, sent, err := l.writeRow(ctx, record, expected)
+	l.logStoreChange(err)
+	l.setRetrySoon(err)
 	if err == nil {
-		l.hold(record, revision, sent, actsFrom)
+		l.setHeld(record, revision, sent, actsFrom)
 		return
 	}
 	l.reconcile(ctx)
 }
 
-// noteRetry lets the next renewal follow soon after one that got no answer; a store
-// that refuses is left alone for the usual time.
-func (l *Lessor) noteRetry(err error) {
+// setRetrySoon makes the next renewal follow soon after one whose outcome is unknown. A
+// store that refused the write is called again only after the usual interval.
+func (l *Lessor) setRetrySoon(err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.retry = err != nil && fault.OutcomeOf(err) != fault.NotDone
+	l.retrySoon = err != nil && fault.OutcomeOf(err) != fault.NotDone
 }
 
-// reconcile reads the row after a renewal that was not confirmed. A late own
-// renewal keeps the lease, but does not lengthen its validity: when it was sent
-// is not known any more.
+// reconcile reads the row after an unconfirmed renewal. If the renewal took effect late,
+// the lease is kept, but its validity is not extended, because the time at which the
+// renewal was sent is no longer known.
 func (l *Lessor) reconcile(ctx context.Context) {
-	if err := l.look(ctx); err != nil {
+	if err := l.readRow(ctx); err != nil {
 		return
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	own := l.seen.Holder == l.self.Holder && l.seen.Process == l.self.Process && !l.seen.Released
+	own := l.latest.Holder == l.self.Holder && l.latest.Process == l.self.Process && !l.latest.Released
 	if l.held && !own {
 		l.held = false
-		l.log.Info("lease lost", "holder", l.seen.Holder, "token", l.seen.Token)
+		l.log.Info("lease lost", "holder", l.latest.Holder, "token", l.latest.Token)
 	}
 }
 
-func (l *Lessor) noteLoss(err error) {
-	if !l.changeLoss(err != nil) {
+func (l *Lessor) logStoreChange(err error) {
+	if !l.setStoreLost(err != nil) {
 		return
 	}
 	if err != nil {
@@ -265,11 +269,11 @@
 	}
 }
 
-// changeLoss notes whether the store is lost, and reports whether that is new.
-func (l *Lessor) changeLoss(lost bool) bool {
+// setStoreLost records whether the store fails, and reports whether that changed.
+func (l *Lessor) setStoreLost(lost bool) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	changed := lost != l.lost
-	l.lost = lost
+	changed := lost != l.storeLost
+	l.storeLost = lost
 	return changed
 }
