--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -1,6 +1,6 @@
-// Package control is the work of the node that holds a service's control lease:
-// it gathers the nodes' demand, keeps the runners' accounts, plans, and gives
-// orders. Every node runs a Controller; it works only while its node holds the
+// Package control implements the work of the node that holds a service's control lease: it
+// collects the demand of all nodes, keeps a ledger for each runner, plans, and sends orders
+// to the runners. Every node runs a Controller, but it works only while its node holds the
 // lease.
 package control
 
@@ -28,149 +28,154 @@
 )
 
 const (
-	// planShare is how many times as long as a plan took the next one waits.
-	planShare = 3
-	// quietShare is the same after a quiet round: with thousands of runners the next one finds
-	// what it found.
-	quietShare = 15
-	// planInterval is how often a plan is made unasked, leastInterval the least
-	// time between two plans.
-	planInterval  = 200 * time.Millisecond
-	leastInterval = 8 * time.Millisecond
-	// loadBurst bounds the loads from the weight store begun at once.
+	// planPauseFactor is the minimum pause after a planning round, as a multiple of the time
+	// the round took.
+	planPauseFactor = 3
+	// idlePauseFactor is the same after an idle round: with thousands of runners, another
+	// round right after it would find nothing new.
+	idlePauseFactor = 15
+	// planInterval is the time between two plans when nothing triggers one; minPlanInterval is
+	// the minimum time between two plans.
+	planInterval    = 200 * time.Millisecond
+	minPlanInterval = 8 * time.Millisecond
+	// loadBurst is how many loads from the weight store may begin at once.
 	loadBurst = 2
 )
 
-// Policies tells how many replicas of a model the operators keep ready, and the
-// policy that says so.
+// Policies provides the operators' replica policies. Ready returns how many replicas of a
+// model to keep ready and the policy that determines it.
 type Policies interface {
 	Ready(model string, now time.Time) (int, string)
 }
 
-// Sleeper tells how long a model without use stays loaded, and whether it is
-// likely to be used soon.
+// Sleeper decides how long an unused model stays loaded and whether it is likely to be used
+// again soon.
 type Sleeper interface {
-	// Enabled is false when models stay until their room is needed.
+	// Enabled reports whether unused models are unloaded at all; if not, they stay until their
+	// memory is needed.
 	Enabled() bool
-	// share is the part of a runner's memory that the model takes.
+	// KeepAlive returns how long the model stays loaded after its last use. share is the part
+	// of a runner's memory that the model takes.
 	KeepAlive(model *config.Model, share float64) time.Duration
 	WakeAhead(model *config.Model, share float64, now time.Time) bool
 	Observe(model *config.Model, lastUse, now time.Time)
 }
 
-// Options are a controller's parts.
+// Options configures a Controller.
 type Options struct {
 	Service string
 	Node    string
 	Lessor  *lease.Lessor
 	Runners backend.Control
 	Fleet   *fleet.Fleet
-	// Rules are what operators decided about runners and zones, for what is to last: a
-	// zone that is about to be left is out.
+	// Rules are the operators' decisions about runners and zones, as they apply to work that
+	// is meant to last: a zone that is about to be evacuated counts as out.
 	Rules eligible.Rules
-	// Statements are what runners stated of themselves in answers; nil where nobody hears.
+	// Statements holds what runners stated about themselves in answers; it may be nil.
 	Statements *statement.Book
-	// Stated tells nodes what runners stated in answers, and is told of it; not set for nobody.
+	// Stated exchanges what runners stated in answers with other nodes; it may be nil.
 	Stated Stated
-	// NeedList is told whether this node needs all runners of the platform's list, as its
-	// plans do; not set where it has them anyway.
+	// NeedList is called with whether this node needs the platform's whole runner list, which
+	// planning requires. It is nil where the node has the whole list anyway.
 	NeedList func(needed bool)
-	// ListRevision returns the revision up to which all changes of the list are in Fleet; not
-	// set where nobody asks.
+	// ListRevision returns the revision up to which all changes of the runner list are in
+	// Fleet; it may be nil.
 	ListRevision  func() uint64
 	Configuration func() *config.Configuration
 	Policies      Policies
 	Sleeper       Sleeper
-	// ObserveLoad is told how long a load from the weight store took, and how long it
-	// was expected to take; not set for nobody.
+	// ObserveLoad is called with the actual and the expected duration of each load from the
+	// weight store; it may be nil.
 	ObserveLoad func(took, expected time.Duration)
-	// Divide answers a node's report on shared limits while this node holds the lease;
-	// not set where another service's holder divides them.
+	// Divide answers a node's report on shared limits while this node holds the lease. It is
+	// nil where the holder of another service divides the limits.
 	Divide func(report limit.Report) *limit.Grant
-	// Count takes a node's report of runners that ended under its requests.
+	// CountCrashes records a node's report of runners that ended under its requests.
 	Count func(report wire.PoisonReport)
-	// Terms returns what holds for the service's cold runners; not set where none is cold.
+	// Terms returns the terms for sending requests to the service's cold runners; it is nil
+	// where no runner is cold.
 	Terms func(service string) coldstart.Terms
-	// Decide notes a decision about a subject (model/NAME, replica/RUNNER) for
-	// operators' questions.
+	// RecordDecision records a decision about a subject (model/NAME or replica/RUNNER), so
+	// that operators can ask for it.
 	Decide func(subject, step, reason string)
 	Log    logr.Logger
 }
 
-// Stated is what runners stated in answers, as one node knows it: that they leave, as long as the
-// platform's list does not tell, and their limits. Nodes tell each other by way of the holder.
+// Stated holds what runners stated in answers, as far as one node knows it: that they are
+// leaving, until the platform's list says so, and their limits. Nodes exchange this
+// information by way of the holder.
 type Stated interface {
-	// Own returns what this node heard itself, All also what it was told of.
+	// Own returns what runners told this node; All also includes what other nodes passed on.
 	Own() ([]wire.RunnerLeaving, []wire.RunnerLimit)
 	All() ([]wire.RunnerLeaving, []wire.RunnerLimit)
-	// Learn takes what another node told.
+	// Learn records what another node passed on.
 	Learn(node string, leaving []wire.RunnerLeaving, limited []wire.RunnerLimit)
 }
 
-// Controller controls the runners of one service. Its methods may be called
-// concurrently.
+// Controller controls the runners of one service. Its methods may be called concurrently.
 type Controller struct {
 	Options
 	trigger chan struct{}
-	// urgency is signalled when requests begin to wait, or a runner is suspected.
+	// urgency is signalled when requests begin to wait or a runner is suspected to be down.
 	urgency chan struct{}
 
 	mutex sync.Mutex
-	// token is the lease under which the accounts were made; zero for none.
+	// token is the lease token under which the ledgers were built; zero if there are none.
 	token   uint64
 	version uint64
-	// listVersion is that of the list that the accounts follow; listTaken is set once they
-	// follow one.
+	// listVersion is the version of the runner list that the ledgers reflect; listTaken is set
+	// once they reflect one.
 	listVersion uint64
 	listTaken   bool
-	// recent lists the runners whose accounts changed lately, oldest first.
-	recent []recentChange
-	// news is, by model, the version of the last change that concerns it, toldAll the
-	// version of the last one that concerns every node.
-	news    map[string]uint64
-	toldAll uint64
-	// changed is closed at each change, urgent at those that concern every node.
+	// recentChanges lists the runners whose ledgers changed recently, oldest first.
+	recentChanges []recentChange
+	// modelVersions is, by model, the version of the last change that concerns it.
+	// broadcastVersion is the version of the last change that concerns every node.
+	modelVersions    map[string]uint64
+	broadcastVersion uint64
+	// changed is closed at each change, urgent at changes that concern every node.
 	changed chan struct{}
 	urgent  chan struct{}
-	// reported is closed, by node, when the node reports that requests wait.
-	reported map[string]chan struct{}
-	ledgers  map[string]*orders.Ledger
-	intents  map[string]scheduler.Intent
-	// planned is when models that are waited for are expected.
+	// reportSignals holds a channel for each node, closed when the node reports waiting
+	// requests.
+	reportSignals map[string]chan struct{}
+	ledgers       map[string]*orders.Ledger
+	intents       map[string]scheduler.Intent
+	// planned is when models with waiting requests are expected to be ready.
 	planned map[scheduler.Want]time.Time
-	demand  *demandBook
-	// lender is the account of permits for cold runners.
+	demand  *demandTracker
+	// lender keeps track of the permits for cold runners.
 	lender  *coldstart.Lender
 	limiter *rate.Limiter
-	// ends counts the runners that ended as they loaded a model; knownEnds is what an earlier
-	// holder counted.
+	// ends counts the runners that ended while they loaded a model; knownEnds is what an
+	// earlier holder counted.
 	ends      *orders.Ends
 	knownEnds []orders.ModelEnds
-	// resting are the models of which requests are told that their loads rest.
-	resting map[string]bool
-	// store follows the loads from the weight store, storeLoads lists them by
-	// runner; known is what an earlier holder learned.
+	// pausedModels are the models whose callers are told that loading them is paused.
+	pausedModels map[string]bool
+	// store tracks the loads from the weight store and storeLoads lists them by runner;
+	// knownStore is what an earlier holder learned.
 	store      *weightstore.Estimator
 	storeLoads map[string]storeLoad
-	known      weightstore.Estimate
+	knownStore weightstore.Estimate
 	floors     map[string]int
-	keep       map[string]time.Duration
+	keepAlive  map[string]time.Duration
 	rulesAt    time.Time
-	// toldYield is the lease of which nodes were told that it was yielded.
-	toldYield uint64
-	// asking counts the reports that are being asked for.
-	asking   int
-	inFlight sync.WaitGroup
+	// announcedYield is the token of the lease whose yielding was announced to the nodes.
+	announcedYield uint64
+	// pendingReports is the number of report requests in flight.
+	pendingReports int
+	inFlight       sync.WaitGroup
 }
 
-// NewController returns a controller for a service.
+// NewController returns a Controller for a service.
 func NewController(options Options) *Controller {
 	options.Log = options.Log.WithValues("service", options.Service)
-	return &Controller{Options: options, trigger: make(chan struct{}, 1), urgency: make(chan struct{}, 1), news: make(map[string]uint64), demand: newDemandBook(),
-		changed: make(chan struct{}), urgent: make(chan struct{}), reported: make(map[string]chan struct{}), ends: orders.NewEnds(nil)}
+	return &Controller{Options: options, trigger: make(chan struct{}, 1), urgency: make(chan struct{}, 1), modelVersions: make(map[string]uint64), demand: newDemandTracker(),
+		changed: make(chan struct{}), urgent: make(chan struct{}), reportSignals: make(map[string]chan struct{}), ends: orders.NewEnds(nil)}
 }
 
-// Run works whenever the node holds the lease, until ctx ends.
+// Run plans and sends orders whenever the node holds the lease, until ctx is done.
 func (c *Controller) Run(ctx context.Context) {
 	defer c.inFlight.Wait()
 	timer := time.NewTimer(planInterval)
@@ -183,24 +188,24 @@
 		case <-c.trigger:
 		}
 		started := time.Now()
-		quiet := true
+		idle := true
 		if engine := c.engine(); engine != nil {
-			quiet = c.tick(ctx, engine)
+			idle = c.tick(ctx, engine)
 		}
-		c.rest(ctx, time.Since(started), quiet)
+		c.pauseAfterRound(ctx, time.Since(started), idle)
 		timer.Reset(c.untilDue())
 	}
 }
 
-// rest pauses after a round that took so long. Requests that begin to wait end the pause of a
-// quiet one early.
-func (c *Controller) rest(ctx context.Context, took time.Duration, quiet bool) {
-	least := max(leastInterval, planShare*took)
+// pauseAfterRound pauses after a round that took the given time. After an idle round, the
+// pause ends early if requests begin to wait.
+func (c *Controller) pauseAfterRound(ctx context.Context, took time.Duration, idle bool) {
+	least := max(minPlanInterval, planPauseFactor*took)
 	wait.For(ctx, least)
-	if !quiet {
+	if !idle {
 		return
 	}
-	timer := time.NewTimer(max(quietShare*took-least, 0))
+	timer := time.NewTimer(max(idlePauseFactor*took-least, 0))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -209,7 +214,7 @@
 	}
 }
 
-// wakeUrgently asks for a plan as soon as may be.
+// wakeUrgently asks for a plan as soon as possible.
 func (c *Controller) wakeUrgently() {
 	select {
 	case c.urgency <- struct{}{}:
@@ -218,7 +223,7 @@
 	c.Wake()
 }
 
-// untilDue is the time until the next plan: when a report or an adapter is due, at
+// untilDue returns the time until the next plan: until a report or an adapter is due, at
 // most planInterval.
 func (c *Controller) untilDue() time.Duration {
 	c.mutex.Lock()
@@ -230,7 +235,7 @@
 	engine := c.engine()
 	for _, ledger := range c.ledgers {
 		if due := ledger.NextDue(); !due.IsZero() && c.mayReport(ledger, engine) {
-			pause = min(pause, max(time.Until(due), leastInterval))
+			pause = min(pause, max(time.Until(due), minPlanInterval))
 		}
 	}
 	return pause
@@ -252,50 +257,49 @@
 	return configuration.Services[c.Service].Engine
 }
 
-// tick brings the accounts up to date and carries out one plan. It returns whether the round was
-// quiet.
-func (c *Controller) tick(ctx context.Context, engine *config.Engine) (quiet bool) {
+// tick updates the ledgers and carries out one plan. It reports whether the round was idle.
+func (c *Controller) tick(ctx context.Context, engine *config.Engine) (idle bool) {
 	select {
 	case <-c.urgency:
 	default:
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.ownToken(engine) {
+	if !c.adoptToken(engine) {
 		return false
 	}
 	if !c.Fleet.Whole() {
-		// A plan from a part of the runners would load what the others hold.
-		c.needList(true)
+		// A plan based on only some of the runners would load models that the others hold.
+		c.setListNeeded(true)
 		return false
 	}
 	now := time.Now()
-	c.takeRunners(engine, now)
-	c.askReports(ctx, engine, now)
+	c.updateRunners(engine, now)
+	c.requestReports(ctx, engine, now)
 	for _, ledger := range c.ledgers {
 		if ledger.Settle(now) {
-			c.changedView(ledger)
+			c.publishLedger(ledger)
 		}
 	}
-	c.followLoads(now)
+	c.updateStoreLoads(now)
 	if !c.Lessor.Acting() {
-		c.tellYield()
+		c.announceYield()
 		return false
 	}
-	c.toldYield = 0
-	c.setRate(engine)
-	state := c.state(engine, now)
+	c.announcedYield = 0
+	c.setLoadRate(engine)
+	state := c.buildState(engine, now)
 	plan := scheduler.MakePlan(state)
 	c.intents = plan.Intents
-	c.tellPaused(plan.Ready, state, now)
-	c.notePlanned(plan.Ready, now)
-	c.carryOut(ctx, plan)
-	return c.isQuiet(&plan, state)
+	c.addPausedLoads(plan.Ready, state, now)
+	c.updatePlanned(plan.Ready, now)
+	c.execute(ctx, plan)
+	return c.isIdle(&plan, state)
 }
 
-// isQuiet reports whether a plan orders nothing, no request waits, and no runner has a report or
-// an adapter due: the next round needs not come soon. mutex is held.
-func (c *Controller) isQuiet(plan *scheduler.Plan, state *scheduler.State) bool {
+// isIdle reports whether the next round can wait: the plan orders nothing, no request
+// waits, and no runner has a report or an adapter due. The caller holds mutex.
+func (c *Controller) isIdle(plan *scheduler.Plan, state *scheduler.State) bool {
 	if len(plan.Steps) > 0 || len(plan.Intents) > 0 || len(plan.Ready) > 0 {
 		return false
 	}
@@ -312,15 +316,15 @@
 	return true
 }
 
-// ownToken begins new accounts when the lease was newly taken, and drops them
-// when it is lost. mutex is held.
-func (c *Controller) ownToken(engine *config.Engine) bool {
+// adoptToken starts new ledgers when the lease was newly acquired and abandons them when it
+// is lost. It reports whether this process holds the lease. The caller holds mutex.
+func (c *Controller) adoptToken(engine *config.Engine) bool {
 	record, _ := c.Lessor.Holder()
 	if !c.Lessor.Holds() {
 		if c.token != 0 {
-			c.known = c.store.Estimate()
+			c.knownStore = c.store.Estimate()
 			c.knownEnds = c.ends.Known()
-			c.needList(false)
+			c.setListNeeded(false)
 			c.Log.Info("control ended", "token", c.token)
 		}
 		c.token = 0
@@ -330,27 +334,27 @@
 		return true
 	}
 	if c.token != 0 && record.Token == c.token+1 {
-		// This process yielded and went on before anybody else took the lease.
+		// This process yielded the lease and regained it before any other node took it.
 		c.Log.Info("control goes on", "token", record.Token)
 		c.token = record.Token
 		return true
 	}
 	c.token = record.Token
 	c.version = 1
-	c.news = make(map[string]uint64)
-	c.recent = nil
+	c.modelVersions = make(map[string]uint64)
+	c.recentChanges = nil
 	c.listTaken = false
-	c.toldAll = 0
+	c.broadcastVersion = 0
 	c.ledgers = make(map[string]*orders.Ledger)
 	c.intents = nil
 	c.planned = nil
-	c.demand = newDemandBook()
+	c.demand = newDemandTracker()
 	c.lender = coldstart.NewLender(time.Now())
-	c.store = weightstore.New(c.known)
+	c.store = weightstore.New(c.knownStore)
 	c.storeLoads = make(map[string]storeLoad)
 	c.ends = orders.NewEnds(c.knownEnds)
-	// The new holder does not know what the old one loaded last, so its rate
-	// starts from nothing.
+	// The new holder does not know when the previous one began its last loads, so it starts
+	// without any burst.
 	c.limiter = rate.NewLimiter(rate.Limit(engine.LoadsPerSecond), loadBurst)
 	c.limiter.AllowN(time.Now(), loadBurst)
 	c.Log.Info("control begun", "token", c.token, "loadsPerSecond", engine.LoadsPerSecond,
@@ -358,13 +362,13 @@
 	return true
 }
 
-func (c *Controller) needList(needed bool) {
+func (c *Controller) setListNeeded(needed bool) {
 	if c.NeedList != nil {
 		c.NeedList(needed)
 	}
 }
 
-func (c *Controller) setRate(engine *config.Engine) {
+func (c *Controller) setLoadRate(engine *config.Engine) {
 	if limit := rate.Limit(engine.LoadsPerSecond); c.limiter.Limit() != limit {
 		c.limiter.SetLimit(limit)
 	}
--- a/internal/control/controller_test.go
+++ b/internal/control/controller_test.go
@@ -14,7 +14,7 @@
 	"lilacvane/internal/scheduler"
 )
 
-// acceptingRunners accept every order.
+// acceptingRunners accepts every order.
 type acceptingRunners struct{}
 
 func (acceptingRunners) Order(context.Context, backend.Runner, backend.Order) (backend.Verdict, error) {
@@ -25,10 +25,9 @@
 	return backend.Report{}, nil
 }
 
-// TestOrderBesideNewList: an order is sent while the platform's list changes the
-// runner's account. The race detector fails it when one reads what the other
-// writes.
-func TestOrderBesideNewList(t *testing.T) {
+// TestOrderDuringListChange sends an order while the platform's list changes the runner's
+// ledger. The race detector reports it if one reads what the other writes.
+func TestOrderDuringListChange(t *testing.T) {
 	c := NewController(Options{
 		Runners: acceptingRunners{}, Decide: func(string, string, string) {}, Log: logr.Discard(),
 		Configuration: func() *config.Configuration { return nil },
@@ -39,15 +38,15 @@
 	step := scheduler.Step{Runner: "r", Action: backend.Load, Unit: backend.Unit{Model: "m"}}
 	order := ledger.Begin(step.Action, step.Unit, "node", 1)
 	done := make(chan bool)
-	go func() { done <- c.send(t.Context(), 1, ledger, order, step) }()
+	go func() { done <- c.sendOrder(t.Context(), 1, ledger, order, step) }()
 	c.mutex.Lock()
 	ledger.Listed(runner, time.Now())
 	c.mutex.Unlock()
 	assert.Assert(t, <-done)
 }
 
-// TestOrdersAreExplainedByModel: operators ask by the name of their model, not by
-// the name of the weights of its version.
+// TestOrdersAreExplainedByModel checks that decisions are recorded under the name of the
+// operators' model, not under the name of the weights of its version.
 func TestOrdersAreExplainedByModel(t *testing.T) {
 	engine := &config.Engine{Models: map[string]*config.Model{"alpha-v1": {Name: "alpha-v1", Object: "alpha"}}}
 	configuration := &config.Configuration{Services: map[string]*config.Service{"s": {Engine: engine}}}
@@ -60,6 +59,6 @@
 	ledger := orders.NewLedger(backend.Runner{ID: "r"})
 	ledger.Reported(backend.Report{}, time.Now(), time.Now())
 	step := scheduler.Step{Runner: "r", Action: backend.Load, Unit: backend.Unit{Model: "alpha-v1"}}
-	assert.Assert(t, c.send(t.Context(), 1, ledger, ledger.Begin(step.Action, step.Unit, "node", 1), step))
+	assert.Assert(t, c.sendOrder(t.Context(), 1, ledger, ledger.Begin(step.Action, step.Unit, "node", 1), step))
 	assert.DeepEqual(t, subjects, []string{"model/alpha", "replica/r"})
 }
--- a/internal/control/demand.go
+++ b/internal/control/demand.go
@@ -17,35 +17,37 @@
 )
 
 const (
-	// reportLifetime is how long a node's word is believed, in reports.
+	// reportLifetime is how many report intervals a node's report stays valid.
 	reportLifetime = 8
-	// rateHalfLife is how fast the rate of a unit follows its use.
+	// rateHalfLife is the half-life of the decaying counts from which rates are computed.
 	rateHalfLife = 3 * time.Second
-	// tokensPerSecond is what a runner reads when it does nothing else.
+	// tokensPerSecond is how many prompt tokens a runner reads per second if it does nothing
+	// else.
 	tokensPerSecond = 35_000.0
-	// forgetAfter drops units that were not asked for.
+	// forgetAfter is the time after which units that were not asked for are dropped.
 	forgetAfter = 5 * time.Minute
 )
 
-// demandBook gathers what the nodes ask for. Controller.mutex guards it.
-type demandBook struct {
-	reports map[string]nodeReport
-	used    map[backend.Unit]*use
-	// bound follows apart what requests with homes ask for; used counts it as well.
-	bound map[scheduler.Want]*use
-	// began is when the first report came.
-	began time.Time
-	// summed is the last summary of the nodes.
-	summed nodeSummary
+// demandTracker collects the demand of all nodes. It is guarded by Controller.mutex.
+type demandTracker struct {
+	reports  map[string]nodeReport
+	unitUses map[backend.Unit]*unitUse
+	// withHomes tracks separately the requests that have homes; unitUses includes them as well.
+	withHomes map[scheduler.Want]*unitUse
+	// firstReportAt is when the first report arrived.
+	firstReportAt time.Time
+	// lastSummary is the last summary of the nodes.
+	lastSummary nodeSummary
 }
 
-// nodeSummary is what nodes are told of all nodes.
+// nodeSummary is what each node is told about all nodes.
 type nodeSummary struct {
 	at time.Time
-	// count is how many reported lately.
+	// count is how many nodes reported recently.
 	count int
-	// bestSpare is the largest part of what a holder should have that a node other than the
-	// holder has, standbys are the addresses of those with the most.
+	// bestSpare is the largest fraction of a holder's desired capacity that any node other
+	// than the holder has; standbys are the addresses of the nodes with the most spare
+	// capacity.
 	bestSpare float64
 	standbys  []string
 }
@@ -60,31 +62,31 @@
 	running []wire.RunnerUsage
 }
 
-// use follows the rate of a unit as an exponentially fading count.
-type use struct {
+// unitUse tracks the rate of a unit with exponentially decaying counts.
+type unitUse struct {
 	requests float64
 	tokens   float64
-	// running is the number of requests under way, smoothed, as of ranAt.
+	// running is the smoothed number of requests in progress, as of ranAt.
 	running float64
 	ranAt   time.Time
 	at      time.Time
 	last    time.Time
 }
 
-func newDemandBook() *demandBook {
-	return &demandBook{reports: make(map[string]nodeReport), used: make(map[backend.Unit]*use), bound: make(map[scheduler.Want]*use)}
+func newDemandTracker() *demandTracker {
+	return &demandTracker{reports: make(map[string]nodeReport), unitUses: make(map[backend.Unit]*unitUse), withHomes: make(map[scheduler.Want]*unitUse)}
 }
 
-// report takes a node's demand. It returns whether something waits.
-func (d *demandBook) report(request wire.SyncRequest, now time.Time) bool {
-	if d.began.IsZero() {
-		d.began = now
+// addReport records a node's demand. It reports whether any requests wait.
+func (d *demandTracker) addReport(request wire.SyncRequest, now time.Time) bool {
+	if d.firstReportAt.IsZero() {
+		d.firstReportAt = now
 	}
 	for _, usage := range request.Usage {
-		for _, unit := range unitsNamed(usage.Model, usage.Adapter) {
-			note(d.used, unit, usage, now)
+		for _, unit := range unitsOf(usage.Model, usage.Adapter) {
+			recordUse(d.unitUses, unit, usage, now)
 			if homes := place.HomesOf(usage.Homes); homes.Bound() {
-				note(d.bound, scheduler.Want{Unit: unit, Homes: homes}, usage, now)
+				recordUse(d.withHomes, scheduler.Want{Unit: unit, Homes: homes}, usage, now)
 			}
 		}
 	}
@@ -95,9 +97,9 @@
 	return len(request.Waiting) > 0
 }
 
-// unitsNamed lists what requests for a model, or for an adapter of it, ask for: what is
-// asked of an adapter is asked of its model as well.
-func unitsNamed(model, adapter string) []backend.Unit {
+// unitsOf lists the units that requests for a model, or for an adapter of it, ask for: a
+// request for an adapter also asks for its model.
+func unitsOf(model, adapter string) []backend.Unit {
 	units := []backend.Unit{{Model: model}}
 	if adapter != "" {
 		units = append(units, backend.Unit{Model: model, Adapter: adapter})
@@ -105,56 +107,59 @@
 	return units
 }
 
-// note counts a node's use of something.
-func note[K comparable](uses map[K]*use, key K, usage wire.UnitUsage, now time.Time) {
+// recordUse adds a node's use of a unit.
+func recordUse[K comparable](uses map[K]*unitUse, key K, usage wire.UnitUsage, now time.Time) {
 	known := uses[key]
 	if known == nil {
-		known = &use{at: now, ranAt: now}
+		known = &unitUse{at: now, ranAt: now}
 		uses[key] = known
 	}
-	known.fade(now)
+	known.decay(now)
 	known.requests += float64(usage.Requests)
 	known.tokens += float64(usage.Tokens)
 	known.last = now
 }
 
-func (u *use) fade(now time.Time) {
+func (u *unitUse) decay(now time.Time) {
 	factor := math.Exp2(-float64(now.Sub(u.at)) / float64(rateHalfLife))
 	u.requests *= factor
 	u.tokens *= factor
 	u.at = now
 }
 
-// run moves the smoothed number of requests under way towards count.
-func (u *use) run(count int, now time.Time) {
+// smoothRunning moves the smoothed number of requests in progress towards count.
+func (u *unitUse) smoothRunning(count int, now time.Time) {
 	kept := math.Exp2(-float64(now.Sub(u.ranAt)) / float64(rateHalfLife))
 	u.ranAt = now
 	u.running = kept*u.running + (1-kept)*float64(count)
 }
 
-// work is the share of a runner that the requests take: of its time for reading
-// prompts, and of its slots.
-func (u *use) work(slots int) float64 {
+// work returns how many runners' worth of work the requests make up: in time to read
+// prompts, and in slots.
+func (u *unitUse) work(slots int) float64 {
 	return perSecond(u.tokens)/tokensPerSecond + u.running/float64(max(slots, 1))
 }
 
-// leastSeen bounds the part that seen returns: of a shorter time rates tell little.
-const leastSeen = 0.1
+// minObservedShare bounds the result of observedShare: rates measured over a shorter time
+// say little.
+const minObservedShare = 0.1
 
-// seen is the part of a steady rate that the fading counts show by now: a new holder's
-// begin with nothing.
-func (d *demandBook) seen(now time.Time) float64 {
-	return max(1-math.Exp2(-float64(now.Sub(d.began))/float64(rateHalfLife)), leastSeen)
+// observedShare returns the fraction of a steady rate that the decaying counts show so far:
+// those of a new holder start at zero.
+func (d *demandTracker) observedShare(now time.Time) float64 {
+	return max(1-math.Exp2(-float64(now.Sub(d.firstReportAt))/float64(rateHalfLife)), minObservedShare)
 }
 
-// perSecond turns a fading count into a rate.
+// perSecond converts a decaying count to a rate.
 func perSecond(count float64) float64 { return count * math.Ln2 / rateHalfLife.Seconds() }
 
-// lifetime is how long a node's word is believed.
-func (d *demandBook) lifetime() time.Duration { return reportLifetime * reportEvery(len(d.reports)) }
+// lifetime returns how long a node's report stays valid.
+func (d *demandTracker) lifetime() time.Duration {
+	return reportLifetime * reportPeriod(len(d.reports))
+}
 
-// nodes counts the nodes that reported lately.
-func (d *demandBook) nodes(now time.Time) int {
+// countNodes returns how many nodes reported recently, and drops the others.
+func (d *demandTracker) countNodes(now time.Time) int {
 	for node, report := range d.reports {
 		if now.Sub(report.at) > d.lifetime() {
 			delete(d.reports, node)
@@ -163,26 +168,26 @@
 	return len(d.reports)
 }
 
-// summaryPerNode is how long a summary stands for each node in it: it costs a look at each, and
-// is told in answer to each report.
+// summaryPerNode is how long a summary stays valid per node that it covers: computing one
+// visits every node, and each answer to a report contains one.
 const summaryPerNode = 250 * time.Microsecond
 
-// summary sums up the nodes that reported lately for the holder self.
-func (d *demandBook) summary(self string, now time.Time) nodeSummary {
-	if now.Sub(d.summed.at) >= time.Duration(d.summed.count)*summaryPerNode {
-		d.summed = nodeSummary{at: now, count: d.nodes(now), bestSpare: d.bestSpare(self), standbys: d.standbys(self)}
+// summary returns a summary of the nodes that reported recently; self is the holder.
+func (d *demandTracker) summary(self string, now time.Time) nodeSummary {
+	if now.Sub(d.lastSummary.at) >= time.Duration(d.lastSummary.count)*summaryPerNode {
+		d.lastSummary = nodeSummary{at: now, count: d.countNodes(now), bestSpare: d.bestSpare(self), standbys: d.standbys(self)}
 	}
-	return d.summed
+	return d.lastSummary
 }
 
-// waitsFor reports whether requests of a node wait for a model, by its last report.
-func (d *demandBook) waitsFor(node, model string) bool {
+// waitsFor reports whether requests for a model wait at a node, by its last report.
+func (d *demandTracker) waitsFor(node, model string) bool {
 	return slices.ContainsFunc(d.reports[node].waiting, func(w wire.UnitWaiting) bool { return w.Model == model })
 }
 
-// bestSpare is the largest part of what a holder should have that a node other than
-// self has.
-func (d *demandBook) bestSpare(self string) float64 {
+// bestSpare returns the largest fraction of a holder's desired capacity that any node other
+// than self has.
+func (d *demandTracker) bestSpare(self string) float64 {
 	best := 0.0
 	for node, report := range d.reports {
 		if node != self {
@@ -192,15 +197,15 @@
 	return best
 }
 
-// standbyCount is how many nodes turn to the store first: enough that a lost zone or
-// machine leaves some.
+// standbyCount is how many nodes turn to the store first when the holder is lost: enough
+// that some remain if a zone or a machine is lost.
 const standbyCount = 8
 
-// standbys are the addresses of the nodes other than self with the most to spare.
-func (d *demandBook) standbys(self string) []string {
+// standbys returns the addresses of the nodes other than self with the most spare capacity.
+func (d *demandTracker) standbys(self string) []string {
 	nodes := slices.DeleteFunc(slices.Collect(maps.Keys(d.reports)), func(node string) bool { return node == self })
 	slices.SortFunc(nodes, func(a, b string) int {
-		// Names are hashed so that equal machines are taken from all zones.
+		// Ordering equal nodes by the hash of their names spreads the choice over all zones.
 		return cmp.Or(cmp.Compare(d.reports[b].spare, d.reports[a].spare), cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)))
 	})
 	addresses := make([]string, 0, standbyCount)
@@ -210,9 +215,9 @@
 	return addresses
 }
 
-// members lists the nodes that reported lately.
-func (d *demandBook) members(now time.Time) []wire.Member {
-	d.nodes(now)
+// members lists the nodes that reported recently.
+func (d *demandTracker) members(now time.Time) []wire.Member {
+	d.countNodes(now)
 	members := make([]wire.Member, 0, len(d.reports))
 	for _, node := range slices.Sorted(maps.Keys(d.reports)) {
 		members = append(members, wire.Member{Node: node, Zone: d.reports[node].zone, Region: string(d.reports[node].region), Address: d.reports[node].address})
@@ -220,15 +225,15 @@
 	return members
 }
 
-// runnerLoad is the requests under way at a runner, by model, and those for
-// adapters also by model/adapter.
+// runnerLoad counts the requests in progress at a runner, by model, and those for adapters
+// also by model/adapter.
 type runnerLoad struct {
 	models   map[string]int
 	adapters map[string]int
 }
 
-// running returns the requests under way by runner.
-func (d *demandBook) running(now time.Time) map[string]runnerLoad {
+// running returns the requests in progress by runner.
+func (d *demandTracker) running(now time.Time) map[string]runnerLoad {
 	sums := make(map[string]runnerLoad)
 	for _, report := range d.reports {
 		if now.Sub(report.at) > d.lifetime() {
@@ -251,8 +256,8 @@
 	return sums
 }
 
-// runningByUnit sums up the requests under way, by the name of the model or of the
-// adapter with its model.
+// runningByUnit sums up the requests in progress by model name, and for adapters also by
+// model/adapter.
 func runningByUnit(running map[string]runnerLoad) map[string]int {
 	sums := make(map[string]int)
 	for _, load := range running {
@@ -266,23 +271,22 @@
 	return sums
 }
 
-// units returns the demand by unit, given the requests under way by runner and what
-// a runner has of slots and places for adapters. What waits for an adapter waits for its model as
-// well.
-func (d *demandBook) units(running map[string]runnerLoad, engine *config.Engine, now time.Time) map[backend.Unit]*scheduler.Demand {
+// units returns the demand by unit, given the requests in progress by runner and a runner's
+// slots and adapter slots. Requests that wait for an adapter also wait for its model.
+func (d *demandTracker) units(running map[string]runnerLoad, engine *config.Engine, now time.Time) map[backend.Unit]*scheduler.Demand {
 	sums := runningByUnit(running)
 	adapters := make(map[string]float64)
-	units := make(map[backend.Unit]*scheduler.Demand, len(d.used))
-	seen := d.seen(now)
-	for unit, use := range d.used {
+	units := make(map[backend.Unit]*scheduler.Demand, len(d.unitUses))
+	observed := d.observedShare(now)
+	for unit, use := range d.unitUses {
 		if now.Sub(use.last) > forgetAfter {
-			delete(d.used, unit)
+			delete(d.unitUses, unit)
 			continue
 		}
-		use.run(sums[unit.String()], now)
-		use.fade(now)
+		use.smoothRunning(sums[unit.String()], now)
+		use.decay(now)
 		units[unit] = &scheduler.Demand{
-			Rate: perSecond(use.requests) / seen, Work: use.work(engine.Slots) / seen, LastUse: use.last,
+			Rate: perSecond(use.requests) / observed, Work: use.work(engine.Slots) / observed, LastUse: use.last,
 		}
 		if unit.Adapter != "" {
 			adapters[unit.Model] += min(use.running, 1)
@@ -293,29 +297,29 @@
 			demand.Work = max(demand.Work, inUse/float64(max(engine.AdapterSlots, 1)))
 		}
 	}
-	d.eachWaiting(now, func(unit backend.Unit, waiting wire.UnitWaiting, left time.Duration, region place.Region) {
-		noteWaiting(units, unit, waiting, left, region)
+	d.forEachWaiting(now, func(unit backend.Unit, waiting wire.UnitWaiting, left time.Duration, region place.Region) {
+		addWaiting(units, unit, waiting, left, region)
 	})
 	return units
 }
 
-// eachWaiting tells of all that waits at nodes that reported lately, by unit, with the time
-// left and the node's region.
-func (d *demandBook) eachWaiting(now time.Time, tell func(backend.Unit, wire.UnitWaiting, time.Duration, place.Region)) {
+// forEachWaiting calls visit for everything that waits at nodes that reported recently, by
+// unit, with the time left and the node's region.
+func (d *demandTracker) forEachWaiting(now time.Time, visit func(backend.Unit, wire.UnitWaiting, time.Duration, place.Region)) {
 	for _, report := range d.reports {
 		if now.Sub(report.at) > d.lifetime() {
 			continue
 		}
 		for _, waiting := range report.waiting {
 			left := time.Duration(waiting.LeftMs)*time.Millisecond - now.Sub(report.at)
-			for _, unit := range unitsNamed(waiting.Model, waiting.Adapter) {
-				tell(unit, waiting, left, report.region)
+			for _, unit := range unitsOf(waiting.Model, waiting.Adapter) {
+				visit(unit, waiting, left, report.region)
 			}
 		}
 	}
 }
 
-func noteWaiting[K comparable](demands map[K]*scheduler.Demand, key K, waiting wire.UnitWaiting, left time.Duration, region place.Region) {
+func addWaiting[K comparable](demands map[K]*scheduler.Demand, key K, waiting wire.UnitWaiting, left time.Duration, region place.Region) {
 	demand := demands[key]
 	if demand == nil {
 		demand = &scheduler.Demand{}
--- a/internal/control/demand_test.go
+++ b/internal/control/demand_test.go
@@ -12,17 +12,17 @@
 	"lilacvane/internal/wire"
 )
 
-// TestNewHolderKnowsRates: a holder that has just begun reckons with the rates that its
-// nodes show, not with the small part of them that its fading counts have gathered.
+// TestNewHolderKnowsRates checks that a new holder uses the rates that its nodes show, not
+// the small fraction of them that its decaying counts have collected so far.
 func TestNewHolderKnowsRates(t *testing.T) {
 	const perReport, interval = 5, 250 * time.Millisecond
 	engine := &config.Engine{Slots: 64}
 	start := time.Unix(1000, 0)
 	for _, after := range []time.Duration{time.Second, 3 * time.Second, 20 * time.Second} {
-		d := newDemandBook()
+		d := newDemandTracker()
 		now := start
 		for ; now.Sub(start) <= after; now = now.Add(interval) {
-			d.report(wire.SyncRequest{
+			d.addReport(wire.SyncRequest{
 				Node: "n", Report: true,
 				Usage:   []wire.UnitUsage{{Model: "m", Requests: perReport, Tokens: perReport * 1000}},
 				Running: []wire.RunnerUsage{{Runner: "r", Models: map[string]int{"m": 32}}},
--- a/internal/control/describe.go
+++ b/internal/control/describe.go
@@ -15,7 +15,7 @@
 	"lilacvane/internal/wire"
 )
 
-// describe turns a runner's account into the scheduler's form.
+// describe converts a runner's ledger to the scheduler's representation.
 func describe(id string, ledger *orders.Ledger, engine *config.Engine, running runnerLoad, now time.Time) *scheduler.Runner {
 	runner := &scheduler.Runner{
 		ID: id, Zone: ledger.Runner.Zone, Region: place.Region(ledger.Runner.Region), Models: make(map[string]*scheduler.Held), Free: ledger.Free(engine),
@@ -53,7 +53,7 @@
 	return set
 }
 
-// viewOf turns a runner's account into what nodes are told.
+// viewOf converts a runner's ledger to what nodes are told about the runner.
 func viewOf(id string, ledger *orders.Ledger, now time.Time) wire.RunnerView {
 	view := wire.RunnerView{Runner: id, Silent: ledger.Silent()}
 	for name, model := range ledger.Models() {
@@ -82,7 +82,7 @@
 	return view
 }
 
-// statusOf describes a runner to operators.
+// statusOf returns a runner's status for operators.
 func statusOf(ledger *orders.Ledger, engine *config.Engine, running runnerLoad, reason eligible.Reason) wire.RunnerStatus {
 	status := wire.RunnerStatus{
 		Runner: ledger.Runner.Name(), Service: ledger.Runner.Service, Zone: ledger.Runner.Zone, Address: ledger.Runner.Address, State: "ready",
@@ -135,7 +135,7 @@
 	}
 }
 
-// Describe lists the runners and the nodes that reported lately.
+// Describe lists the runners and the nodes that reported recently.
 func (c *Controller) Describe() (wire.FleetResponse, error) {
 	engine := c.engine()
 	c.mutex.Lock()
--- a/internal/control/eligible.go
+++ b/internal/control/eligible.go
@@ -8,8 +8,8 @@
 	"lilacvane/internal/place"
 )
 
-// eligible says whether something may go to a runner now. Only runners that the platform
-// lists have a ledger.
+// eligible returns whether a runner may get work for the given purpose now, or why not.
+// Only runners on the platform's list have a ledger.
 func (c *Controller) eligible(ledger *orders.Ledger, purpose eligible.Purpose) eligible.Reason {
 	runner := &ledger.Runner
 	stated := c.Statements.Of(runner.ID)
@@ -19,8 +19,8 @@
 	}, purpose)
 }
 
-// mayOrder reports whether an order may be given to a runner now: the plan that has it may
-// be older than what operators decided.
+// mayOrder reports whether an order may be sent to a runner now. It is checked again here
+// because the plan may be older than an operator's decision.
 func (c *Controller) mayOrder(ledger *orders.Ledger, action backend.Action) bool {
 	var purpose eligible.Purpose = eligible.Load{Service: c.Service}
 	if action == backend.Unload {
@@ -29,8 +29,9 @@
 	return c.eligible(ledger, purpose) == eligible.Yes
 }
 
-// mayReport reports whether a runner may be asked for a report. One in a zone that is out
-// is asked only where replicas are bounded, as one that does not tell may hold any model.
+// mayReport reports whether a runner may be asked for a report. A runner in a zone that is
+// out is asked only where replicas are limited, since a runner that does not report may
+// hold any model.
 func (c *Controller) mayReport(ledger *orders.Ledger, engine *config.Engine) bool {
 	question := eligible.Question{Request: eligible.Request{Service: c.Service}}
 	switch c.eligible(ledger, question) {
--- a/internal/control/lend.go
+++ b/internal/control/lend.go
@@ -8,13 +8,14 @@
 	"lilacvane/internal/wire"
 )
 
-// mostPermitsWanted bounds for how many runners one report is lent permits: more than a
-// node's requests that wait at once could need.
-const mostPermitsWanted = 64
+// maxPermitRunners limits the runners for which one report is lent permits: more than the
+// requests waiting at a node at one time could need.
+const maxPermitRunners = 64
 
-// lend lends permits for runners that are cold or named a limit, by the account of this lease. Like an order it is
-// an act under the lease. A lease that was lost and taken again has no account before the
-// next tick: another holder may have lent meanwhile. mutex is held.
+// lend lends permits for runners that are cold or stated a rate limit, from the permits of
+// this lease. Like an order, lending is an act under the lease. After the lease was lost
+// and acquired again, nothing is lent before the next tick, because another holder may have
+// lent permits in the meantime. The caller holds mutex.
 func (c *Controller) lend(request wire.SyncRequest, now time.Time) []wire.PermitsLent {
 	if len(request.Permits) == 0 || c.Terms == nil {
 		return nil
@@ -23,13 +24,13 @@
 	if token, acts := c.Lessor.Act(); !acts || token != c.token {
 		return nil
 	}
-	lent := make([]wire.PermitsLent, 0, min(len(request.Permits), mostPermitsWanted))
-	for _, wanted := range request.Permits[:min(len(request.Permits), mostPermitsWanted)] {
+	lent := make([]wire.PermitsLent, 0, min(len(request.Permits), maxPermitRunners))
+	for _, wanted := range request.Permits[:min(len(request.Permits), maxPermitRunners)] {
 		if !c.Fleet.Known(wanted.Runner) {
 			continue
 		}
-		bounds, bounded := c.boundsOf(wanted, terms)
-		if !bounded {
+		bounds, hasLimit := c.termsFor(wanted, terms)
+		if !hasLimit {
 			continue
 		}
 		count, next := c.lender.LendWithin(wanted.Runner, wanted.Count, bounds.Bound, bounds.Period, now)
@@ -38,9 +39,10 @@
 	return lent
 }
 
-// boundsOf are the terms by which a runner gets requests: the lowest rate of those that the asking node
-// and this one heard, and of a cold one. bounded is false where there is none.
-func (c *Controller) boundsOf(wanted wire.PermitsWanted, cold coldstart.Terms) (terms coldstart.Terms, bounded bool) {
+// termsFor returns the terms under which a runner gets requests: the lowest of the rates
+// that the asking node and this node heard from it and, if it is cold, the cold rate.
+// hasLimit is false if there is no limit.
+func (c *Controller) termsFor(wanted wire.PermitsWanted, cold coldstart.Terms) (terms coldstart.Terms, hasLimit bool) {
 	rate := wanted.Rate
 	if own := c.Statements.Of(wanted.Runner).Rate; own > 0 && (rate == 0 || own < rate) {
 		rate = own
--- a/internal/control/lend_test.go
+++ b/internal/control/lend_test.go
@@ -18,7 +18,7 @@
 	"lilacvane/internal/wire"
 )
 
-// freeLease is a store whose one row takes every write.
+// freeLease is a store whose single row accepts every write.
 type freeLease struct{ row table.Row }
 
 func (s *freeLease) Get(context.Context, string) (table.Row, error) { return s.row, nil }
@@ -30,15 +30,16 @@
 	return s.row.Revision, nil
 }
 
-// noRules take nothing out.
+// noRules excludes no runner and no zone.
 type noRules struct{}
 
 func (noRules) Drained(_, _ string) bool { return false }
 
 func (noRules) ZoneOut(place.Zone) bool { return false }
 
-// lending is a controller of a service with one runner, whose bound is 15.
-func lending(terms coldstart.Terms) *Controller {
+// newLendingController returns a controller of a service with one runner, which lends
+// permits under the given terms.
+func newLendingController(terms coldstart.Terms) *Controller {
 	known := fleet.New("zone", time.Now, noRules{})
 	known.Replace([]backend.Runner{{ID: "r1", Service: "s"}}, false)
 	options := lease.Options{Validity: time.Minute, Interval: 10 * time.Millisecond, TurnGap: time.Millisecond, CallTimeout: time.Second}
@@ -50,8 +51,8 @@
 	return c
 }
 
-// hold lets a controller's node hold the lease until the test ends.
-func hold(t *testing.T, c *Controller) {
+// holdLease makes a controller's node hold the lease until the test ends.
+func holdLease(t *testing.T, c *Controller) {
 	t.Helper()
 	ctx, end := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -71,37 +72,38 @@
 	})
 }
 
-// adopt makes the account of a controller that of the lease which its node holds.
-func adopt(t *testing.T, c *Controller) {
+// adoptLease makes the controller's ledgers belong to the lease that its node holds.
+func adoptLease(t *testing.T, c *Controller) {
 	t.Helper()
 	token, acts := c.Lessor.Act()
 	assert.Assert(t, acts)
 	c.token = token
 }
 
-// TestOnlyTheHolderLends: for runners it knows, of a service whose runners may be cold.
+// TestOnlyTheHolderLends checks that only the holder lends permits, and only for runners
+// that it knows, of a service whose runners may be cold.
 func TestOnlyTheHolderLends(t *testing.T) {
 	request := wire.SyncRequest{Node: "other", Permits: []wire.PermitsWanted{{Runner: "r1", Count: 2}, {Runner: "unknown", Count: 2}}}
 	terms := coldstart.NewTerms(6.9, 1.5, 5, 3*time.Second, coldstart.Lent{})
-	c := lending(terms)
+	c := newLendingController(terms)
 	assert.Equal(t, len(c.lend(request, time.Now())), 0)
-	hold(t, c)
-	adopt(t, c)
+	holdLease(t, c)
+	adoptLease(t, c)
 	assert.DeepEqual(t, c.lend(request, time.Now()), []wire.PermitsLent{{Runner: "r1", Count: 2}})
 	assert.Equal(t, len(c.lend(wire.SyncRequest{Node: "other"}, time.Now())), 0)
-	never := lending(coldstart.Terms{})
-	hold(t, never)
-	adopt(t, never)
+	never := newLendingController(coldstart.Terms{})
+	holdLease(t, never)
+	adoptLease(t, never)
 	assert.Equal(t, len(never.lend(request, time.Now())), 0)
 }
 
-// TestAccountOfAnEarlierLeaseLendsNothing: another holder may have lent since, until the
-// node has begun the account of the lease that it took again.
-func TestAccountOfAnEarlierLeaseLendsNothing(t *testing.T) {
+// TestNoPermitsUnderEarlierLease checks that nothing is lent while the ledgers belong to an
+// earlier lease: another holder may have lent permits since then.
+func TestNoPermitsUnderEarlierLease(t *testing.T) {
 	request := wire.SyncRequest{Node: "other", Permits: []wire.PermitsWanted{{Runner: "r1", Count: 2}}}
-	c := lending(coldstart.NewTerms(6.9, 1.5, 5, 3*time.Second, coldstart.Lent{}))
-	hold(t, c)
-	adopt(t, c)
+	c := newLendingController(coldstart.NewTerms(6.9, 1.5, 5, 3*time.Second, coldstart.Lent{}))
+	holdLease(t, c)
+	adoptLease(t, c)
 	c.token += 2
 	assert.Equal(t, len(c.lend(request, time.Now())), 0)
 }
--- /dev/null
+++ b/internal/control/listed.go
@@ -0,0 +1,109 @@
+package control
+
+import (
+	"time"
+
+	"lilacvane/internal/eligible"
+	"lilacvane/internal/orders"
+	"lilacvane/internal/wire"
+)
+
+// With hundreds of nodes, each knows only some of the runners (fleet.Bound). A model that
+// its requests wait for may be held by other runners, or may just have been loaded there.
+// The holder tells the node which runners these are and what the platform's list says about
+// them.
+
+// maxHoldersTold is how many runners that hold a model are named to a node that waits for
+// it. With fewer, all nodes that wait for the same model would send to the same runner.
+const maxHoldersTold = 8
+
+// waitingModels returns the models that requests of a node wait for; none if the node knows
+// all runners. The caller holds mutex.
+func (c *Controller) waitingModels(request wire.SyncRequest) map[string]bool {
+	if !request.Partial || c.ListRevision == nil {
+		return nil
+	}
+	models := make(map[string]bool)
+	for _, waiting := range c.demand.reports[request.Node].waiting {
+		models[waiting.Model] = true
+	}
+	return models
+}
+
+// addListedRunners adds to a response what the platform lists about runners that hold or
+// load a model the node waits for: to the runners already in the response, and to some more
+// that hold such a model. The caller holds mutex.
+func (c *Controller) addListedRunners(response *wire.SyncResponse, models map[string]bool, now time.Time) {
+	if len(models) == 0 {
+		return
+	}
+	// Read before the list, so that the list is at least as new as this revision.
+	response.ListRevision = c.ListRevision()
+	told := make(map[string]int)
+	included := make(map[string]bool)
+	for i := range response.Runners {
+		view := &response.Runners[i]
+		included[view.Runner] = true
+		if holdsOrLoads(view, models) {
+			view.Listed = c.listedRunner(view.Runner)
+			countHeld(told, view)
+		}
+	}
+	for id, ledger := range c.ledgers {
+		if included[id] || !c.shouldTell(ledger, models, told) {
+			continue
+		}
+		view := viewOf(id, ledger, now)
+		view.Listed = c.listedRunner(id)
+		countHeld(told, &view)
+		response.Runners = append(response.Runners, view)
+	}
+}
+
+// shouldTell reports whether a node that waits for the models should be told about a runner
+// that holds one of them. The caller holds mutex.
+func (c *Controller) shouldTell(ledger *orders.Ledger, models map[string]bool, told map[string]int) bool {
+	if !ledger.Known() || ledger.Silent() {
+		return false
+	}
+	for name, model := range ledger.Models() {
+		if models[name] && !model.Coming && !model.Leaving && told[name] < maxHoldersTold {
+			return c.listedRunner(ledger.Runner.ID) != nil
+		}
+	}
+	return false
+}
+
+// holdsOrLoads reports whether a runner holds or loads one of the models.
+func holdsOrLoads(view *wire.RunnerView, models map[string]bool) bool {
+	for _, held := range view.Ready {
+		if models[held.Model] {
+			return true
+		}
+	}
+	for _, coming := range view.Coming {
+		if models[coming.Model] {
+			return true
+		}
+	}
+	return false
+}
+
+// countHeld counts a runner for each model that it holds.
+func countHeld(told map[string]int, view *wire.RunnerView) {
+	for _, held := range view.Ready {
+		told[held.Model]++
+	}
+}
+
+// listedRunner returns what the platform lists about a runner; nil if it may not get new
+// work.
+func (c *Controller) listedRunner(id string) *wire.ListedRunner {
+	runner, ok := c.Fleet.Find(id)
+	if !ok || c.eligible(&orders.Ledger{Runner: runner}, eligible.Load{Service: c.Service}) != eligible.Yes {
+		return nil
+	}
+	return &wire.ListedRunner{
+		Born: runner.Born, Address: runner.Address, Zone: runner.Zone, Region: runner.Region, Slots: runner.Slots, Revision: runner.Revision,
+	}
+}
--- a/internal/control/listing_test.go
+++ b/internal/control/listed_test.go
@@ -16,8 +16,9 @@
 	"lilacvane/internal/wire"
 )
 
-// holderOf is a controller of so many runners, of which each hundredth holds the model rare.
-func holderOf(runners int) *Controller {
+// newHolder returns a controller with the given number of runners, of which every hundredth
+// holds the model "rare".
+func newHolder(runners int) *Controller {
 	known := fleet.New("zone", time.Now, zoneOut(""))
 	list := make([]backend.Runner, runners)
 	for i := range list {
@@ -41,23 +42,23 @@
 	return c
 }
 
-// TestWaitingNodeIsToldWhereItsModelIs: a node that knows only some runners and waits for a
-// model is told of a few that hold it and where they are; one that knows all, or does not wait,
-// is told nothing of runners that did not change.
+// TestWaitingNodeIsToldWhereItsModelIs checks that a node that knows only some runners and
+// waits for a model is told about a few runners that hold it and their addresses. A node
+// that knows all runners, or does not wait, is told nothing about unchanged runners.
 func TestWaitingNodeIsToldWhereItsModelIs(t *testing.T) {
-	c := holderOf(2000)
+	c := newHolder(2000)
 	waiting := []wire.UnitWaiting{{Model: "rare", Count: 1}}
 	for _, test := range []struct {
 		name    string
 		request wire.SyncRequest
 		told    int
 	}{
-		{"waits, knows some", wire.SyncRequest{Node: "n", Report: true, Token: 1, Version: 1, Partial: true, Waiting: waiting}, listedForWaiting},
+		{"waits, knows some", wire.SyncRequest{Node: "n", Report: true, Token: 1, Version: 1, Partial: true, Waiting: waiting}, maxHoldersTold},
 		{"waits, knows all", wire.SyncRequest{Node: "n", Report: true, Token: 1, Version: 1, Waiting: waiting}, 0},
 		{"does not wait", wire.SyncRequest{Node: "n", Report: true, Token: 1, Version: 1, Partial: true}, 0},
 	} {
-		c.demand.report(test.request, time.Now())
-		response := c.account(test.request)
+		c.demand.addReport(test.request, time.Now())
+		response := c.buildResponse(test.request)
 		assert.Equal(t, len(response.Runners), test.told, test.name)
 		for _, view := range response.Runners {
 			assert.Equal(t, view.Ready[0].Model, "rare", test.name)
@@ -68,16 +69,16 @@
 	}
 }
 
-// TestLoadForWaitingNodeNamesTheRunner: where a model is being loaded is told with the runner's
-// address, so that the node can send there at once.
+// TestLoadForWaitingNodeNamesTheRunner checks that a node that waits for a model is told
+// the address of the runner that loads it, so that it can send requests there at once.
 func TestLoadForWaitingNodeNamesTheRunner(t *testing.T) {
-	c := holderOf(10)
+	c := newHolder(10)
 	ledger := c.ledgers["r3"]
-	c.changedView(ledger)
+	c.publishLedger(ledger)
 	request := wire.SyncRequest{Node: "n", Report: true, Token: 1, Version: 1, Partial: true, Waiting: []wire.UnitWaiting{{Model: "common", Count: 1}}}
-	c.demand.report(request, time.Now())
+	c.demand.addReport(request, time.Now())
 	found := false
-	for _, view := range c.account(request).Runners {
+	for _, view := range c.buildResponse(request).Runners {
 		assert.Assert(t, view.Listed != nil, view.Runner)
 		found = found || view.Runner == "r3"
 	}
--- a/internal/control/loadends.go
+++ b/internal/control/loadends.go
@@ -10,21 +10,22 @@
 	"lilacvane/internal/wire"
 )
 
-// noteEnd notes that a runner ended, and which models it was loading then. mutex is held.
-func (c *Controller) noteEnd(ledger *orders.Ledger, now time.Time) {
-	// Orders since the last round count.
+// recordEnd records that a runner ended and which models it was loading at that time. The
+// caller holds mutex.
+func (c *Controller) recordEnd(ledger *orders.Ledger, now time.Time) {
+	// Include orders sent since the last round.
 	c.ends.Follow(ledger)
 	planned := c.eligible(ledger, eligible.Load{Service: c.Service}) == eligible.Draining
 	for _, model := range c.ends.Ended(ledger.Runner.ID, planned, now) {
 		until := c.ends.Paused(now)[model]
 		c.Log.Info("runner ended as it loaded a model", "runner", ledger.Runner.ID, "model", model, "pausedMs", max(until.Sub(now), 0).Milliseconds())
 		if !until.IsZero() {
-			c.Decide("model/"+c.objectOf(model), "pause loads", "runners ended as they loaded it, the last was "+ledger.Runner.Name())
+			c.Decide("model/"+c.objectName(model), "pause loads", "runners ended as they loaded it, the last was "+ledger.Runner.Name())
 		}
 	}
 }
 
-// loadEnds is what the next holder goes on from. mutex is held.
+// loadEnds returns the counts that the next holder continues from. The caller holds mutex.
 func (c *Controller) loadEnds(now time.Time) []wire.LoadEnds {
 	var ends []wire.LoadEnds
 	for _, known := range c.ends.Known() {
@@ -33,8 +34,8 @@
 	return ends
 }
 
-// LearnLoadEnds takes over what the holder knows of runners that ended as they loaded models, to
-// go on from when this node becomes the holder.
+// LearnLoadEnds records what the holder knows about runners that ended while they loaded
+// models, so that this node can continue from there if it becomes the holder.
 func (c *Controller) LearnLoadEnds(told []wire.LoadEnds) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -49,23 +50,23 @@
 	}
 }
 
-// tellPaused adds to the times of loads those of models whose loads rest, so that requests
-// for them are told when to come back. mutex is held.
-func (c *Controller) tellPaused(ready map[scheduler.Want]time.Duration, state *scheduler.State, now time.Time) {
-	c.resting = make(map[string]bool)
+// addPausedLoads adds models whose loads are paused to the expected load times, so that
+// callers are told when to come back. The caller holds mutex.
+func (c *Controller) addPausedLoads(ready map[scheduler.Want]time.Duration, state *scheduler.State, now time.Time) {
+	c.pausedModels = make(map[string]bool)
 	for unit := range state.Demand {
 		until, paused := state.Paused[unit.Model]
 		model := state.Engine.Models[unit.Model]
-		if !paused || model == nil || c.held(unit.Model) {
+		if !paused || model == nil || c.holdsModel(unit.Model) {
 			continue
 		}
-		c.resting[unit.Model] = true
+		c.pausedModels[unit.Model] = true
 		ready[scheduler.Want{Unit: backend.Unit{Model: unit.Model}}] = until.Sub(now) + model.LoadTime
 	}
 }
 
-// held reports whether a runner holds a model. mutex is held.
-func (c *Controller) held(model string) bool {
+// holdsModel reports whether any runner holds a model. The caller holds mutex.
+func (c *Controller) holdsModel(model string) bool {
 	for _, ledger := range c.ledgers {
 		if held := ledger.Models()[model]; held != nil && !held.Coming && !held.Leaving {
 			return true
--- a/internal/control/ordering.go
+++ b/internal/control/ordering.go
@@ -10,34 +10,34 @@
 )
 
 const (
-	// OrderMargin is how long an order may be on its way: none is sent when the
-	// lease may end sooner.
+	// OrderMargin is how long an order may take to arrive: none is sent if the lease may end
+	// sooner.
 	OrderMargin = 400 * time.Millisecond
-	// orderTimeout is how long an answer to an order is waited for. Runners answer
-	// at once, before the order is carried out; without an answer a report tells.
+	// orderTimeout is how long to wait for the answer to an order. Runners answer at once,
+	// before they carry the order out; if no answer comes, a report shows the outcome.
 	orderTimeout = 150 * time.Millisecond
 )
 
-// carryOut sends the orders of a plan. mutex is held.
-func (c *Controller) carryOut(ctx context.Context, plan scheduler.Plan) {
+// execute sends the orders of a plan. The caller holds mutex.
+func (c *Controller) execute(ctx context.Context, plan scheduler.Plan) {
 	chains := make(map[string][]scheduler.Step)
 	for _, step := range plan.Steps {
 		chains[step.Runner] = append(chains[step.Runner], step)
 	}
 	for runner, steps := range chains {
 		ledger := c.ledgers[runner]
-		order, ok := c.begin(ledger, steps[0])
+		order, ok := c.beginOrder(ledger, steps[0])
 		if !ok {
 			continue
 		}
 		c.inFlight.Add(1)
-		go c.sendChain(ctx, c.token, ledger, order, steps)
+		go c.sendOrders(ctx, c.token, ledger, order, steps)
 	}
 }
 
-// begin notes a step as being sent. The lease is checked here, right before.
-// mutex is held.
-func (c *Controller) begin(ledger *orders.Ledger, step scheduler.Step) (backend.Order, bool) {
+// beginOrder records that a step is being sent. It checks the lease, right before sending.
+// The caller holds mutex.
+func (c *Controller) beginOrder(ledger *orders.Ledger, step scheduler.Step) (backend.Order, bool) {
 	if !c.mayOrder(ledger, step.Action) {
 		return backend.Order{}, false
 	}
@@ -55,16 +55,15 @@
 	return ledger.Begin(step.Action, step.Unit, c.Node, token), true
 }
 
-// sendChain sends a runner's orders one after the other, as long as each is
-// accepted.
-func (c *Controller) sendChain(ctx context.Context, token uint64, ledger *orders.Ledger, order backend.Order, steps []scheduler.Step) {
+// sendOrders sends a runner's orders one after the other, as long as each is accepted.
+func (c *Controller) sendOrders(ctx context.Context, token uint64, ledger *orders.Ledger, order backend.Order, steps []scheduler.Step) {
 	defer c.inFlight.Done()
 	for i := range steps {
-		if !c.send(ctx, token, ledger, order, steps[i]) || i+1 == len(steps) {
+		if !c.sendOrder(ctx, token, ledger, order, steps[i]) || i+1 == len(steps) {
 			break
 		}
 		c.mutex.Lock()
-		next, ok := c.begin(ledger, steps[i+1])
+		next, ok := c.beginOrder(ledger, steps[i+1])
 		c.mutex.Unlock()
 		if !ok {
 			break
@@ -74,7 +73,7 @@
 	c.Wake()
 }
 
-func (c *Controller) send(ctx context.Context, token uint64, ledger *orders.Ledger, order backend.Order, step scheduler.Step) bool {
+func (c *Controller) sendOrder(ctx context.Context, token uint64, ledger *orders.Ledger, order backend.Order, step scheduler.Step) bool {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	c.mutex.Lock()
@@ -90,7 +89,7 @@
 		if step.FromStore && verdict == backend.Accepted {
 			c.beginLoad(runner.ID, step, now)
 		}
-		c.changedView(ledger)
+		c.publishLedger(ledger)
 	}
 	fields := []any{"runner", runner.ID, "action", string(order.Action), "unit", order.Unit.String(), "expected", order.Expected,
 		"token", order.Token, "verdict", verdict.String(), "reason", step.Reason, "fromStore", step.FromStore,
@@ -100,14 +99,14 @@
 	}
 	c.Log.Info("order", fields...)
 	what := string(order.Action) + " " + order.Unit.String() + " at " + runner.ID + ": " + verdict.String() + " (" + step.Reason + ")"
-	c.Decide("model/"+c.objectOf(order.Unit.Model), "order "+string(order.Action), what)
+	c.Decide("model/"+c.objectName(order.Unit.Model), "order "+string(order.Action), what)
 	c.Decide("replica/"+runner.Name(), "order "+string(order.Action), what)
 	return verdict == backend.Accepted || verdict == backend.AlreadyHeld
 }
 
-// objectOf is the name by which operators know weights: their model's, or the
-// weights' own when no model of theirs has them.
-func (c *Controller) objectOf(weights string) string {
+// objectName returns the name by which operators know the weights: that of their model, or
+// the weights' own if they belong to none of the operators' models.
+func (c *Controller) objectName(weights string) string {
 	if engine := c.engine(); engine != nil && engine.Models[weights] != nil {
 		return nameOf(engine.Models[weights])
 	}
--- a/internal/control/parts.go
+++ b/internal/control/parts.go
@@ -12,15 +12,15 @@
 	"lilacvane/internal/wire"
 )
 
-// parts divides the demand of the units that requests with homes ask for by these homes,
-// sorted. It is empty where nobody has homes.
-func (d *demandBook) parts(units map[backend.Unit]*scheduler.Demand, now time.Time) map[backend.Unit][]scheduler.Part {
-	if len(d.bound) == 0 && !d.waitsBound() {
+// parts splits the demand of units that requests with homes ask for by these homes, sorted.
+// The result is empty if no request has homes.
+func (d *demandTracker) parts(units map[backend.Unit]*scheduler.Demand, now time.Time) map[backend.Unit][]scheduler.Part {
+	if len(d.withHomes) == 0 && !d.anyWaitingWithHomes() {
 		return nil
 	}
 	demands := d.waitingParts(now)
-	d.boundUse(demands, units, now)
-	d.freeUse(demands, units)
+	d.addUseWithHomes(demands, units, now)
+	d.addUseWithoutHomes(demands, units)
 	parts := make(map[backend.Unit][]scheduler.Part)
 	for _, want := range slices.SortedFunc(maps.Keys(demands), compareWants) {
 		parts[want.Unit] = append(parts[want.Unit], scheduler.Part{Homes: want.Homes, Demand: demands[want]})
@@ -29,8 +29,8 @@
 	return parts
 }
 
-// waitsBound reports whether requests with homes were told to wait.
-func (d *demandBook) waitsBound() bool {
+// anyWaitingWithHomes reports whether any request with homes was reported to wait.
+func (d *demandTracker) anyWaitingWithHomes() bool {
 	for _, report := range d.reports {
 		if slices.ContainsFunc(report.waiting, func(w wire.UnitWaiting) bool { return len(w.Homes) > 0 }) {
 			return true
@@ -39,7 +39,7 @@
 	return false
 }
 
-// compareWants sorts by unit and homes, those without homes last.
+// compareWants orders by unit and homes, those without homes last.
 func compareWants(a, b scheduler.Want) int {
 	bound := 0
 	if a.Homes.Bound() != b.Homes.Bound() {
@@ -51,25 +51,25 @@
 	return cmp.Or(cmp.Compare(a.Unit.String(), b.Unit.String()), bound, cmp.Compare(a.Homes.String(), b.Homes.String()))
 }
 
-// waitingParts sums up what waits by unit and homes.
-func (d *demandBook) waitingParts(now time.Time) map[scheduler.Want]*scheduler.Demand {
+// waitingParts sums up the waiting requests by unit and homes.
+func (d *demandTracker) waitingParts(now time.Time) map[scheduler.Want]*scheduler.Demand {
 	demands := make(map[scheduler.Want]*scheduler.Demand)
-	d.eachWaiting(now, func(unit backend.Unit, waiting wire.UnitWaiting, left time.Duration, region place.Region) {
-		noteWaiting(demands, scheduler.Want{Unit: unit, Homes: place.HomesOf(waiting.Homes)}, waiting, left, region)
+	d.forEachWaiting(now, func(unit backend.Unit, waiting wire.UnitWaiting, left time.Duration, region place.Region) {
+		addWaiting(demands, scheduler.Want{Unit: unit, Homes: place.HomesOf(waiting.Homes)}, waiting, left, region)
 	})
 	return demands
 }
 
-// boundUse adds what requests with homes take of a unit: the part of its rate and work
-// that is theirs by the number of requests.
-func (d *demandBook) boundUse(demands map[scheduler.Want]*scheduler.Demand, units map[backend.Unit]*scheduler.Demand, now time.Time) {
-	for want, use := range d.bound {
-		whole := d.used[want.Unit]
+// addUseWithHomes adds the use by requests with homes: their share of a unit's rate and
+// work, in proportion to the number of requests.
+func (d *demandTracker) addUseWithHomes(demands map[scheduler.Want]*scheduler.Demand, units map[backend.Unit]*scheduler.Demand, now time.Time) {
+	for want, use := range d.withHomes {
+		whole := d.unitUses[want.Unit]
 		if whole == nil || now.Sub(use.last) > forgetAfter {
-			delete(d.bound, want)
+			delete(d.withHomes, want)
 			continue
 		}
-		use.fade(now)
+		use.decay(now)
 		if demands[want] == nil {
 			demands[want] = &scheduler.Demand{}
 		}
@@ -82,11 +82,12 @@
 	}
 }
 
-// leastShare is the least part of a unit's rate that counts: less is an error of rounding.
-const leastShare = 1e-6
+// minShare is the smallest share of a unit's rate that counts; anything less is a rounding
+// error.
+const minShare = 1e-6
 
-// freeUse leaves the rest of each unit to the requests without homes.
-func (d *demandBook) freeUse(demands map[scheduler.Want]*scheduler.Demand, units map[backend.Unit]*scheduler.Demand) {
+// addUseWithoutHomes assigns the rest of each unit's use to the requests without homes.
+func (d *demandTracker) addUseWithoutHomes(demands map[scheduler.Want]*scheduler.Demand, units map[backend.Unit]*scheduler.Demand) {
 	taken := make(map[backend.Unit]scheduler.Demand)
 	for want, demand := range demands {
 		if !want.Homes.Bound() {
@@ -103,7 +104,7 @@
 			demands[free] = &scheduler.Demand{}
 		}
 		demand, all := demands[free], units[unit]
-		if rest := all.Rate - bound.Rate; rest > leastShare*all.Rate {
+		if rest := all.Rate - bound.Rate; rest > minShare*all.Rate {
 			demand.Rate, demand.Work, demand.LastUse = rest, max(all.Work-bound.Work, 0), all.LastUse
 		}
 	}
--- a/internal/control/parts_test.go
+++ b/internal/control/parts_test.go
@@ -13,11 +13,12 @@
 	"lilacvane/internal/wire"
 )
 
-// TestDemandIsDividedByHomes: what waits and what is used with homes is told apart, the
-// work by the number of requests; the parts add up to the whole.
+// TestDemandIsDividedByHomes checks that waiting requests and use with homes are listed
+// separately, with the work divided by the number of requests, and that the parts add up to
+// the whole.
 func TestDemandIsDividedByHomes(t *testing.T) {
-	d, now := newDemandBook(), time.Unix(1000, 0)
-	d.report(wire.SyncRequest{
+	d, now := newDemandTracker(), time.Unix(1000, 0)
+	d.addReport(wire.SyncRequest{
 		Node: "n", Report: true,
 		Waiting: []wire.UnitWaiting{
 			{Model: "m", Adapter: "a", Count: 2, LeftMs: 500, Priority: 3, Homes: []string{"south"}},
@@ -47,21 +48,22 @@
 	assert.Assert(t, !divided)
 }
 
-// TestDemandWithoutHomesIsNotDivided: where nobody has homes plans are made as without them.
+// TestDemandWithoutHomesIsNotDivided checks that the demand is not split if no request has
+// homes, so that plans are the same as without the feature.
 func TestDemandWithoutHomesIsNotDivided(t *testing.T) {
-	d, now := newDemandBook(), time.Unix(1000, 0)
-	d.report(wire.SyncRequest{Node: "n", Report: true, Waiting: []wire.UnitWaiting{{Model: "m", Count: 1}}, Usage: []wire.UnitUsage{{Model: "m", Requests: 1}}}, now)
+	d, now := newDemandTracker(), time.Unix(1000, 0)
+	d.addReport(wire.SyncRequest{Node: "n", Report: true, Waiting: []wire.UnitWaiting{{Model: "m", Count: 1}}, Usage: []wire.UnitUsage{{Model: "m", Requests: 1}}}, now)
 	assert.Equal(t, len(d.parts(d.units(d.running(now), &config.Engine{Slots: 8}, now), now)), 0)
 }
 
-// TestHomesAreForgotten: use with homes is forgotten as all use is.
+// TestHomesAreForgotten checks that use with homes expires like any other use.
 func TestHomesAreForgotten(t *testing.T) {
-	d, now := newDemandBook(), time.Unix(1000, 0)
-	d.report(wire.SyncRequest{Node: "n", Usage: []wire.UnitUsage{{Model: "m", Requests: 1, Homes: []string{"south"}}}}, now)
+	d, now := newDemandTracker(), time.Unix(1000, 0)
+	d.addReport(wire.SyncRequest{Node: "n", Usage: []wire.UnitUsage{{Model: "m", Requests: 1, Homes: []string{"south"}}}}, now)
 	later := now.Add(2 * forgetAfter)
 	units := d.units(d.running(later), &config.Engine{Slots: 8}, later)
 	assert.Equal(t, len(d.parts(units, later)), 0)
-	assert.Equal(t, len(d.bound), 0)
+	assert.Equal(t, len(d.withHomes), 0)
 	var none map[backend.Unit][]scheduler.Part
 	assert.DeepEqual(t, d.parts(units, later), none)
 }
--- a/internal/control/planned.go
+++ b/internal/control/planned.go
@@ -6,13 +6,13 @@
 	"lilacvane/internal/scheduler"
 )
 
-// plannedShift is how far the expected time of a planned load moves before nodes
-// are told at once.
+// plannedShift is how much the expected time of a planned load must change before nodes are
+// told at once.
 const plannedShift = 300 * time.Millisecond
 
-// notePlanned takes over when waited-for models are expected, and tells nodes when
-// that changed. mutex is held.
-func (c *Controller) notePlanned(ready map[scheduler.Want]time.Duration, now time.Time) {
+// updatePlanned records when models with waiting requests are expected, and publishes the
+// changes. The caller holds mutex.
+func (c *Controller) updatePlanned(ready map[scheduler.Want]time.Duration, now time.Time) {
 	planned := make(map[scheduler.Want]time.Time, len(ready))
 	var changed []string
 	for want, in := range ready {
@@ -27,17 +27,17 @@
 	}
 	c.planned = planned
 	if len(changed) > 0 {
-		c.tell(changed...)
+		c.publish(changed...)
 	}
 }
 
-// tellYield lets waiting nodes hear at once that this holder acts no more. mutex is
-// held.
-func (c *Controller) tellYield() {
-	word, ok := c.Lessor.Status()
-	if !ok || !word.Yielded || c.toldYield == word.Token {
+// announceYield tells waiting nodes at once that this holder no longer acts. The caller
+// holds mutex.
+func (c *Controller) announceYield() {
+	leaseStatus, ok := c.Lessor.Status()
+	if !ok || !leaseStatus.Yielded || c.announcedYield == leaseStatus.Token {
 		return
 	}
-	c.toldYield = word.Token
-	c.tellAll()
+	c.announcedYield = leaseStatus.Token
+	c.publishToAll()
 }
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// reportTimeout bounds one report.
+	// reportTimeout is the timeout of one report request.
 	reportTimeout = 300 * time.Millisecond
 	// reportRetry is the time until a runner that did not report is asked again.
 	reportRetry = 500 * time.Millisecond
-	// maximumReports bounds the reports asked for at once.
-	maximumReports = 24
+	// maxPendingReports limits how many reports are requested at the same time.
+	maxPendingReports = 24
 )
 
-// takeRunners follows the platform's list. While replicas are bounded each runner
-// has to tell itself what it loads. mutex is held.
-func (c *Controller) takeRunners(engine *config.Engine, now time.Time) {
-	// Before the list is looked at: a later change is taken over in the next round.
+// updateRunners brings the ledgers up to date with the platform's list. While replicas are
+// limited, each runner must itself confirm what it loads. The caller holds mutex.
+func (c *Controller) updateRunners(engine *config.Engine, now time.Time) {
+	// Read before the list, so that a later change is picked up in the next round.
 	version := c.Fleet.ListVersion()
 	if !c.listTaken || version != c.listVersion {
-		c.takeList(now)
+		c.applyList(now)
 		c.listVersion, c.listTaken = version, true
 	}
 	bounded := engine.Bounded()
@@ -40,8 +40,8 @@
 	}
 }
 
-// takeList brings the accounts in step with the platform's list. mutex is held.
-func (c *Controller) takeList(now time.Time) {
+// applyList brings the ledgers in line with the platform's list. The caller holds mutex.
+func (c *Controller) applyList(now time.Time) {
 	listed := make(map[string]bool)
 	for _, runner := range c.Fleet.Runners(c.Service) {
 		listed[runner.ID] = true
@@ -54,29 +54,30 @@
 	}
 	for id, ledger := range c.ledgers {
 		if !listed[id] {
-			c.noteEnd(ledger, now)
+			c.recordEnd(ledger, now)
 			c.ends.Forget(id)
 			delete(c.ledgers, id)
 		}
 	}
 }
 
-// askReports asks the runners whose state may have changed. mutex is held.
-func (c *Controller) askReports(ctx context.Context, engine *config.Engine, now time.Time) {
+// requestReports asks the runners whose state may have changed for reports. The caller
+// holds mutex.
+func (c *Controller) requestReports(ctx context.Context, engine *config.Engine, now time.Time) {
 	for _, ledger := range c.ledgers {
-		if c.asking >= maximumReports {
+		if c.pendingReports >= maxPendingReports {
 			return
 		}
 		if !c.mayReport(ledger, engine) || !ledger.WantsReport(now) {
 			continue
 		}
-		c.asking++
+		c.pendingReports++
 		c.inFlight.Add(1)
-		go c.askReport(ctx, c.token, ledger.Runner)
+		go c.requestReport(ctx, c.token, ledger.Runner)
 	}
 }
 
-func (c *Controller) askReport(ctx context.Context, token uint64, runner backend.Runner) {
+func (c *Controller) requestReport(ctx context.Context, token uint64, runner backend.Runner) {
 	defer c.inFlight.Done()
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -84,34 +85,34 @@
 	report, err := c.Runners.Report(ctx, runner)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.asking--
+	c.pendingReports--
 	ledger := c.ledgers[runner.ID]
 	if c.token != token || ledger == nil {
 		return
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		c.noteEnd(ledger, time.Now())
+		c.recordEnd(ledger, time.Now())
 	}
 	if err != nil {
 		if ledger.ReportFailed(time.Now(), reportRetry) {
-			c.changedView(ledger)
+			c.publishLedger(ledger)
 			c.Wake()
 		}
 		c.Log.Info("report missing", "runner", runner.ID, "silent", ledger.Silent(), "error", err.Error())
 		return
 	}
 	if ledger.Reported(report, asked, time.Now()) {
-		c.changedView(ledger)
+		c.publishLedger(ledger)
 		c.Log.Info("runner reported", "runner", runner.ID, "sequence", report.Sequence, "busy", report.Busy, "models", len(report.Models),
 			"active", report.Active, "queued", report.Queued)
 	}
 	c.Wake()
 }
 
-// changedView makes a runner's new account known to waiting nodes. mutex is
-// held.
-func (c *Controller) changedView(ledger *orders.Ledger) {
-	c.tell(slices.Collect(maps.Keys(ledger.Models()))...)
+// publishLedger makes a runner's changed ledger visible to waiting nodes. The caller holds
+// mutex.
+func (c *Controller) publishLedger(ledger *orders.Ledger) {
+	c.publish(slices.Collect(maps.Keys(ledger.Models()))...)
 	ledger.Version = c.version
-	c.noteRecent(ledger.Runner.ID, time.Now())
+	c.recordChange(ledger.Runner.ID, time.Now())
 }
--- a/internal/control/rounds_test.go
+++ b/internal/control/rounds_test.go
@@ -13,34 +13,35 @@
 	"lilacvane/internal/scheduler"
 )
 
-// TestUnchangedListIsNotTakenAgain: a round looks at the platform's list only after it changed.
-func TestUnchangedListIsNotTakenAgain(t *testing.T) {
-	c, engine := largeHolder(100, 10, 1)
-	c.takeRunners(engine, time.Now())
+// TestUnchangedListIsNotReadAgain checks that a round reads the platform's list only if it
+// changed.
+func TestUnchangedListIsNotReadAgain(t *testing.T) {
+	c, engine := newLargeHolder(100, 10, 1)
+	c.updateRunners(engine, time.Now())
 	assert.Equal(t, len(c.ledgers), 100)
 	delete(c.ledgers, "i-0000000001")
-	c.takeRunners(engine, time.Now())
-	assert.Equal(t, len(c.ledgers), 99, "the list was taken again")
+	c.updateRunners(engine, time.Now())
+	assert.Equal(t, len(c.ledgers), 99, "the list was read again")
 	c.Fleet.Apply([]backend.Runner{{ID: "new", Service: "s"}}, []string{"i-0000000002"}, false)
-	c.takeRunners(engine, time.Now())
+	c.updateRunners(engine, time.Now())
 	assert.Equal(t, len(c.ledgers), 100)
 	assert.Assert(t, c.ledgers["new"] != nil && c.ledgers["i-0000000001"] != nil && c.ledgers["i-0000000002"] == nil)
 }
 
-// TestQuietRoundsAreFew: a round that found nothing to do is followed by a longer pause, which
-// ends as soon as requests begin to wait.
-func TestQuietRoundsAreFew(t *testing.T) {
+// TestPauseAfterIdleRound checks that a round that found nothing to do is followed by a
+// longer pause, which ends as soon as requests begin to wait.
+func TestPauseAfterIdleRound(t *testing.T) {
 	const took = 100 * time.Millisecond
 	for _, test := range []struct {
 		name   string
-		quiet  bool
+		idle   bool
 		urgent time.Duration
 		paused time.Duration
 	}{
-		{"something to do", false, 0, planShare * took},
-		{"quiet", true, 0, quietShare * took},
+		{"something to do", false, 0, planPauseFactor * took},
+		{"quiet", true, 0, idlePauseFactor * took},
 		{"requests begin to wait", true, 500 * time.Millisecond, 500 * time.Millisecond},
-		{"requests begin to wait soon", true, time.Millisecond, planShare * took},
+		{"requests begin to wait soon", true, time.Millisecond, planPauseFactor * took},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			c := NewController(Options{Log: logr.Discard(), Configuration: func() *config.Configuration { return nil }})
@@ -48,23 +49,24 @@
 				time.AfterFunc(test.urgent, c.wakeUrgently)
 			}
 			start := time.Now()
-			c.rest(t.Context(), took, test.quiet)
+			c.pauseAfterRound(t.Context(), took, test.idle)
 			assert.Equal(t, time.Since(start), test.paused, test.name)
 		})
 	}
 }
 
-// TestRoundIsQuietOnlyAtRest: a round is not quiet while requests wait, also for a load that is
-// under way, while a runner is to report, or when it orders something.
-func TestRoundIsQuietOnlyAtRest(t *testing.T) {
+// TestRoundIsIdleOnlyWithoutWork checks that a round does not count as idle while requests
+// wait, even for a load in progress, while a runner has to report, or when it orders
+// something.
+func TestRoundIsIdleOnlyWithoutWork(t *testing.T) {
 	unit := backend.Unit{Model: "m1"}
 	for _, test := range []struct {
 		name   string
 		change func(c *Controller, plan *scheduler.Plan, state *scheduler.State)
-		quiet  bool
+		idle   bool
 	}{
 		{"at rest", func(*Controller, *scheduler.Plan, *scheduler.State) {}, true},
-		{"used, nobody waits", func(_ *Controller, _ *scheduler.Plan, state *scheduler.State) {
+		{"used, no request waits", func(_ *Controller, _ *scheduler.Plan, state *scheduler.State) {
 			state.Demand = map[backend.Unit]*scheduler.Demand{unit: {Rate: 2}}
 		}, true},
 		{"requests wait", func(_ *Controller, _ *scheduler.Plan, state *scheduler.State) {
@@ -76,14 +78,14 @@
 		{"an order", func(_ *Controller, plan *scheduler.Plan, _ *scheduler.State) {
 			plan.Steps = []scheduler.Step{{Unit: unit}}
 		}, false},
-		{"a place is kept", func(_ *Controller, plan *scheduler.Plan, _ *scheduler.State) {
+		{"an intent is pending", func(_ *Controller, plan *scheduler.Plan, _ *scheduler.State) {
 			plan.Intents = map[string]scheduler.Intent{"r": {Model: "m1"}}
 		}, false},
 	} {
-		c, engine := largeHolder(10, 3, 1)
-		c.takeRunners(engine, time.Now())
+		c, engine := newLargeHolder(10, 3, 1)
+		c.updateRunners(engine, time.Now())
 		plan, state := &scheduler.Plan{}, &scheduler.State{}
 		test.change(c, plan, state)
-		assert.Equal(t, c.isQuiet(plan, state), test.quiet, test.name)
+		assert.Equal(t, c.isIdle(plan, state), test.idle, test.name)
 	}
 }
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -9,19 +9,19 @@
 	"lilacvane/internal/scheduler"
 )
 
-// state builds the scheduler's input. mutex is held.
-func (c *Controller) state(engine *config.Engine, now time.Time) *scheduler.State {
+// buildState builds the scheduler's input. The caller holds mutex.
+func (c *Controller) buildState(engine *config.Engine, now time.Time) *scheduler.State {
 	running := c.demand.running(now)
 	demand := c.demand.units(running, engine, now)
-	c.applyRules(engine, demand, now)
+	c.updateRules(engine, demand, now)
 	state := &scheduler.State{
 		Now: now, Engine: engine, Paused: c.ends.Paused(now), Demand: demand, Parts: c.demand.parts(demand, now), Intents: c.intents, Loads: min(int(c.limiter.TokensAt(now)), c.store.Free()),
 		StoreWait: c.store.NextFree(now), StoreSlowdown: c.store.Slowdown(c.store.UnderWay() + 1),
-		Floors: c.floors, KeepAlive: c.keep,
+		Floors: c.floors, KeepAlive: c.keepAlive,
 	}
 	for id, ledger := range c.ledgers {
 		if !ledger.Confirmed() {
-			// The list does not tell what the runner is loading.
+			// The platform's list does not show what the runner is loading.
 			state.Unknown++
 		}
 		reason := c.eligible(ledger, eligible.Load{Service: c.Service})
@@ -31,7 +31,8 @@
 		runner := describe(id, ledger, engine, running[id], now)
 		runner.Drained, runner.Out = reason == eligible.Drained, reason == eligible.ZoneOut
 		if reason == eligible.Resting {
-			// It is to take no order until then, so loads go elsewhere or wait.
+			// A resting runner must not get orders until its rest ends, so loads go elsewhere or
+			// wait.
 			runner.BusyFor, runner.Idle, runner.Ready = max(runner.BusyFor, c.Statements.Of(id).Rest), false, false
 		}
 		state.Runners = append(state.Runners, runner)
@@ -39,21 +40,21 @@
 	return state
 }
 
-// rulesInterval is how often policies and keep-alive times are looked up.
+// rulesInterval is how often policies and keep-alive times are evaluated.
 const rulesInterval = time.Second
 
-// applyRules brings the policies' floors and the keep-alive times up to date.
-// mutex is held.
-func (c *Controller) applyRules(engine *config.Engine, demand map[backend.Unit]*scheduler.Demand, now time.Time) {
+// updateRules updates the policies' minimum replicas and the keep-alive times. The caller
+// holds mutex.
+func (c *Controller) updateRules(engine *config.Engine, demand map[backend.Unit]*scheduler.Demand, now time.Time) {
 	if now.Sub(c.rulesAt) < rulesInterval {
 		return
 	}
 	c.rulesAt = now
 	c.floors = make(map[string]int)
-	c.keep = make(map[string]time.Duration)
+	c.keepAlive = make(map[string]time.Duration)
 	for name, model := range engine.Models {
 		if floor, _ := c.Policies.Ready(nameOf(model), now); floor > 0 && model.Active {
-			c.floors[name] = boundedBy(floor, model.MaximumReplicas)
+			c.floors[name] = limitReplicas(floor, model.MaximumReplicas)
 		}
 		if !c.Sleeper.Enabled() {
 			continue
@@ -62,14 +63,14 @@
 			c.Sleeper.Observe(model, used.LastUse, now)
 		}
 		share := model.Size / engine.ModelMemory
-		c.keep[name] = c.Sleeper.KeepAlive(model, share)
+		c.keepAlive[name] = c.Sleeper.KeepAlive(model, share)
 		if c.floors[name] == 0 && model.Active && model.MaximumReplicas != 0 && c.Sleeper.WakeAhead(model, share, now) {
 			c.floors[name] = 1
 		}
 	}
 }
 
-// nameOf is the name by which policies select a model.
+// nameOf returns the name by which policies select a model.
 func nameOf(model *config.Model) string {
 	if model.Object != "" {
 		return model.Object
@@ -77,7 +78,7 @@
 	return model.Name
 }
 
-func boundedBy(floor, replicas int) int {
+func limitReplicas(floor, replicas int) int {
 	if replicas == config.Unlimited {
 		return floor
 	}
--- a/internal/control/storeloads.go
+++ b/internal/control/storeloads.go
@@ -10,14 +10,14 @@
 	"lilacvane/internal/wire"
 )
 
-// storeLoad is a load from the weight store under way.
+// storeLoad is a load from the weight store in progress.
 type storeLoad struct {
 	model string
-	// expected is how long nodes were told that it takes.
+	// expected is the duration that nodes were told.
 	expected time.Duration
 }
 
-// beginLoad notes that a load from the weight store was accepted. mutex is held.
+// beginLoad records that a load from the weight store was accepted. The caller holds mutex.
 func (c *Controller) beginLoad(runner string, step scheduler.Step, now time.Time) {
 	engine := c.engine()
 	if engine == nil || engine.Models[step.Unit.Model] == nil {
@@ -27,9 +27,9 @@
 	c.store.Begin(runner, engine.Models[step.Unit.Model].LoadTime, now)
 }
 
-// followLoads notes the loads from the weight store that ended, and those that an
-// earlier holder may have under way. mutex is held.
-func (c *Controller) followLoads(now time.Time) {
+// updateStoreLoads records the loads from the weight store that ended, and those that an
+// earlier holder may still have in progress. The caller holds mutex.
+func (c *Controller) updateStoreLoads(now time.Time) {
 	for runner, load := range c.storeLoads {
 		ledger := c.ledgers[runner]
 		switch {
@@ -38,7 +38,7 @@
 		case !ledger.Models()[load.model].Coming:
 			c.endLoad(runner, load, now)
 		default:
-			c.delayLoad(ledger, load.model, now)
+			c.updateDelay(ledger, load.model, now)
 			continue
 		}
 		delete(c.storeLoads, runner)
@@ -52,12 +52,12 @@
 	c.store.Follow(foreign, now)
 }
 
-// delayLoad tells nodes when a load takes longer than they were told: requests that would
-// be too late for it are not held. mutex is held.
-func (c *Controller) delayLoad(ledger *orders.Ledger, model string, now time.Time) {
+// updateDelay tells nodes when a load takes longer than announced, so that requests that
+// cannot wait that long are not held. The caller holds mutex.
+func (c *Controller) updateDelay(ledger *orders.Ledger, model string, now time.Time) {
 	left := c.store.Left(ledger.Runner.ID, now)
 	if left > 0 && ledger.Delay(model, now.Add(left)) {
-		c.changedView(ledger)
+		c.publishLedger(ledger)
 	}
 }
 
@@ -73,13 +73,14 @@
 	}
 }
 
-// storeStatus describes the weight store as the holder knows it. mutex is held.
+// storeStatus returns the weight store's status as known to the holder. The caller holds
+// mutex.
 func (c *Controller) storeStatus() wire.StoreStatus {
 	known := c.store.Estimate()
 	return wire.StoreStatus{Service: c.Service, Limit: known.Limit, Capacity: known.Capacity, UnderWay: c.store.UnderWay(), Planned: len(c.planned)}
 }
 
-// Store describes the weight store; false when this node does not hold the lease.
+// Store returns the weight store's status; false if this node does not hold the lease.
 func (c *Controller) Store() (wire.StoreStatus, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -89,12 +90,12 @@
 	return c.storeStatus(), true
 }
 
-// LearnStore takes over what the holder has learned of the weight store, to go on
-// from when this node becomes the holder.
+// LearnStore records what the holder has learned about the weight store, so that this node
+// can continue from there if it becomes the holder.
 func (c *Controller) LearnStore(known weightstore.Estimate) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.token == 0 && known.Limit > 0 {
-		c.known = known
+		c.knownStore = known
 	}
 }
--- a/internal/control/sync.go
+++ b/internal/control/sync.go
@@ -10,24 +10,25 @@
 )
 
 const (
-	// recentView is how long a change of a runner is told to nodes that did not
-	// hear of it; by then the platform's list tells it.
-	recentView = 8 * time.Second
-	// maximumHoldMs is the longest time, in milliseconds, that a node may have its
-	// question held.
+	// changeLifetime is how long a change of a runner is sent to nodes that have not received
+	// it; after that the platform's list shows it.
+	changeLifetime = 8 * time.Second
+	// maximumHoldMs is the longest time, in milliseconds, for which a node may have its call
+	// held.
 	maximumHoldMs = 5000
 )
 
-// Sync answers a node's demand with what changed since the account it has.
+// Sync answers a node's report of its demand with what changed since the version that the
+// node has.
 func (c *Controller) Sync(ctx context.Context, request wire.SyncRequest) (wire.SyncResponse, error) {
 	c.mutex.Lock()
 	if c.token == 0 {
 		c.mutex.Unlock()
 		return wire.SyncResponse{}, fault.New(fault.CodeNotHolder, "sync", "this node does not hold the lease of %s", request.Service)
 	}
-	urgent := c.demand.report(request, time.Now())
+	urgent := c.demand.addReport(request, time.Now())
 	if urgent {
-		c.noteReport(request.Node)
+		c.signalReport(request.Node)
 	}
 	urgent = c.suspect(request) || urgent
 	c.mutex.Unlock()
@@ -40,13 +41,13 @@
 	if c.Stated != nil {
 		c.Stated.Learn(request.Node, request.Leaving, request.Limited)
 	}
-	c.waitChange(ctx, request)
+	c.waitForChange(ctx, request)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.token == 0 {
 		return wire.SyncResponse{}, fault.New(fault.CodeNotHolder, "sync", "the lease of %s was lost", request.Service)
 	}
-	response := c.account(request)
+	response := c.buildResponse(request)
 	response.Permits = c.lend(request, time.Now())
 	if c.Stated != nil {
 		response.Leaving, response.Limited = c.Stated.All()
@@ -60,8 +61,8 @@
 	return response, nil
 }
 
-// suspect asks the runners that a node suspects. It returns whether there are any.
-// mutex is held.
+// suspect marks the runners that a node suspects to be down, so that they are asked for
+// reports. It reports whether there are any. The caller holds mutex.
 func (c *Controller) suspect(request wire.SyncRequest) bool {
 	asked := false
 	for _, id := range request.Suspects {
@@ -73,23 +74,23 @@
 	return asked
 }
 
-// account lists the runners that changed lately and since the node's account; the
-// platform's list tells of the others. mutex is held.
-func (c *Controller) account(request wire.SyncRequest) wire.SyncResponse {
+// buildResponse lists the runners that changed recently and since the node's version; the
+// platform's list covers the others. The caller holds mutex.
+func (c *Controller) buildResponse(request wire.SyncRequest) wire.SyncResponse {
 	now := time.Now()
 	nodes := c.demand.summary(c.Node, now)
 	response := wire.SyncResponse{Token: c.token, Version: c.version, Nodes: nodes.count, Valid: c.Lessor.Valid(),
 		BestSpare: nodes.bestSpare, StoreLimit: c.store.Estimate().Limit, StoreCapacity: c.store.Estimate().Capacity}
 	response.ActsInMs = c.Lessor.ActsIn().Milliseconds()
-	if word, ok := c.Lessor.Status(); ok && word.Token == c.token {
-		response.LeaseRenewal, response.LeaseYielded, response.LeaseQuietMs = word.Renewal, word.Yielded, word.Quiet.Milliseconds()
+	if leaseStatus, ok := c.Lessor.Status(); ok && leaseStatus.Token == c.token {
+		response.LeaseRenewal, response.LeaseYielded, response.LeaseQuietMs = leaseStatus.Renewal, leaseStatus.Yielded, leaseStatus.Quiet.Milliseconds()
 	}
 	for want, at := range c.planned {
 		if !c.demand.waitsFor(request.Node, want.Unit.Model) {
 			continue
 		}
 		response.Planned = append(response.Planned, wire.UnitComing{
-			Model: want.Unit.Model, InMs: max(at.Sub(now), 0).Milliseconds(), Homes: want.Homes.Names(), Firm: c.resting[want.Unit.Model],
+			Model: want.Unit.Model, InMs: max(at.Sub(now), 0).Milliseconds(), Homes: want.Homes.Names(), Firm: c.pausedModels[want.Unit.Model],
 		})
 	}
 	if request.Report {
@@ -102,6 +103,6 @@
 	for _, ledger := range c.changedSince(known, now) {
 		response.Runners = append(response.Runners, viewOf(ledger.Runner.ID, ledger, now))
 	}
-	c.listForWaiting(&response, c.waitsFor(request), now)
+	c.addListedRunners(&response, c.waitingModels(request), now)
 	return response
 }
--- a/internal/control/syncer.go
+++ b/internal/control/syncer.go
@@ -21,22 +21,22 @@
 )
 
 const (
-	// watchHold is how long the holder keeps a watch without news.
+	// watchHold is how long the holder keeps a watch open without changes.
 	watchHold = 600 * time.Millisecond
 	// reportInterval is the time between two reports of a node's demand.
 	reportInterval = 250 * time.Millisecond
-	// urgentInterval is the least time between two reports.
+	// urgentInterval is the minimum time between two reports.
 	urgentInterval = 10 * time.Millisecond
-	// syncTimeout bounds a call beyond its hold.
+	// syncTimeout is the timeout of a call, in addition to its hold time.
 	syncTimeout = 500 * time.Millisecond
-	// restingPause lies between two watches of a node at which nothing waits.
-	restingPause = 200 * time.Millisecond
-	// retryPause follows a failed call.
+	// idleWatchPause is the pause between two watches of a node without waiting requests.
+	idleWatchPause = 200 * time.Millisecond
+	// retryPause is the pause after a failed call.
 	retryPause = 150 * time.Millisecond
 )
 
-// Syncer tells the lease holder of a service what this node's requests need and
-// takes over its accounts of the runners.
+// Syncer reports the demand of this node's requests to the service's lease holder and
+// applies the runner states that the holder sends back.
 type Syncer struct {
 	service    string
 	self       wire.Member
@@ -51,66 +51,66 @@
 	stated     Stated
 	observe    Observe
 	log        logr.Logger
-	// begun is signalled when a request begins to wait, so that a resting watch
-	// goes on.
-	begun chan struct{}
+	// waitBegan is signalled when a request begins to wait, so that a pausing watch continues.
+	waitBegan chan struct{}
 
 	mutex   sync.Mutex
 	token   uint64
 	version uint64
 	// nodeCount is how many nodes the holder knows.
-	nodeCount int
-	lost      bool
-	// orderless is set while no holder is heard of that may give orders.
-	orderless bool
-	// heard is when the holder, another node, answered last with its lease valid.
-	heard time.Time
+	nodeCount  int
+	holderLost bool
+	// withoutOrders is set while no holder is known that may send orders.
+	withoutOrders bool
+	// lastHeard is when another node, as the holder, last answered with its lease valid.
+	lastHeard time.Time
 }
 
-// Observed is what a holder knows of the fleet's nodes.
+// Observed is what a holder knows about the fleet's nodes.
 type Observed struct {
-	// Nodes is how many reported lately.
+	// Nodes is how many nodes reported recently.
 	Nodes int
-	// BestSpare is the largest part of what a holder should have that one of them has,
-	// the holder left out.
+	// BestSpare is the largest fraction of a holder's desired capacity that any of them has,
+	// except the holder itself.
 	BestSpare float64
-	// Standbys are addresses of the nodes that turn to the store first when a holder is
-	// lost; not set when they were not told.
+	// Standbys are addresses of the nodes that turn to the store first when a holder is lost;
+	// empty if the answer did not contain them.
 	Standbys []string
 }
 
-// Limits are a node's shares of limits, which travel with its demand.
+// Limits are a node's shares of rate limits, which are reported along with its demand.
 type Limits interface {
-	// Report returns what to tell; nil when another service's holder divides limits.
+	// Report returns the report to send; nil if the holder of another service divides limits.
 	Report() *wire.LimitReport
-	// Undelivered takes back a report that got no answer.
+	// Undelivered takes back a report that was not answered.
 	Undelivered(report *wire.LimitReport)
-	// Apply takes over the answer to a report sent then.
+	// Apply applies the answer to a report sent at the given time.
 	Apply(grant *limit.Grant, sent time.Time)
 }
 
-// Crashes are the ends of runners under this node's requests, which are told with its demand.
+// Crashes collects the runners that ended under this node's requests, which are reported
+// along with its demand.
 type Crashes interface {
-	// Report returns what to tell the holder of the lease; nil for nothing. What it did not
-	// get before is told to a holder anew.
+	// Report returns the report for the lease holder; nil if there is nothing to report. A
+	// holder that did not receive earlier reports gets their content again.
 	Report(token uint64) *wire.PoisonReport
-	// Undelivered takes back a report that got no answer.
+	// Undelivered takes back a report that was not answered.
 	Undelivered(report *wire.PoisonReport)
 }
 
-// Observe is told what the holder knows of the fleet's nodes.
+// Observe is called with what the holder knows about the fleet's nodes.
 type Observe func(Observed)
 
-// NewSyncer returns a syncer for a service.
+// NewSyncer returns a Syncer for a service.
 func NewSyncer(service string, self wire.Member, spare float64, lessor *lease.Lessor, controller *Controller, client *peer.Client, book *demand.Book,
 	known *fleet.Fleet, limits Limits, crashes Crashes, stated Stated, observe Observe, log logr.Logger) *Syncer {
 	return &Syncer{
 		service: service, self: self, spare: spare, lessor: lessor, controller: controller, client: client, book: book, fleet: known,
-		limits: limits, crashes: crashes, stated: stated, observe: observe, log: log.WithValues("service", service), begun: make(chan struct{}, 1),
+		limits: limits, crashes: crashes, stated: stated, observe: observe, log: log.WithValues("service", service), waitBegan: make(chan struct{}, 1),
 	}
 }
 
-// Run watches and reports until ctx ends.
+// Run watches for changes and reports demand until ctx is done.
 func (s *Syncer) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { s.watch(ctx) })
@@ -118,7 +118,7 @@
 	loops.Wait()
 }
 
-// watch takes over changes as they come.
+// watch receives changes as they happen.
 func (s *Syncer) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := s.call(ctx, wire.SyncRequest{HoldMs: watchHold.Milliseconds()})
@@ -126,32 +126,31 @@
 		case err != nil:
 			wait.For(ctx, retryPause)
 		case !s.book.Waits(s.service):
-			// Nothing waits for news, so they are gathered.
-			s.rest(ctx)
+			// No request waits for changes, so they may be batched.
+			s.pauseUntilWaiting(ctx)
 		}
 	}
 }
 
-// rest pauses until a request begins to wait.
-func (s *Syncer) rest(ctx context.Context) {
-	timer := time.NewTimer(restingPause)
+// pauseUntilWaiting pauses until a request begins to wait, at most for idleWatchPause.
+func (s *Syncer) pauseUntilWaiting(ctx context.Context) {
+	timer := time.NewTimer(idleWatchPause)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-s.begun:
+	case <-s.waitBegan:
 	}
 }
 
 func (s *Syncer) wakeWatch() {
 	select {
-	case s.begun <- struct{}{}:
+	case s.waitBegan <- struct{}{}:
 	default:
 	}
 }
 
-// reportLoop reports the demand at intervals, and at once when a request begins
-// to wait.
+// reportLoop reports the demand periodically, and at once when a request begins to wait.
 func (s *Syncer) reportLoop(ctx context.Context) {
 	timer := time.NewTimer(reportInterval)
 	defer timer.Stop()
@@ -164,8 +163,8 @@
 		case <-urgent:
 			s.wakeWatch()
 		}
-		err := s.tell(ctx)
-		pause := reportEvery(s.nodes())
+		err := s.sendReport(ctx)
+		pause := reportPeriod(s.knownNodes())
 		if err != nil {
 			pause = retryPause
 		}
@@ -174,9 +173,10 @@
 	}
 }
 
-// tell makes one report, with what was asked of limits and the runners that ended.
-func (s *Syncer) tell(ctx context.Context) error {
-	request := s.report()
+// sendReport sends one report, including the demand on shared limits and the runners that
+// ended.
+func (s *Syncer) sendReport(ctx context.Context) error {
+	request := s.buildReport()
 	request.Limits = s.limits.Report()
 	request.Poison = s.crashes.Report(s.holderToken())
 	request.Leaving, request.Limited = s.stated.Own()
@@ -190,37 +190,37 @@
 	return err
 }
 
-// holderToken is the token of the holder that answered last.
+// holderToken returns the lease token of the holder that answered last.
 func (s *Syncer) holderToken() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.token
 }
 
-// holderName is the node that holds the lease, as far as this one knows.
+// holderName returns the node that holds the lease, as far as this node knows.
 func (s *Syncer) holderName() string {
 	record, _ := s.lessor.Holder()
 	return record.Holder
 }
 
-// nodesPerInterval is how many nodes may report to a holder within reportInterval:
-// some 400 reports a second of about 0.5 kB, a tenth of the smallest link seen.
+// nodesPerInterval is how many nodes may report to a holder within reportInterval: some 400
+// reports per second of about 0.5 kB, a tenth of the smallest link seen.
 const nodesPerInterval = 96
 
-// reportEvery is the time between two reports of a node: the more nodes there are,
-// the longer, so that the holder's work stays bounded.
-func reportEvery(nodes int) time.Duration {
+// reportPeriod returns the time between two reports of a node. It grows with the number of
+// nodes, so that the holder's work stays bounded.
+func reportPeriod(nodes int) time.Duration {
 	return reportInterval * time.Duration(max(1, nodes/nodesPerInterval))
 }
 
-func (s *Syncer) nodes() int {
+func (s *Syncer) knownNodes() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.nodeCount
 }
 
-// report sums up the node's demand.
-func (s *Syncer) report() wire.SyncRequest {
+// buildReport summarizes the node's demand.
+func (s *Syncer) buildReport() wire.SyncRequest {
 	request := wire.SyncRequest{Report: true, Suspects: s.fleet.TakeSuspects(s.service), Spare: s.spare}
 	now := time.Now()
 	for _, waiting := range s.book.Waiting() {
@@ -248,7 +248,7 @@
 	return request
 }
 
-// call makes one call to the holder, wherever it is, and takes over its answer.
+// call makes one call to the holder, local or remote, and applies its answer.
 func (s *Syncer) call(ctx context.Context, request wire.SyncRequest) error {
 	request.Service, request.Node, request.Partial = s.service, s.self.Node, !s.fleet.Whole()
 	if request.Report {
@@ -260,9 +260,9 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.HoldMs)*time.Millisecond+syncTimeout)
 	defer cancel()
 	sent := time.Now()
-	response, err := s.ask(ctx, request)
-	s.note(ctx, err)
-	s.noteOrders(response, err)
+	response, err := s.askHolder(ctx, request)
+	s.logHolderChange(ctx, err)
+	s.trackOrders(response, err)
 	if err != nil {
 		return err
 	}
@@ -274,11 +274,11 @@
 	if request.Report {
 		s.controller.LearnLoadEnds(response.LoadEnds)
 	}
-	s.take(response)
+	s.applyResponse(response)
 	return nil
 }
 
-func (s *Syncer) ask(ctx context.Context, request wire.SyncRequest) (wire.SyncResponse, error) {
+func (s *Syncer) askHolder(ctx context.Context, request wire.SyncRequest) (wire.SyncResponse, error) {
 	if s.lessor.Holds() {
 		return s.controller.Sync(ctx, request)
 	}
@@ -289,56 +289,56 @@
 	var response wire.SyncResponse
 	err := s.client.Call(ctx, record.Address, wire.MethodSync, request, &response)
 	if err == nil && response.Token == record.Token {
-		s.noteHeard(response)
+		s.applyHolderStatus(response)
 	}
 	return response, err
 }
 
-// noteOrders follows when somebody gives orders: the holder tells; without one it
-// takes the turn gap at least.
-func (s *Syncer) noteOrders(response wire.SyncResponse, err error) {
+// trackOrders keeps track of when orders can be sent. The holder states it; without a
+// holder, it takes at least the turn gap.
+func (s *Syncer) trackOrders(response wire.SyncResponse, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	switch {
 	case err == nil && response.Valid:
-		s.orderless = false
+		s.withoutOrders = false
 		s.fleet.HearLender(s.service)
 		s.fleet.SetOrdersIn(s.service, time.Duration(response.ActsInMs)*time.Millisecond)
-	case !s.orderless:
-		s.orderless = true
+	case !s.withoutOrders:
+		s.withoutOrders = true
 		s.fleet.SetOrdersIn(s.service, s.lessor.TurnGap())
 	}
 }
 
-// noteHeard takes over the holder's word of its lease.
-func (s *Syncer) noteHeard(response wire.SyncResponse) {
+// applyHolderStatus applies the holder's status of its lease.
+func (s *Syncer) applyHolderStatus(response wire.SyncResponse) {
 	s.mutex.Lock()
-	s.heard = time.Time{}
+	s.lastHeard = time.Time{}
 	if response.Valid {
-		s.heard = time.Now()
+		s.lastHeard = time.Now()
 	}
 	s.mutex.Unlock()
 	if response.LeaseRenewal > 0 {
-		s.lessor.Observe(lease.HolderStatus{
+		s.lessor.ApplyStatus(lease.HolderStatus{
 			Token: response.Token, Renewal: response.LeaseRenewal, Yielded: response.LeaseYielded,
 			Quiet: time.Duration(response.LeaseQuietMs) * time.Millisecond,
 		})
 	}
 }
 
-// holderHeard is how long an answer of the holder proves that it is there.
-const holderHeard = time.Second
+// holderFreshness is how long an answer counts as proof that the holder is alive.
+const holderFreshness = time.Second
 
-// Heard reports whether the holder of the newest record known answered lately,
-// with its lease valid.
+// Heard reports whether the holder named by the newest known record recently answered with
+// its lease valid.
 func (s *Syncer) Heard() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return !s.lost && time.Since(s.heard) < holderHeard
+	return !s.holderLost && time.Since(s.lastHeard) < holderFreshness
 }
 
-// take applies an answer unless a newer one was applied meanwhile.
-func (s *Syncer) take(response wire.SyncResponse) {
+// applyResponse applies an answer unless a newer one was applied in the meantime.
+func (s *Syncer) applyResponse(response wire.SyncResponse) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if response.Token < s.token || (response.Token == s.token && response.Version < s.version) {
@@ -364,13 +364,14 @@
 	return units
 }
 
-// longestNext bounds, in milliseconds, the word of when a permit can be lent.
-const longestNext = int64(coldstart.Longest / time.Millisecond)
+// maxNextMs limits the time, in milliseconds, until the next permit can be lent, as stated
+// by the holder.
+const maxNextMs = int64(coldstart.Longest / time.Millisecond)
 
 func permitsLent(lent []wire.PermitsLent) []fleet.PermitsLent {
 	permits := make([]fleet.PermitsLent, 0, len(lent))
 	for _, p := range lent {
-		next := time.Duration(min(max(p.NextMs, 0), longestNext)) * time.Millisecond
+		next := time.Duration(min(max(p.NextMs, 0), maxNextMs)) * time.Millisecond
 		permits = append(permits, fleet.PermitsLent{Runner: p.Runner, Count: p.Count, Next: next})
 	}
 	return permits
@@ -400,17 +401,17 @@
 	return view
 }
 
-// note logs the loss and the return of the holder once each.
-func (s *Syncer) note(ctx context.Context, err error) {
+// logHolderChange logs once when the holder is lost and once when it is back.
+func (s *Syncer) logHolderChange(ctx context.Context, err error) {
 	if ctx.Err() != nil && err == nil {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if (err != nil) == s.lost {
+	if (err != nil) == s.holderLost {
 		return
 	}
-	s.lost = err != nil
+	s.holderLost = err != nil
 	if err != nil {
 		s.log.Info("dependency lost", "dependency", "control holder", "error", err.Error())
 		return
--- a/internal/control/tick_bench_test.go
+++ b/internal/control/tick_bench_test.go
@@ -29,9 +29,9 @@
 func (noSleep) WakeAhead(*config.Model, float64, time.Time) bool { return false }
 func (noSleep) Observe(*config.Model, time.Time, time.Time)      {}
 
-// largeHolder is the holder of so many runners, which hold two models each of so many, and of
-// nodes that use some of them.
-func largeHolder(runners, models, nodes int) (*Controller, *config.Engine) {
+// newLargeHolder returns a holder of the given number of runners, each with two of the
+// given number of models, and of nodes that use some of them.
+func newLargeHolder(runners, models, nodes int) (*Controller, *config.Engine) {
 	engine := &config.Engine{Slots: 64, ModelMemory: 200_000, AdapterSlots: 8, LoadsPerSecond: 2800, Models: make(map[string]*config.Model)}
 	for i := range models {
 		name := fmt.Sprint("m", i)
@@ -54,7 +54,7 @@
 	c.token, c.version, c.ledgers, c.store = 1, 1, make(map[string]*orders.Ledger), weightstore.New(weightstore.Estimate{})
 	c.ends, c.limiter, c.storeLoads = orders.NewEnds(nil), rate.NewLimiter(100, loadBurst), make(map[string]storeLoad)
 	for i := range nodes {
-		c.demand.report(wire.SyncRequest{
+		c.demand.addReport(wire.SyncRequest{
 			Node: fmt.Sprint("n", i), Report: true,
 			Usage:   []wire.UnitUsage{{Model: fmt.Sprint("m", i%20), Requests: 1, Tokens: 3000}},
 			Running: []wire.RunnerUsage{{Runner: list[i%runners].ID, Models: map[string]int{fmt.Sprint("m", i%models): 1}}},
@@ -63,20 +63,20 @@
 	return c, engine
 }
 
-// BenchmarkRound: one round of a holder, in which nothing changed: the list taken over, the
-// accounts settled, a plan made.
+// BenchmarkRound measures one round of a holder in which nothing changed: it reads the
+// list, settles the ledgers and makes a plan.
 func BenchmarkRound(b *testing.B) {
 	for _, runners := range []int{1000, 9640, 20_000} {
 		b.Run(fmt.Sprint("runners-", runners), func(b *testing.B) {
-			c, engine := largeHolder(runners, 299, 985)
+			c, engine := newLargeHolder(runners, 299, 985)
 			b.ReportAllocs()
 			for b.Loop() {
 				now := time.Now()
-				c.takeRunners(engine, now)
+				c.updateRunners(engine, now)
 				for _, ledger := range c.ledgers {
 					ledger.Settle(now)
 				}
-				scheduler.MakePlan(c.state(engine, now))
+				scheduler.MakePlan(c.buildState(engine, now))
 			}
 		})
 	}
--- a/internal/control/zones_test.go
+++ b/internal/control/zones_test.go
@@ -13,7 +13,7 @@
 	"lilacvane/internal/place"
 )
 
-// zoneOut takes out one zone.
+// zoneOut takes one zone out.
 type zoneOut place.Zone
 
 func (zoneOut) Drained(_, _ string) bool { return false }
@@ -26,8 +26,9 @@
 	return ledger
 }
 
-// TestOrdersToZoneOut: loads of models and adapters are held back at the last moment, and
-// unloads are not. Reports are asked for only where replicas are bounded.
+// TestOrdersToZoneOut checks that loads of models and adapters to a zone that is out are
+// held back at the last moment, and unloads are not. Reports are requested only where
+// replicas are limited.
 func TestOrdersToZoneOut(t *testing.T) {
 	c := NewController(Options{Service: "s", Rules: zoneOut("a"), Log: logr.Discard()})
 	out, in := ledgerIn("a"), ledgerIn("b")
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -180,7 +180,7 @@
 			}
 		case "hear":
 			if len(w.statuses) > 0 {
-				w.nodes[index].Observe(w.statuses[rapid.IntRange(0, len(w.statuses)-1).Draw(t, "word")])
+				w.nodes[index].ApplyStatus(w.statuses[rapid.IntRange(0, len(w.statuses)-1).Draw(t, "word")])
 			}
 		case "release":
 			w.nodes[index].Release(context.Background())
@@ -232,7 +232,7 @@
 			holder.step(t.Context())
 		}
 		if status, ok := holder.Status(); ok {
-			next.Observe(status)
+			next.ApplyStatus(status)
 		}
 		if _, ok := holder.Act(); ok {
 			lastAct = w.now
--- a/internal/lease/status.go
+++ b/internal/lease/status.go
@@ -53,8 +53,8 @@
 // record's token. The caller holds mutex.
 func (l *Lessor) yielded() bool { return l.yieldedToken != 0 && l.yieldedToken == l.latest.Token }
 
-// Observe takes over a status received from a holder.
-func (l *Lessor) Observe(status HolderStatus) {
+// ApplyStatus takes over a status received from a holder.
+func (l *Lessor) ApplyStatus(status HolderStatus) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.options.Now()
