--- /dev/null
+++ b/internal/demand/tracker.go
@@ -0,0 +1,178 @@
+// Package demand tracks what the requests at this node need: which units they wait for, and
+// how much each unit is used.
+package demand
+
+import (
+	"sync"
+	"time"
+
+	"lilacvane/internal/backend"
+	"lilacvane/internal/place"
+)
+
+// Key identifies the requests for a unit of a service that have the same homes.
+type Key struct {
+	Service string
+	Unit    backend.Unit
+	// Homes are the only places where the requests may be served.
+	Homes place.Homes
+}
+
+// Waiting summarizes the requests that wait for a unit at this node.
+type Waiting struct {
+	Key
+	Count int
+	// Deadline is the earliest time by which one of them must have begun.
+	Deadline time.Time
+	// Priority is the most urgent priority among them.
+	Priority int
+}
+
+// Usage is how much a unit was used since usage was last taken.
+type Usage struct {
+	Key
+	Requests int
+	// Tokens is the number of prompt tokens to process.
+	Tokens int
+}
+
+// Tracker collects the demand of one node. Its methods may be called concurrently.
+type Book struct {
+	mutex   sync.Mutex
+	next    int
+	waiting map[Key]map[int]waitingRequest
+	usage   map[Key]*Usage
+	// urgent holds a channel for each service, signalled when requests begin to wait for one
+	// of its units.
+	urgent map[string]chan struct{}
+}
+
+type waitingRequest struct {
+	deadline time.Time
+	priority int
+}
+
+// NewTracker returns an empty tracker.
+func NewBook() *Book {
+	return &Book{waiting: make(map[Key]map[int]waitingRequest), usage: make(map[Key]*Usage), urgent: make(map[string]chan struct{})}
+}
+
+// Urgent returns the channel that is signalled when a request waits for a unit of the
+// service that no request waited for before. The channel supports a single reader.
+func (tr *Book) Urgent(service string) <-chan struct{} {
+	tr.mutex.Lock()
+	defer tr.mutex.Unlock()
+	return tr.urgentOf(service)
+}
+
+// urgentOf returns a service's channel. The caller holds mutex.
+func (tr *Book) urgentOf(service string) chan struct{} {
+	if tr.urgent[service] == nil {
+		tr.urgent[service] = make(chan struct{}, 1)
+	}
+	return tr.urgent[service]
+}
+
+// RequestReport signals a service's channel, so that its reader reports the demand at once.
+func (tr *Book) Nudge(service string) {
+	tr.mutex.Lock()
+	defer tr.mutex.Unlock()
+	tr.signal(service)
+}
+
+// AddWaiting records that a request waits for a unit until deadline. The returned function
+// removes the request again.
+func (tr *Book) Wait(key Key, deadline time.Time, priority int) (end func()) {
+	tr.mutex.Lock()
+	defer tr.mutex.Unlock()
+	tr.next++
+	id := tr.next
+	if tr.waiting[key] == nil {
+		tr.waiting[key] = make(map[int]waitingRequest)
+		tr.signal(key.Service)
+	}
+	tr.waiting[key][id] = waitingRequest{deadline: deadline, priority: priority}
+	return func() { tr.end(key, id) }
+}
+
+func (tr *Book) end(key Key, id int) {
+	tr.mutex.Lock()
+	defer tr.mutex.Unlock()
+	delete(tr.waiting[key], id)
+	if len(tr.waiting[key]) == 0 {
+		delete(tr.waiting, key)
+	}
+}
+
+// signal notifies a service's reader. The caller holds mutex.
+func (tr *Book) signal(service string) {
+	select {
+	case tr.urgentOf(service) <- struct{}{}:
+	default:
+	}
+}
+
+// Use records a request for a unit and the number of tokens in its prompt.
+func (tr *Book) Use(key Key, tokens int) {
+	tr.mutex.Lock()
+	defer tr.mutex.Unlock()
+	usage := tr.usage[key]
+	if usage == nil {
+		usage = &Usage{Key: key}
+		tr.usage[key] = usage
+	}
+	usage.Requests++
+	usage.Tokens += tokens
+}
+
+// Waits reports whether any request waits at a service.
+func (tr *Book) Waits(service string) bool {
+	tr.mutex.Lock()
+	defer tr.mutex.Unlock()
+	for key := range tr.waiting {
+		if key.Service == service {
+			return true
+		}
+	}
+	return false
+}
+
+// Waiting returns what requests wait for now.
+func (tr *Book) Waiting() []Waiting {
+	tr.mutex.Lock()
+	defer tr.mutex.Unlock()
+	list := make([]Waiting, 0, len(tr.waiting))
+	for key, requests := range tr.waiting {
+		list = append(list, summarize(key, requests))
+	}
+	return list
+}
+
+func summarize(key Key, requests map[int]waitingRequest) Waiting {
+	summary := Waiting{Key: key, Count: len(requests)}
+	first := true
+	for _, w := range requests {
+		if first || w.deadline.Before(summary.Deadline) {
+			summary.Deadline = w.deadline
+		}
+		if first || w.priority < summary.Priority {
+			summary.Priority = w.priority
+		}
+		first = false
+	}
+	return summary
+}
+
+// TakeUsage returns a service's usage since the last call.
+func (tr *Book) TakeUsage(service string) []Usage {
+	tr.mutex.Lock()
+	defer tr.mutex.Unlock()
+	var list []Usage
+	for key, usage := range tr.usage {
+		if key.Service == service {
+			list = append(list, *usage)
+			delete(tr.usage, key)
+		}
+	}
+	return list
+}
