--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -1,5 +1,5 @@
-// Package decision keeps a bounded log of what a node decided and why, from
-// which operators' questions are answered.
+// Package decision keeps a bounded log of a node's decisions and their reasons, from which
+// operators' questions are answered.
 package decision
 
 import (
@@ -9,7 +9,7 @@
 	"lilacvane/internal/wire"
 )
 
-// Log is a ring of decisions. It is safe for concurrent use.
+// Log is a ring buffer of decisions. It is safe for concurrent use.
 type Log struct {
 	mutex   sync.Mutex
 	node    string
@@ -17,13 +17,14 @@
 	next    int
 }
 
-// NewLog returns a log of the newest capacity decisions of a node.
+// NewLog returns a log that keeps a node's newest decisions, as many as capacity says.
 func NewLog(node string, capacity int) *Log {
 	return &Log{node: node, entries: make([]wire.Decision, 0, capacity)}
 }
 
-// Add records a decision; its time and node are set here. Its subject is model/NAME,
-// replica/RUNNER, zone/NAME or request/ID, its revision the configuration it was based on.
+// Add records a decision and sets its time and node. The subject is model/NAME,
+// replica/RUNNER, zone/NAME or request/ID; the revision is that of the configuration on
+// which the decision was based.
 func (l *Log) Add(entry wire.Decision) {
 	entry.Time, entry.Node = time.Now().UTC(), l.node
 	l.mutex.Lock()
