--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,6 @@
-// Package clock reads the clock that goes on while the machine is suspended. The steady clock
-// of time.Now stands still then, so that what a lease, or news, are by it may long be over.
+// Package clock reads a monotonic clock that keeps running while the machine is suspended.
+// The monotonic clock of time.Now stops during a suspension, so by that clock a lease or a
+// received update could seem current long after it has expired.
 package clock
 
 import (
@@ -8,36 +9,38 @@
 	"golang.org/x/sys/unix"
 )
 
-// began is when the process began to read a clock, on the steady clock that stands still.
-var began = time.Now()
+// processStart is when the process first read a clock, on the clock that stops during
+// suspensions.
+var processStart = time.Now()
 
-// counts tells whether the machine has the clock; without it suspensions are not seen.
-var counts = supported()
+// hasBootTime reports whether the machine provides the clock; without it, suspensions go
+// unnoticed.
+var hasBootTime = bootTimeSupported()
 
-func supported() bool {
+func bootTimeSupported() bool {
 	var now unix.Timespec
 	return unix.ClockGettime(unix.CLOCK_BOOTTIME, &now) == nil
 }
 
-// CountsSuspensions reports whether Now goes on while the machine is suspended.
-func CountsSuspensions() bool { return counts }
+// CountsSuspensions reports whether Now keeps running while the machine is suspended.
+func CountsSuspensions() bool { return hasBootTime }
 
-// Now returns the time since the machine started as a time of its own, to be compared with
-// others of this function only. It costs a system call, 0.3 us on an Intel Xeon against 0.07
-// of time.Now: it is for what must not outlive a suspension.
+// Now returns the time since the machine started. The result may be compared only with
+// other results of this function. A call costs a system call: 0.3 us on an Intel Xeon,
+// against 0.07 us for time.Now. Use it for what must not outlive a suspension.
 func Now() time.Time {
 	var now unix.Timespec
-	if !counts || unix.ClockGettime(unix.CLOCK_BOOTTIME, &now) != nil {
-		return time.Unix(0, int64(time.Since(began)))
+	if !hasBootTime || unix.ClockGettime(unix.CLOCK_BOOTTIME, &now) != nil {
+		return time.Unix(0, int64(time.Since(processStart)))
 	}
 	return time.Unix(now.Unix())
 }
 
-// Suspended returns how long the machine was suspended since the process began, as far as
-// both clocks tell: by some microseconds more or less.
+// Suspended returns how long the machine was suspended since the process began. Reading two
+// clocks makes it inexact by a few microseconds.
 func Suspended() time.Duration {
-	return Now().Sub(first) - time.Since(began)
+	return Now().Sub(bootTimeAtStart) - time.Since(processStart)
 }
 
-// first is began on the clock that goes on.
-var first = Now()
+// bootTimeAtStart is processStart on the clock that keeps running.
+var bootTimeAtStart = Now()
