--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait pauses a goroutine without holding up its end.
+// Package wait provides a pause that ends early when a context is done.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For returns after d, or as soon as ctx ends.
+// For returns after d, or as soon as ctx is done.
 func For(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
