--- a/internal/scheduler/adapters.go
+++ b/internal/scheduler/adapters.go
@@ -10,18 +10,18 @@
 	"lilacvane/internal/place"
 )
 
-// planAdapters loads the adapters that requests wait for at runners that hold
-// their model.
+// planAdapters places the adapters that requests wait for on runners that already hold their
+// model.
 func (p *planner) planAdapters() {
 	for _, want := range p.waitingAdapters() {
-		if !p.loadsWithin(want) {
+		if !p.plannedInHomes(want) {
 			p.placeAdapter(want)
 		}
 	}
 }
 
-// waitingAdapters lists the adapters that requests wait for and that no runner in their
-// homes holds or loads, the most urgent first.
+// waitingAdapters returns the adapters that have waiting requests and that no runner in the
+// requests' homes holds or loads, the most urgent first.
 func (p *planner) waitingAdapters() []Want {
 	var wants []Want
 	demands := make(map[Want]*Demand)
@@ -31,7 +31,7 @@
 		}
 		for _, part := range p.parts(unit) {
 			want := Want{Unit: unit, Homes: part.Homes}
-			if part.waits() && !p.adapterWithin(want) {
+			if part.hasWaiting() && !p.adapterInHomes(want) {
 				wants = append(wants, want)
 				demands[want] = part.Demand
 			}
@@ -45,7 +45,7 @@
 	return wants
 }
 
-// compareHomes puts what has homes before what has none.
+// compareHomes orders bound homes before unbound ones.
 func compareHomes(a, b place.Homes) int {
 	if a.Bound() != b.Bound() {
 		if a.Bound() {
@@ -56,8 +56,8 @@
 	return cmp.Compare(a.String(), b.String())
 }
 
-// adapterWithin reports whether a runner in the homes holds or loads the adapter.
-func (p *planner) adapterWithin(want Want) bool {
+// adapterInHomes reports whether a runner in the homes holds or is loading the adapter.
+func (p *planner) adapterInHomes(want Want) bool {
 	unit := want.Unit
 	for _, runner := range p.holding[unit.Model] {
 		if !want.Homes.Allows(runner.Region) {
@@ -74,12 +74,13 @@
 	return false
 }
 
-// loadsWithin reports whether the plan loads the adapter at a runner in the homes already.
-func (p *planner) loadsWithin(want Want) bool {
+// plannedInHomes reports whether the plan already loads the adapter on a runner in the homes.
+func (p *planner) plannedInHomes(want Want) bool {
 	return slices.ContainsFunc(p.loading[want.Unit], want.Homes.Allows)
 }
 
-// placeAdapter chooses the runner with the most free places and the least work.
+// placeAdapter loads an adapter on the runner with the lowest cost: many free adapter slots
+// and few active requests.
 func (p *planner) placeAdapter(want Want) {
 	unit := want.Unit
 	best, bestCost := (*Runner)(nil), 0.0
@@ -95,7 +96,7 @@
 	if best == nil {
 		return
 	}
-	p.taken[best.ID] = true
+	p.reserved[best.ID] = true
 	p.loading[unit] = append(p.loading[unit], best.Region)
 	if victim := p.adapterVictim(best, unit); best.AdapterSlots <= 0 {
 		p.plan.Steps = append(p.plan.Steps, Step{Runner: best.ID, Action: backend.Unload, Unit: victim, Reason: "room for " + unit.String()})
@@ -103,27 +104,28 @@
 	p.plan.Steps = append(p.plan.Steps, Step{Runner: best.ID, Action: backend.Load, Unit: unit, Reason: "waiting"})
 }
 
-// evictAdapterCost is the cost of unloading another adapter first, in requests
-// under way.
+// evictAdapterCost is the cost of having to unload another adapter first, expressed as a
+// number of active requests.
 const evictAdapterCost = 4.0
 
-// farAdapterCost is the price of a place in another region than all that wait, in requests
-// under way: the way there is as long as a runner takes for some of them.
-const farAdapterCost = 2.0
+// remoteAdapterCost is the cost of placing an adapter in a different region from every waiting
+// request, expressed as a number of active requests: the network path takes as long as a
+// runner needs for about that many.
+const remoteAdapterCost = 2.0
 
 func (p *planner) adapterCost(runner *Runner, unit backend.Unit) (float64, bool) {
 	held := runner.Models[unit.Model]
 	if held != nil && held.Adapters[unit.Adapter] != nil {
-		// It is still being unloaded there.
+		// The adapter is still being unloaded from this runner.
 		return 0, false
 	}
-	if !runner.Ready || runner.Drained || runner.Out || p.taken[runner.ID] || held == nil || held.Coming || held.Leaving || held.Uncertain {
+	if !runner.Ready || runner.Drained || runner.Out || p.reserved[runner.ID] || held == nil || held.Coming || held.Leaving || held.Uncertain {
 		return 0, false
 	}
 	if runner.Free < p.state.Engine.Models[unit.Model].AdapterSize {
 		return 0, false
 	}
-	cost := float64(runner.Active) - 0.5*float64(runner.AdapterSlots) + farAdapterCost*p.state.Demand[unit].far(runner)
+	cost := float64(runner.Active) - 0.5*float64(runner.AdapterSlots) + remoteAdapterCost*p.state.Demand[unit].remoteFraction(runner)
 	if runner.AdapterSlots <= 0 {
 		if p.adapterVictim(runner, unit) == (backend.Unit{}) {
 			return 0, false
@@ -133,8 +135,8 @@
 	return cost, true
 }
 
-// adapterVictim returns the adapter of a runner that was used the longest ago and
-// that no request uses.
+// adapterVictim returns the least recently used adapter of a runner that has neither active
+// nor waiting requests.
 func (p *planner) adapterVictim(runner *Runner, wanted backend.Unit) backend.Unit {
 	var victim backend.Unit
 	var oldest time.Time
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -10,11 +10,11 @@
 const (
 	benchmarkModels   = 93
 	benchmarkAdapters = 11_000
-	// benchmarkWaiting is one in how many adapters somebody waits for.
+	// One in benchmarkWaiting adapters has a waiting request.
 	benchmarkWaiting = 200
 )
 
-// BenchmarkPlan makes plans for the target's models and adapters and a growing
+// BenchmarkPlan measures planning for the target number of models and adapters with a growing
 // number of runners, each of which holds two models and two adapters.
 func BenchmarkPlan(b *testing.B) {
 	for _, runners := range []int{100, 300, 1000, 3000, 10_000} {
@@ -60,8 +60,8 @@
 
 func adapterName(index int) string { return fmt.Sprintf("a%d", index%benchmarkAdapters) }
 
-// BenchmarkPlanOfWaitingModels: a plan for 299 models, of which 30 that nobody holds are waited
-// for, at runners that are full.
+// BenchmarkPlanOfWaitingModels measures planning for 299 models on full runners, where 30
+// models that no runner holds have waiting requests.
 func BenchmarkPlanOfWaitingModels(b *testing.B) {
 	for _, runners := range []int{1000, 9640, 20_000} {
 		b.Run(fmt.Sprintf("runners-%d", runners), func(b *testing.B) {
@@ -74,8 +74,8 @@
 	}
 }
 
-// fullState is a state of runners that hold two models each and have no room for a third. The
-// last of the models are held by nobody and waited for.
+// fullState returns a state in which each runner holds two models and has no memory for a
+// third. The last waiting models are on no runner and have waiting requests.
 func fullState(runners, models, waiting int) *State {
 	state := testState(runners, models)
 	held := models - waiting
@@ -87,7 +87,7 @@
 		}
 	}
 	for index := range waiting {
-		waits(state, backend.Unit{Model: fmt.Sprintf("m%d", held+index)})
+		addWaiting(state, backend.Unit{Model: fmt.Sprintf("m%d", held+index)})
 	}
 	return state
 }
--- a/internal/scheduler/evict.go
+++ b/internal/scheduler/evict.go
@@ -6,29 +6,31 @@
 	"slices"
 )
 
-// A plan asks each runner, for each model that lacks a replica, what it would cost to make room
-// there. The answer depends on the models that the runner holds alone, so it is kept until the
-// plan changes the count of one of them.
+// For each model that lacks a replica, a plan computes the cost of freeing memory on every
+// runner. The result depends only on the replica counts of the models that the runner holds,
+// so it is cached until the plan changes one of those counts.
 
 // victim is a model that may be unloaded from a runner.
 type victim struct {
-	model string
-	size  float64
-	loss  float64
+	model      string
+	size       float64
+	unloadCost float64
 }
 
-// evictions are the models of a runner that may be unloaded, least loss first, as of the
-// counts of its models.
+// evictions caches the models that may be unloaded from a runner, cheapest first, for the
+// current replica counts.
 type evictions struct {
-	// versions are those of its models' counts, counted their sum when victims was found: it
-	// is the same only while all are.
-	versions []*int
-	counted  int
-	victims  []victim
+	// versions point to the count versions of the runner's models. versionSum is their sum
+	// when victims was computed. Versions only increase, so an equal sum means that none has
+	// changed.
+	versions   []*int
+	versionSum int
+	victims    []victim
 }
 
-// isCurrent reports whether no count of the runner's models changed.
-func (e *evictions) isCurrent() bool { return e.sum() == e.counted }
+// isCurrent reports whether the counts of the runner's models are unchanged since victims was
+// computed.
+func (e *evictions) isCurrent() bool { return e.sum() == e.versionSum }
 
 func (e *evictions) sum() int {
 	sum := 0
@@ -38,7 +40,7 @@
 	return sum
 }
 
-// version is that of a model's counts.
+// version returns a pointer to the version of a model's replica counts.
 func (p *planner) version(model string) *int {
 	version := p.versions[model]
 	if version == nil {
@@ -48,19 +50,19 @@
 	return version
 }
 
-// countCopy counts a copy of a model at a runner, or takes one away.
+// countCopy adds a change to the number of copies of a model, on a runner.
 func (p *planner) countCopy(runner *Runner, model string, by int) {
 	p.copies.add(runner, model, by)
 	*p.version(model)++
 }
 
-// countReady does the same with a runner that serves the model.
+// countReady adds a change to the number of ready replicas of a model, on a runner.
 func (p *planner) countReady(runner *Runner, model string, by int) {
 	p.ready.add(runner, model, by)
 	*p.version(model)++
 }
 
-// victims lists the models of a runner that may be unloaded, least loss first.
+// victims returns the models that may be unloaded from a runner, cheapest first.
 func (p *planner) victims(runner *Runner) []victim {
 	known := p.evictions[runner]
 	if known == nil {
@@ -72,25 +74,25 @@
 	} else if known.isCurrent() {
 		return known.victims
 	}
-	known.counted, known.victims = known.sum(), p.findVictims(runner)
+	known.versionSum, known.victims = known.sum(), p.findVictims(runner)
 	return known.victims
 }
 
-// findVictims looks at each model of a runner.
+// findVictims computes victims without the cache.
 func (p *planner) findVictims(runner *Runner) []victim {
 	var victims []victim
 	for _, name := range slices.Sorted(maps.Keys(runner.Models)) {
 		held, weights := runner.Models[name], p.state.Engine.Models[name]
-		if p.copies.total[name] <= p.state.Floors[name] || held.Coming || held.Leaving || held.Uncertain || weights == nil || p.needed(runner, name) {
+		if p.copies.total[name] <= p.state.Floors[name] || held.Coming || held.Leaving || held.Uncertain || weights == nil || p.isOnlyReady(runner, name) {
 			continue
 		}
-		victims = append(victims, victim{model: name, size: weights.Size, loss: p.loss(runner, name)})
+		victims = append(victims, victim{model: name, size: weights.Size, unloadCost: p.unloadCost(runner, name)})
 	}
-	slices.SortStableFunc(victims, func(a, b victim) int { return cmp.Compare(a.loss, b.loss) })
+	slices.SortStableFunc(victims, func(a, b victim) int { return cmp.Compare(a.unloadCost, b.unloadCost) })
 	return victims
 }
 
-// nextVictim is the model that is unloaded first; empty for none.
+// nextVictim returns the model to unload first, or "" if there is none.
 func (p *planner) nextVictim(runner *Runner) string {
 	victims := p.victims(runner)
 	if len(victims) == 0 {
--- a/internal/scheduler/homes.go
+++ b/internal/scheduler/homes.go
@@ -7,11 +7,11 @@
 	"lilacvane/internal/place"
 )
 
-// Requests with homes are served by replicas there alone, so what they ask for is a need
-// of its own: it counts the replicas in the homes, and is placed there. Requests
-// without homes are served by all replicas.
+// Requests with homes can only be served by replicas in those regions. Their demand is
+// therefore a separate need that counts and places replicas only there. Requests without homes
+// can be served by any replica.
 
-// replicas counts the replicas of models, in all and by region.
+// replicas counts the replicas of models, in total and by region.
 type replicas struct {
 	total  map[string]int
 	within map[regionModel]int
@@ -26,14 +26,14 @@
 	return replicas{total: make(map[string]int), within: make(map[regionModel]int)}
 }
 
-// add counts replicas of a model at a runner.
+// add adds count to the replicas of a model, on a runner.
 func (r replicas) add(runner *Runner, model string, count int) {
 	r.total[model] += count
 	r.within[regionModel{model: model, region: runner.Region}] += count
 }
 
-// of returns how many replicas of a model there are in homes.
-func (r replicas) of(model string, homes place.Homes) int {
+// in returns the number of replicas of a model in the given homes.
+func (r replicas) in(model string, homes place.Homes) int {
 	if !homes.Bound() {
 		return r.total[model]
 	}
@@ -44,34 +44,35 @@
 	return count
 }
 
-// parts returns a unit's demand by homes. The part without homes is always there and the
-// last; what it holds is nil when nobody asks without homes.
+// parts returns a unit's demand by homes. The part without homes is always present and always
+// last. Its Demand is nil if no requests come without homes.
 func (p *planner) parts(unit backend.Unit) []Part {
 	parts, divided := p.state.Parts[unit]
 	if !divided {
 		return []Part{{Demand: p.state.Demand[unit]}}
 	}
 	bound := slices.DeleteFunc(slices.Clone(parts), func(part Part) bool { return !part.Homes.Bound() })
-	return append(bound, p.anywhere(unit, bound, parts))
+	return append(bound, p.unboundPart(unit, bound, parts))
 }
 
-// anywhere returns the part of a unit's demand without homes. The work of requests with
-// homes takes of the replicas that serve these, so as much of it as they bear counts too:
-// what they do not bear is of no use anywhere else.
-func (p *planner) anywhere(unit backend.Unit, bound, parts []Part) Part {
+// unboundPart returns the part of a unit's demand without homes. Requests with homes also use
+// up capacity of the replicas that serve them, so their work is added, up to what those
+// replicas can take. Work beyond that could not run on any other replica.
+func (p *planner) unboundPart(unit backend.Unit, bound, parts []Part) Part {
 	at := slices.IndexFunc(parts, func(part Part) bool { return !part.Homes.Bound() })
 	if at < 0 {
 		return Part{}
 	}
 	demand := *parts[at].Demand
 	for _, part := range bound {
-		demand.Work += min(part.Work, targetWork*float64(p.copies.of(unit.Model, part.Homes)))
+		demand.Work += min(part.Work, targetWork*float64(p.copies.in(unit.Model, part.Homes)))
 	}
 	return Part{Demand: &demand}
 }
 
-// far is the part of what waits whose nodes are known to lie in other regions than a runner.
-func (d *Demand) far(runner *Runner) float64 {
+// remoteFraction is the fraction of waiting requests whose nodes are known to be in a
+// different region from the runner.
+func (d *Demand) remoteFraction(runner *Runner) float64 {
 	if runner.Region == "" || d.Waiting == 0 {
 		return 0
 	}
@@ -84,5 +85,5 @@
 	return float64(elsewhere) / float64(d.Waiting)
 }
 
-// waits reports whether requests of the part wait.
-func (p Part) waits() bool { return p.Demand != nil && p.Waiting > 0 }
+// hasWaiting reports whether requests of the part are waiting.
+func (p Part) hasWaiting() bool { return p.Demand != nil && p.Waiting > 0 }
--- a/internal/scheduler/homes_test.go
+++ b/internal/scheduler/homes_test.go
@@ -17,7 +17,7 @@
 	inSouth = place.NewHomes([]place.Region{"south"})
 )
 
-// regionState is a state whose first half of the runners is in the north, the rest in the
+// regionState returns a state with the first half of the runners in north and the rest in
 // south.
 func regionState(runners, models int) *State {
 	state := testState(runners, models)
@@ -31,8 +31,8 @@
 	return state
 }
 
-// waitsIn lets requests with homes wait, and others without homes, for a unit.
-func waitsIn(state *State, unit backend.Unit, homes place.Homes, bound, free int) {
+// addWaitingIn adds bound waiting requests with homes, and free ones without, for a unit.
+func addWaitingIn(state *State, unit backend.Unit, homes place.Homes, bound, free int) {
 	units := []backend.Unit{unit}
 	if unit.Adapter != "" {
 		units = append(units, backend.Unit{Model: unit.Model})
@@ -46,55 +46,55 @@
 	}
 }
 
-// TestReplicaElsewhereDoesNotServe: what waits with homes gets a replica in them though
-// one is held elsewhere, and where the weights are farther.
+// TestReplicaElsewhereDoesNotServe checks that waiting requests with homes get a replica there
+// even if a runner elsewhere holds the model or has a nearer copy of the weights.
 func TestReplicaElsewhereDoesNotServe(t *testing.T) {
 	state := regionState(4, 1)
 	state.Runners[0].hold("m0")
 	state.Runners[1].Host["m0"] = true
-	waitsIn(state, backend.Unit{Model: "m0"}, inSouth, 1, 0)
+	addWaitingIn(state, backend.Unit{Model: "m0"}, inSouth, 1, 0)
 	plan := MakePlan(state)
 	assert.Equal(t, len(plan.Steps), 1)
 	assert.Equal(t, plan.Steps[0].Runner, "r2")
 	_, told := plan.Ready[Want{Unit: backend.Unit{Model: "m0"}, Homes: inSouth}]
 	assert.Assert(t, told)
-	waitsIn(state, backend.Unit{Model: "m0"}, inNorth, 1, 0)
+	addWaitingIn(state, backend.Unit{Model: "m0"}, inNorth, 1, 0)
 	assert.Equal(t, len(MakePlan(state).Steps), 0)
 }
 
-// TestOneLoadServesHomesAndOthers: requests without homes take what is loaded for those
-// with homes.
+// TestOneLoadServesHomesAndOthers checks that a load for requests with homes also serves
+// requests without homes.
 func TestOneLoadServesHomesAndOthers(t *testing.T) {
 	state := regionState(4, 1)
 	state.Runners[0].Host["m0"] = true
-	waitsIn(state, backend.Unit{Model: "m0"}, inSouth, 1, 5)
+	addWaitingIn(state, backend.Unit{Model: "m0"}, inSouth, 1, 5)
 	plan := MakePlan(state)
 	assert.Equal(t, len(plan.Steps), 1)
 	assert.Equal(t, plan.Steps[0].Runner, "r2")
 }
 
-// TestNoRoomInHomes: where no runner in the homes has room, nothing is loaded elsewhere for
-// what waits with homes; requests without homes are served.
-func TestNoRoomInHomes(t *testing.T) {
+// TestNoMemoryInHomes checks that requests with homes cause no load elsewhere when no runner
+// in their homes has room, while requests without homes are still served.
+func TestNoMemoryInHomes(t *testing.T) {
 	state := regionState(4, 1)
 	state.Runners[2].Drained, state.Runners[3].Silent = true, true
-	waitsIn(state, backend.Unit{Model: "m0"}, inSouth, 3, 0)
+	addWaitingIn(state, backend.Unit{Model: "m0"}, inSouth, 3, 0)
 	assert.Equal(t, len(MakePlan(state).Steps), 0)
-	waitsIn(state, backend.Unit{Model: "m0"}, inSouth, 3, 1)
+	addWaitingIn(state, backend.Unit{Model: "m0"}, inSouth, 3, 1)
 	plan := MakePlan(state)
 	assert.Equal(t, len(plan.Steps), 1)
 	assert.Equal(t, plan.Steps[0].Runner, "r0")
 }
 
-// TestHomesNobodyHas: homes in regions without runners ask for nothing.
-func TestHomesNobodyHas(t *testing.T) {
+// TestHomesWithoutRunners checks that homes in regions without runners cause no load.
+func TestHomesWithoutRunners(t *testing.T) {
 	state := regionState(4, 1)
-	waitsIn(state, backend.Unit{Model: "m0"}, place.NewHomes([]place.Region{"west"}), 3, 0)
+	addWaitingIn(state, backend.Unit{Model: "m0"}, place.NewHomes([]place.Region{"west"}), 3, 0)
 	assert.Equal(t, len(MakePlan(state).Steps), 0)
 }
 
-// TestWorkOfHomesGetsReplicasThere: busy requests with homes get another replica in them,
-// and no more than these bear anywhere else.
+// TestWorkOfHomesGetsReplicasThere checks that a high load of requests with homes adds a
+// replica there, and that load beyond the capacity of the homes adds none elsewhere.
 func TestWorkOfHomesGetsReplicasThere(t *testing.T) {
 	state := regionState(8, 1)
 	state.Runners[4].hold("m0")
@@ -110,8 +110,8 @@
 	assert.Equal(t, len(MakePlan(state).Steps), 0)
 }
 
-// TestLastReplicaInHomesStays: room is made where a replica is one of several in the
-// homes, not where it is the only one there.
+// TestLastReplicaInHomesStays checks that a replica is cheap to evict if it is one of several
+// for its homes, and expensive if it is the only one there.
 func TestLastReplicaInHomesStays(t *testing.T) {
 	state := regionState(2, 4)
 	unit := backend.Unit{Model: "m0"}
@@ -123,23 +123,23 @@
 	state.Parts[unit] = []Part{{Homes: inSouth, Demand: &Demand{Rate: 3, Work: 0.3, LastUse: testNow}}, {Demand: &Demand{}}}
 	state.Demand[backend.Unit{Model: "m1"}] = &Demand{Rate: 2, Work: 0.2, LastUse: testNow}
 	state.Runners[0].Idle = false
-	waits(state, backend.Unit{Model: "m2"})
+	addWaiting(state, backend.Unit{Model: "m2"})
 	p := newPlanner(state)
-	assert.Assert(t, p.loss(state.Runners[1], "m0") > p.loss(state.Runners[1], "m1"), "the only replica in the homes")
-	assert.Assert(t, p.loss(state.Runners[0], "m0") < p.loss(state.Runners[0], "m1"), "a replica outside the homes")
+	assert.Assert(t, p.unloadCost(state.Runners[1], "m0") > p.unloadCost(state.Runners[1], "m1"), "the only replica in the homes")
+	assert.Assert(t, p.unloadCost(state.Runners[0], "m0") < p.unloadCost(state.Runners[0], "m1"), "a replica outside the homes")
 }
 
-// TestAdapterIsLoadedInHomes: an adapter held elsewhere does not serve; it is loaded at a
-// runner in the homes that holds its model, and only there.
+// TestAdapterIsLoadedInHomes checks that an adapter held elsewhere does not serve requests
+// with homes: it is loaded on a runner in the homes that holds its model.
 func TestAdapterIsLoadedInHomes(t *testing.T) {
 	state := regionState(4, 1)
 	adapter := backend.Unit{Model: "m0", Adapter: "a"}
 	state.Runners[0].hold("m0").Adapters["a"] = &Adapter{}
 	state.Runners[1].hold("m0")
-	waitsIn(state, adapter, inSouth, 1, 1)
+	addWaitingIn(state, adapter, inSouth, 1, 1)
 	plan := MakePlan(state)
 	assert.Equal(t, len(plan.Steps), 1)
-	assert.Equal(t, plan.Steps[0].Unit, backend.Unit{Model: "m0"}, "the model first")
+	assert.Equal(t, plan.Steps[0].Unit, backend.Unit{Model: "m0"}, "the model must be loaded before its adapter")
 	assert.Equal(t, plan.Steps[0].Runner, "r2")
 	state.Runners[3].hold("m0")
 	plan = MakePlan(state)
@@ -148,8 +148,8 @@
 	assert.Equal(t, plan.Steps[0].Runner, "r3")
 }
 
-// TestPlansStayInHomes: whatever the state, a load of something that is asked for with
-// homes alone is at a runner in them.
+// TestPlansStayInHomes checks with random states that units requested only with homes are
+// loaded only on runners in those homes.
 func TestPlansStayInHomes(t *testing.T) {
 	regions := []place.Region{"north", "south", ""}
 	rapid.Check(t, func(t *rapid.T) {
@@ -169,7 +169,7 @@
 				unit.Adapter = "a"
 			}
 			bound := rapid.SampledFrom([]place.Homes{inNorth, inSouth, place.NewHomes([]place.Region{"north", "south"})}).Draw(t, "homes")
-			waitsIn(state, unit, bound, rapid.IntRange(0, 3).Draw(t, "waiting"), 0)
+			addWaitingIn(state, unit, bound, rapid.IntRange(0, 3).Draw(t, "waiting"), 0)
 			work := rapid.Float64Range(0, 3).Draw(t, "work")
 			for _, u := range []backend.Unit{unit, {Model: unit.Model}} {
 				homes[u] = bound
@@ -191,11 +191,12 @@
 	})
 }
 
-// TestModelIsLoadedWhereItIsWaitedFor: among like places one in the region of the nodes
-// whose requests wait goes first, but not before a copy that is nearer to a runner.
-func TestModelIsLoadedWhereItIsWaitedFor(t *testing.T) {
+// TestModelIsLoadedInRegionOfWaitingRequests checks that among runners of equal cost one in
+// the region of the waiting requests is chosen, but not over a runner with a nearer copy of
+// the weights.
+func TestModelIsLoadedInRegionOfWaitingRequests(t *testing.T) {
 	state := regionState(4, 1)
-	waits(state, backend.Unit{Model: "m0"})
+	addWaiting(state, backend.Unit{Model: "m0"})
 	demand := state.Demand[backend.Unit{Model: "m0"}]
 	demand.Waiting, demand.From = 3, map[place.Region]int{"south": 2, "north": 1}
 	assert.Equal(t, MakePlan(state).Steps[0].Runner, "r2")
@@ -205,11 +206,11 @@
 	assert.Equal(t, MakePlan(state).Steps[0].Runner, "r1")
 }
 
-// TestAdapterIsLoadedWhereItIsWaitedFor is the same for adapters.
-func TestAdapterIsLoadedWhereItIsWaitedFor(t *testing.T) {
+// TestAdapterIsLoadedInRegionOfWaitingRequests checks the same for adapters.
+func TestAdapterIsLoadedInRegionOfWaitingRequests(t *testing.T) {
 	state := regionState(4, 1)
 	adapter := backend.Unit{Model: "m0", Adapter: "a"}
-	waits(state, adapter)
+	addWaiting(state, adapter)
 	state.Demand[adapter].From = map[place.Region]int{"south": 1}
 	state.Runners[0].hold("m0")
 	state.Runners[3].hold("m0").Active = 1
@@ -219,17 +220,17 @@
 	assert.Equal(t, MakePlan(state).Steps[0].Runner, "r0")
 }
 
-// TestZoneOutElsewhereMovesNothingIntoHomes: a model that is served only outside the homes
-// was never brought up in them, so a zone that is out there is no reason to load it in them.
-func TestZoneOutElsewhereMovesNothingIntoHomes(t *testing.T) {
+// TestZoneOutElsewhereCausesNoLoadInHomes checks that a model served only outside the homes is
+// not loaded in them because a zone elsewhere is out: it was never loaded in the homes.
+func TestZoneOutElsewhereCausesNoLoadInHomes(t *testing.T) {
 	state := regionState(4, 1)
 	state.Runners[0].Out = true
 	state.Runners[0].hold("m0")
 	unit := backend.Unit{Model: "m0"}
-	state.Demand[unit] = asked(2)
-	state.Parts[unit] = []Part{{Homes: inSouth, Demand: asked(2)}}
+	state.Demand[unit] = rateDemand(2)
+	state.Parts[unit] = []Part{{Homes: inSouth, Demand: rateDemand(2)}}
 	assert.Equal(t, len(MakePlan(state).Steps), 0)
-	state.Parts[unit] = []Part{{Homes: inNorth, Demand: asked(2)}}
+	state.Parts[unit] = []Part{{Homes: inNorth, Demand: rateDemand(2)}}
 	steps := MakePlan(state).Steps
 	assert.Equal(t, len(steps), 1)
 	assert.Equal(t, steps[0].Runner, "r1")
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -12,64 +12,65 @@
 )
 
 const (
-	// targetWork is the share of a runner's time that one replica's requests
-	// should take.
+	// targetWork is the fraction of a runner's time that the requests of one replica should
+	// take.
 	targetWork = 0.5
-	// maximumShare bounds the replicas of one model to a part of the runners.
+	// maximumShare limits the replicas of one model to a fraction of the runners.
 	maximumShare = 0.45
-	// intentLifetime is how long a decided load waits for room.
+	// intentLifetime is how long a planned load may wait for memory to be freed.
 	intentLifetime = 4 * time.Second
 )
 
-// need is a model that should be loaded at one more runner in homes.
+// need is a model that should be loaded on one more runner in the homes.
 type need struct {
 	model   string
 	homes   place.Homes
 	demand  *Demand
 	holders int
-	// waiting is set when requests wait and no runner in the homes holds or loads it.
+	// waiting is set if requests are waiting and no runner in the homes holds or loads the
+	// model.
 	waiting bool
-	// floor is set when a policy keeps more replicas ready.
+	// floor is set if a policy requires more ready replicas.
 	floor bool
-	// moves is set when only runners in zones that are out serve it.
-	moves bool
+	// evacuates is set if only runners in zones that are out serve the model.
+	evacuates bool
 }
 
-// planner holds the working copy of a state while a plan is made.
+// planner holds the working state while a plan is made.
 type planner struct {
 	state *State
 	plan  Plan
-	taken map[string]bool
-	// loading are the regions in which the plan loads adapters.
+	// reserved are the runners that have a step in the plan, or are kept free for a need.
+	reserved map[string]bool
+	// loading are the regions in which the plan loads each adapter.
 	loading map[backend.Unit][]place.Region
 	loads   int
-	// copies counts the runners that hold, load or were decided to load a
-	// model; present counts all that may have it in memory, by the model's
-	// object, for the bound on replicas.
+	// copies counts the runners that hold, load or will load a model. present counts all
+	// runners that may have it in memory, by replicaLimitKey, for the limit on replicas.
 	copies  replicas
 	present map[string]int
-	// ready counts the runners at which a model is served.
+	// ready counts the runners that serve a model.
 	ready replicas
-	// staying counts, by object, the replicas that are not being unloaded.
+	// staying counts the replicas that are not being unloaded, by replicaLimitKey.
 	staying map[string]int
-	// out counts the runners in zones that are out at which a model is loaded, and
-	// runnersOut all of them.
+	// out counts the runners in zones that are out that have a model loaded. runnersOut
+	// counts all runners in such zones.
 	out        replicas
 	runnersOut int
 	// holding lists the runners that hold or load each model, or may do so.
 	holding map[string][]*Runner
-	// versions rise with each change of a model's counts, evictions are what may be unloaded
-	// from each runner as of them.
+	// versions increase with every change of a model's counts. evictions caches by runner
+	// what may be unloaded.
 	versions  map[string]*int
 	evictions map[*Runner]*evictions
-	// moved is how many models of zones that are out were looked at.
-	moved int
+	// evacuationsTried is the number of models considered for evacuation.
+	evacuationsTried int
 }
 
-// newPlanner counts what a state has of replicas.
+// newPlanner returns a planner with the replicas of a state counted.
 func newPlanner(state *State) *planner {
 	p := &planner{
-		state: state, taken: make(map[string]bool), loading: make(map[backend.Unit][]place.Region), loads: state.Loads,
+		state: state, reserved: make(map[string]bool), loading: make(map[backend.Unit][]place.Region), loads: state.Loads,
 		copies: newReplicas(), present: make(map[string]int), staying: make(map[string]int), ready: newReplicas(), out: newReplicas(),
 		holding: make(map[string][]*Runner), versions: make(map[string]*int), evictions: make(map[*Runner]*evictions),
 		plan: Plan{Intents: make(map[string]Intent), Ready: make(map[Want]time.Duration)},
@@ -78,13 +79,13 @@
 	return p
 }
 
-// MakePlan decides what to order now.
+// MakePlan returns the orders to send now.
 func MakePlan(state *State) Plan {
 	p := newPlanner(state)
-	p.empty()
+	p.unloadUnwanted()
 	p.continueIntents()
 	for _, need := range p.needs() {
-		p.serve(need)
+		p.placeNeed(need)
 	}
 	p.planAdapters()
 	return p.plan
@@ -101,9 +102,9 @@
 			if runner.Out && !runner.Silent && !held.Coming && !held.Leaving {
 				p.out.add(runner, model, 1)
 			}
-			p.present[p.bounded(model)]++
+			p.present[p.replicaLimitKey(model)]++
 			if !held.Leaving && !held.Uncertain {
-				p.staying[p.bounded(model)]++
+				p.staying[p.replicaLimitKey(model)]++
 			}
 			if !held.Leaving && !held.Uncertain && runner.serves() {
 				p.countCopy(runner, model, 1)
@@ -115,17 +116,18 @@
 	}
 }
 
-// bounded is the name under which a model's replicas are bounded.
-func (p *planner) bounded(model string) string {
+// replicaLimitKey returns the key under which replicas of a model are counted for its limit:
+// versions of the same object share one.
+func (p *planner) replicaLimitKey(model string) string {
 	if weights := p.state.Engine.Models[model]; weights != nil && weights.Object != "" {
 		return "object " + weights.Object
 	}
 	return model
 }
 
-// room is how many more replicas of a model the operators allow. Runners that
-// have not told what they hold may hold one each.
-func (p *planner) room(model string) int {
+// replicasLeft returns how many more replicas of a model the operators' limit allows. Every
+// runner whose state is unknown may hold one, so each counts as one.
+func (p *planner) replicasLeft(model string) int {
 	if p.paused(model) {
 		return 0
 	}
@@ -133,59 +135,59 @@
 	if weights.MaximumReplicas == config.Unlimited {
 		return len(p.state.Runners)
 	}
-	return weights.MaximumReplicas - p.present[p.bounded(model)] - p.state.Unknown
+	return weights.MaximumReplicas - p.present[p.replicaLimitKey(model)] - p.state.Unknown
 }
 
-// paused reports whether a model is not loaded anywhere now.
+// paused reports whether loads of a model are paused everywhere.
 func (p *planner) paused(model string) bool { return !p.state.Paused[model].IsZero() }
 
-// roomAt is room for a load at a runner: an order without an answer there counts
-// already, and a new one takes its place.
-func (p *planner) roomAt(runner *Runner, model string) int {
+// replicasLeftAt returns replicasLeft for a load on a runner. An unanswered order for the
+// model on that runner is already counted, and a new order replaces it.
+func (p *planner) replicasLeftAt(runner *Runner, model string) int {
 	if p.paused(model) {
 		return 0
 	}
-	room := p.room(model)
+	left := p.replicasLeft(model)
 	if held := runner.Models[model]; held != nil && held.Uncertain {
-		room++
+		left++
 	}
-	return room
+	return left
 }
 
-// roomAnywhere reports whether some runner in the homes may load a model.
-func (p *planner) roomAnywhere(model string, homes place.Homes) bool {
+// canLoadIn reports whether the replica limit allows a load of a model on some runner in the
+// homes.
+func (p *planner) canLoadIn(model string, homes place.Homes) bool {
 	for _, runner := range p.state.Runners {
-		if homes.Allows(runner.Region) && p.roomAt(runner, model) > 0 {
+		if homes.Allows(runner.Region) && p.replicasLeftAt(runner, model) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// decide counts a load that was decided.
-func (p *planner) decide(runner *Runner, model string) {
+// countPlannedLoad updates the counts for a load that the plan decided on.
+func (p *planner) countPlannedLoad(runner *Runner, model string) {
 	p.countCopy(runner, model, 1)
 	if held := runner.Models[model]; held == nil || !held.Uncertain {
-		p.present[p.bounded(model)]++
+		p.present[p.replicaLimitKey(model)]++
 	}
 }
 
-// empty unloads what should not be loaded: everything at a drained runner,
-// weights that no longer serve, replicas over the operators' bound, and models
-// without use for their keep-alive time.
-func (p *planner) empty() {
+// unloadUnwanted unloads everything from drained runners, weights that no longer serve,
+// replicas over the operators' limit and models idle for longer than their keep-alive time.
+func (p *planner) unloadUnwanted() {
 	for _, runner := range p.state.Runners {
 		if !runner.Idle {
 			continue
 		}
 		for _, model := range slices.Sorted(maps.Keys(runner.Models)) {
 			held := runner.Models[model]
-			reason := p.unwanted(runner, model)
+			reason := p.unloadReason(runner, model)
 			if reason == "" || held.Coming || held.Leaving || held.Uncertain {
 				continue
 			}
-			p.taken[runner.ID] = true
-			p.staying[p.bounded(model)]--
+			p.reserved[runner.ID] = true
+			p.staying[p.replicaLimitKey(model)]--
 			if runner.serves() {
 				p.countCopy(runner, model, -1)
 			}
@@ -197,9 +199,8 @@
 	}
 }
 
-// unwanted says why a model should be unloaded from a runner; empty when it
-// should not.
-func (p *planner) unwanted(runner *Runner, model string) string {
+// unloadReason returns why a model should be unloaded from a runner, or "" if it should stay.
+func (p *planner) unloadReason(runner *Runner, model string) string {
 	weights := p.state.Engine.Models[model]
 	demand := p.state.Demand[backend.Unit{Model: model}]
 	switch {
@@ -209,7 +210,7 @@
 		return "not configured"
 	case !weights.Active:
 		return "version no longer serves"
-	case weights.MaximumReplicas != config.Unlimited && p.staying[p.bounded(model)] > weights.MaximumReplicas:
+	case weights.MaximumReplicas != config.Unlimited && p.staying[p.replicaLimitKey(model)] > weights.MaximumReplicas:
 		return "over the bound of replicas"
 	}
 	keep, sleeps := p.state.KeepAlive[model]
@@ -222,31 +223,31 @@
 	return "idle for its keep-alive time"
 }
 
-// continueIntents goes on with loads that wait for room.
+// continueIntents continues earlier planned loads that wait for memory.
 func (p *planner) continueIntents() {
 	for _, runner := range p.state.Runners {
 		intent, ok := p.state.Intents[runner.ID]
-		if !ok || p.taken[runner.ID] || !runner.serves() || p.state.Now.After(intent.Until) {
+		if !ok || p.reserved[runner.ID] || !runner.serves() || p.state.Now.After(intent.Until) {
 			continue
 		}
 		if held := runner.Models[intent.Model]; held != nil && !held.Uncertain {
 			continue
 		}
-		if weights := p.state.Engine.Models[intent.Model]; weights == nil || !weights.Active || p.roomAt(runner, intent.Model) <= 0 {
+		if weights := p.state.Engine.Models[intent.Model]; weights == nil || !weights.Active || p.replicasLeftAt(runner, intent.Model) <= 0 {
 			continue
 		}
-		p.decide(runner, intent.Model)
-		p.expect(runner, intent.Model, intent.Homes)
+		p.countPlannedLoad(runner, intent.Model)
+		p.expectReady(runner, intent.Model, intent.Homes)
 		p.plan.Intents[runner.ID] = intent
-		p.taken[runner.ID] = true
+		p.reserved[runner.ID] = true
 		if runner.Idle {
-			p.advance(runner, intent.Model, "intent")
+			p.planNextStep(runner, intent.Model, "intent")
 		}
 	}
 }
 
-// desired is how many runners should hold a model for a part of its demand. Floors say
-// nothing of homes.
+// desired returns how many runners should hold a model for a part of its demand. Floors apply
+// only to the part without homes.
 func (p *planner) desired(model string, part Part) int {
 	floor, demand := 0, part.Demand
 	if !part.Homes.Bound() {
@@ -257,13 +258,13 @@
 	}
 	count := int(demand.Work/targetWork + 0.5)
 	limit := max(int(maximumShare*float64(len(p.state.Runners)-p.runnersOut)), 1)
-	if demand.Waiting > 0 || p.moves(model, part) {
+	if demand.Waiting > 0 || p.needsEvacuation(model, part) {
 		count = max(count, 1)
 	}
 	return max(min(count, limit), floor)
 }
 
-// needs lists the models to be loaded, the one that is worth most first.
+// needs returns the models to load, the most valuable first.
 func (p *planner) needs() []need {
 	var needs []need
 	for _, model := range slices.Sorted(maps.Keys(p.state.Engine.Models)) {
@@ -280,11 +281,11 @@
 	return needs
 }
 
-// need returns what a part of a model's demand lacks; false when it lacks nothing that can
-// be had.
+// need returns the missing replica for a part of a model's demand. It returns false if none is
+// missing or none may be loaded.
 func (p *planner) need(model string, part Part) (need, bool) {
-	holders := p.copies.of(model, part.Homes)
-	if holders >= p.desired(model, part) || !p.roomAnywhere(model, part.Homes) {
+	holders := p.copies.in(model, part.Homes)
+	if holders >= p.desired(model, part) || !p.canLoadIn(model, part.Homes) {
 		return need{}, false
 	}
 	demand := part.Demand
@@ -293,13 +294,13 @@
 	}
 	return need{
 		model: model, homes: part.Homes, demand: demand, holders: holders, waiting: holders == 0 && demand.Waiting > 0,
-		floor: !part.Homes.Bound() && holders < p.state.Floors[model], moves: p.moves(model, part),
+		floor: !part.Homes.Bound() && holders < p.state.Floors[model], evacuates: p.needsEvacuation(model, part),
 	}, true
 }
 
-// compareNeeds puts the need first that is worth more: neither waiting requests nor busy
-// models go before the others as such. Of those that wait for the same model, one with
-// homes goes first, as what serves it serves the others too.
+// compareNeeds orders needs by descending value: neither waiting requests nor busy models take
+// precedence as such. Among needs with waiting requests for the same model, one with homes
+// comes first, because its replica also serves the requests without homes.
 func compareNeeds(a, b need) int {
 	if a.model == b.model && a.waiting && b.waiting && a.homes.Bound() != b.homes.Bound() {
 		if a.homes.Bound() {
@@ -307,51 +308,51 @@
 		}
 		return 1
 	}
-	return cmp.Or(cmp.Compare(b.worth(), a.worth()), cmp.Compare(a.demand.Left, b.demand.Left), cmp.Compare(perHolder(b), perHolder(a)))
+	return cmp.Or(cmp.Compare(b.value(), a.value()), cmp.Compare(a.demand.Left, b.demand.Left), cmp.Compare(workPerHolder(b), workPerHolder(a)))
 }
 
-func perHolder(n need) float64 { return n.demand.Work / float64(n.holders+1) }
+func workPerHolder(n need) float64 { return n.demand.Work / float64(n.holders+1) }
 
-// serve chooses a runner for a need and begins the load, or the unload that
-// makes room for it.
-func (p *planner) serve(n need) {
-	if n.yields() && !p.mayMove() {
+// placeNeed chooses a runner for a need and plans the load, or the unload that frees memory for
+// it.
+func (p *planner) placeNeed(n need) {
+	if n.isProactive() && !p.mayEvacuate() {
 		return
 	}
-	if n.waiting && p.copies.of(n.model, n.homes) > 0 {
-		// A load for other homes, decided in this plan, serves these requests too.
+	if n.waiting && p.copies.in(n.model, n.homes) > 0 {
+		// A load planned for other homes serves these requests too.
 		return
 	}
 	best, bestCost := (*Runner)(nil), 0.0
 	for _, runner := range p.state.Runners {
 		cost, ok := p.placeCost(runner, n)
 		if !ok || best != nil && cost >= bestCost {
-			// Room only adds to it.
+			// Freeing memory can only increase the cost.
 			continue
 		}
-		room, ok := p.roomCost(runner, n)
-		if ok && (best == nil || cost+room < bestCost) {
-			best, bestCost = runner, cost+room
+		eviction, ok := p.evictionCost(runner, n)
+		if ok && (best == nil || cost+eviction < bestCost) {
+			best, bestCost = runner, cost+eviction
 		}
 	}
-	if best == nil || (!n.waiting && !n.floor && bestCost > p.worthPaying(best, n)) {
+	if best == nil || (!n.waiting && !n.floor && bestCost > p.maxCost(best, n)) {
 		return
 	}
-	if n.yields() && !best.Idle {
+	if n.isProactive() && !best.Idle {
 		return
 	}
-	p.taken[best.ID] = true
+	p.reserved[best.ID] = true
 	if n.waiting {
-		p.expect(best, n.model, n.homes)
+		p.expectReady(best, n.model, n.homes)
 	}
 	if !best.Idle || p.storeBusy(best, n.model) {
-		// The best place is not free yet: it is kept for this need, and a worse
-		// one is not taken meanwhile.
+		// The best runner is busy: keep it free for this need, and don't load on a worse one
+		// meanwhile.
 		return
 	}
-	p.decide(best, n.model)
+	p.countPlannedLoad(best, n.model)
 	p.plan.Intents[best.ID] = Intent{Model: n.model, Homes: n.homes, Until: p.state.Now.Add(intentLifetime)}
-	p.advance(best, n.model, n.reason())
+	p.planNextStep(best, n.model, n.reason())
 }
 
 func (n need) reason() string {
@@ -360,18 +361,18 @@
 		return "waiting"
 	case n.floor:
 		return "policy"
-	case n.moves:
+	case n.evacuates:
 		return "zone out"
 	default:
 		return "replica"
 	}
 }
 
-// advance takes the next step towards holding a model at an idle runner.
-func (p *planner) advance(runner *Runner, model, reason string) {
+// planNextStep adds the next step towards holding a model on an idle runner.
+func (p *planner) planNextStep(runner *Runner, model, reason string) {
 	size := p.state.Engine.Models[model].Size
 	if held := runner.Models[model]; held != nil && held.Uncertain {
-		// The order without an answer takes the room already.
+		// The unanswered order already accounts for the memory.
 		size = 0
 	}
 	if runner.Free < size {
@@ -400,13 +401,13 @@
 	})
 }
 
-// unloadTime is how long the unload of an idle model takes to be seen.
+// unloadTime is how long it takes until the unload of an idle model shows in reports.
 const unloadTime = 200 * time.Millisecond
 
-// expect notes when a model will be loaded at a runner that is to load it, for the
-// requests with the homes that wait for it.
-func (p *planner) expect(runner *Runner, model string, homes place.Homes) {
-	if p.ready.of(model, homes) > 0 {
+// expectReady records, for the waiting requests with the given homes, when a model is expected
+// to be loaded on a runner.
+func (p *planner) expectReady(runner *Runner, model string, homes place.Homes) {
+	if p.ready.in(model, homes) > 0 {
 		return
 	}
 	ready, _ := p.readyIn(runner, model)
@@ -425,9 +426,9 @@
 	return fromStore && p.loads <= 0
 }
 
-// readyIn returns how long it takes until a runner with room holds a model, and
-// whether that takes from the weight store: the runner has to be free, the store has
-// to carry the load, then it is loaded.
+// readyIn returns the time until a runner with enough memory holds a model, and whether it
+// loads from the weight store. The runner must first become free and the store must have
+// capacity for the load.
 func (p *planner) readyIn(runner *Runner, model string) (time.Duration, bool) {
 	load, fromStore := p.loadTime(runner, model)
 	wait := runner.BusyFor
@@ -437,8 +438,7 @@
 	return wait + load, fromStore
 }
 
-// loadTime returns how long a load is expected to take and whether it takes from
-// the weight store.
+// loadTime returns the expected duration of a load and whether it loads from the weight store.
 func (p *planner) loadTime(runner *Runner, model string) (time.Duration, bool) {
 	weights := p.state.Engine.Models[model]
 	switch {
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -42,18 +42,18 @@
 	return held
 }
 
-func waits(state *State, unit backend.Unit) {
+func addWaiting(state *State, unit backend.Unit) {
 	state.Demand[unit] = &Demand{Waiting: 1, Left: time.Second, LastUse: testNow}
 	if unit.Adapter != "" {
 		state.Demand[backend.Unit{Model: unit.Model}] = &Demand{Waiting: 1, Left: time.Second, LastUse: testNow}
 	}
 }
 
-// TestWaitingModelIsLoadedWhereWeightsAreNear: host memory goes before disk, disk
-// before the store.
+// TestWaitingModelIsLoadedWhereWeightsAreNear checks that weights in host memory are preferred
+// over those on disk, and those on disk over the store.
 func TestWaitingModelIsLoadedWhereWeightsAreNear(t *testing.T) {
 	state := testState(3, 1)
-	waits(state, backend.Unit{Model: "m0"})
+	addWaiting(state, backend.Unit{Model: "m0"})
 	state.Runners[1].Disk["m0"] = true
 	plan := MakePlan(state)
 	assert.Equal(t, len(plan.Steps), 1)
@@ -63,12 +63,12 @@
 	assert.Equal(t, MakePlan(state).Steps[0].Runner, "r2")
 }
 
-// TestWeightStoreRateIsKept: no more loads from the store are planned than it
-// allows; loads from near copies are not bounded by it.
+// TestWeightStoreRateIsKept checks that a plan loads no more models from the store than
+// allowed, and that loads from local copies don't count.
 func TestWeightStoreRateIsKept(t *testing.T) {
 	state := testState(6, 6)
 	for index := range 6 {
-		waits(state, backend.Unit{Model: fmt.Sprintf("m%d", index)})
+		addWaiting(state, backend.Unit{Model: fmt.Sprintf("m%d", index)})
 	}
 	state.Loads = 2
 	state.Runners[5].Disk["m5"] = true
@@ -84,15 +84,15 @@
 	assert.Equal(t, near, 1)
 }
 
-// TestRoomIsMadeWhereLeastIsLost: the model that nobody uses makes way, not the
-// one in use, and the load that needs the room is remembered.
+// TestRoomIsMadeWhereLeastIsLost checks that an unused model is evicted rather than a used
+// one, and that the load waiting for the memory is kept as an intent.
 func TestRoomIsMadeWhereLeastIsLost(t *testing.T) {
 	state := testState(1, 4)
 	for _, model := range []string{"m0", "m1"} {
 		state.Runners[0].hold(model)
 	}
 	state.Demand[backend.Unit{Model: "m0"}] = &Demand{Rate: 2, Work: 0.2, LastUse: testNow}
-	waits(state, backend.Unit{Model: "m2"})
+	addWaiting(state, backend.Unit{Model: "m2"})
 	plan := MakePlan(state)
 	assert.Equal(t, len(plan.Steps), 1)
 	assert.Equal(t, plan.Steps[0].Action, backend.Unload)
@@ -104,12 +104,12 @@
 	assert.Equal(t, MakePlan(state).Steps[0].Action, backend.Load)
 }
 
-// TestNeedWaitsForNearWeights: a runner that keeps the weights on its disk and is
-// busy for a moment goes before an idle one that would take them from the store. It
-// failed first: any busy runner was passed over.
+// TestNeedWaitsForNearWeights checks that a runner with the weights on disk that is busy for a
+// short time is preferred over an idle runner that would load from the store. The planner used
+// to skip every busy runner.
 func TestNeedWaitsForNearWeights(t *testing.T) {
 	state := testState(2, 1)
-	waits(state, backend.Unit{Model: "m0"})
+	addWaiting(state, backend.Unit{Model: "m0"})
 	near := state.Runners[1]
 	near.Disk["m0"] = true
 	near.Idle, near.BusyFor = false, 300*time.Millisecond
@@ -120,21 +120,21 @@
 	assert.Equal(t, steps[0].Runner, "r0")
 }
 
-// TestNeededModelIsNotEvicted: the only replica of a model that requests wait for
-// does not make way for another one.
+// TestNeededModelIsNotEvicted checks that the only replica of a model with waiting requests is
+// not evicted for another model.
 func TestNeededModelIsNotEvicted(t *testing.T) {
 	state := testState(1, 3)
 	for _, model := range []string{"m0", "m1"} {
 		state.Runners[0].hold(model)
-		waits(state, backend.Unit{Model: model})
+		addWaiting(state, backend.Unit{Model: model})
 	}
-	waits(state, backend.Unit{Model: "m2"})
+	addWaiting(state, backend.Unit{Model: "m2"})
 	assert.Equal(t, len(MakePlan(state).Steps), 0)
 }
 
-// TestOnlyReadyCopyIsKept: a copy that is still coming elsewhere does not make the
-// only one that serves superfluous. It failed first: a model was unloaded 0.3 s
-// after it came, as a second copy had been decided.
+// TestOnlyReadyCopyIsKept checks that a copy still loading on another runner does not make the
+// only ready replica redundant. A model used to be unloaded 0.3 s after its load because a
+// second copy was planned.
 func TestOnlyReadyCopyIsKept(t *testing.T) {
 	state := testState(2, 4)
 	state.Runners[0].hold("m0")
@@ -144,14 +144,14 @@
 	state.Runners[1].BusyFor = 5 * time.Second
 	state.Demand[backend.Unit{Model: "m0"}] = &Demand{Rate: 1, Work: 0.02, LastUse: testNow}
 	state.Demand[backend.Unit{Model: "m1"}] = &Demand{Rate: 0.1, Work: 0.01, LastUse: testNow.Add(-time.Second)}
-	waits(state, backend.Unit{Model: "m2"})
+	addWaiting(state, backend.Unit{Model: "m2"})
 	steps := MakePlan(state).Steps
 	assert.Equal(t, len(steps), 1)
 	assert.Equal(t, steps[0].Unit.Model, "m1")
 }
 
-// TestAdapterMakesRoomFirst: with all places taken, the adapter used the longest
-// ago is unloaded and the one waited for loaded, in this order.
+// TestAdapterMakesRoomFirst checks that if all slots are taken the least recently used adapter
+// is unloaded before the requested one is loaded.
 func TestAdapterMakesRoomFirst(t *testing.T) {
 	state := testState(1, 1)
 	held := state.Runners[0].hold("m0")
@@ -161,7 +161,7 @@
 		state.Demand[backend.Unit{Model: "m0", Adapter: name}] = &Demand{LastUse: testNow.Add(-time.Duration(index) * time.Minute)}
 	}
 	state.Runners[0].AdapterSlots = 0
-	waits(state, backend.Unit{Model: "m0", Adapter: "a9"})
+	addWaiting(state, backend.Unit{Model: "m0", Adapter: "a9"})
 	steps := MakePlan(state).Steps
 	assert.Equal(t, len(steps), 2)
 	assert.Equal(t, steps[0].Action, backend.Unload)
@@ -169,8 +169,8 @@
 	assert.Equal(t, steps[1].Unit.Adapter, "a9")
 }
 
-// TestAdapterInUseStays: an adapter that requests use makes room for no other one,
-// however long ago it was asked for.
+// TestAdapterInUseStays checks that an adapter with active requests is not evicted, however
+// long ago it was last requested.
 func TestAdapterInUseStays(t *testing.T) {
 	state := testState(1, 1)
 	held := state.Runners[0].hold("m0")
@@ -179,7 +179,7 @@
 	state.Demand[backend.Unit{Model: "m0", Adapter: "a0"}] = &Demand{LastUse: testNow.Add(-time.Minute)}
 	state.Demand[backend.Unit{Model: "m0", Adapter: "a1"}] = &Demand{LastUse: testNow}
 	state.Runners[0].AdapterSlots = 0
-	waits(state, backend.Unit{Model: "m0", Adapter: "a9"})
+	addWaiting(state, backend.Unit{Model: "m0", Adapter: "a9"})
 	steps := MakePlan(state).Steps
 	assert.Equal(t, len(steps), 2)
 	assert.Equal(t, steps[0].Unit.Adapter, "a1")
@@ -187,8 +187,8 @@
 	assert.Equal(t, len(MakePlan(state).Steps), 0)
 }
 
-// TestDrainedRunnerIsEmptied: what it holds is unloaded and loaded elsewhere if a
-// policy wants it ready; nothing new is loaded there.
+// TestDrainedRunnerIsEmptied checks that the models of a drained runner are unloaded, and
+// loaded elsewhere if a policy requires them, and that nothing is loaded on it.
 func TestDrainedRunnerIsEmptied(t *testing.T) {
 	state := testState(2, 1)
 	state.Runners[0].hold("m0")
@@ -206,20 +206,20 @@
 	assert.Equal(t, loaded, "r1")
 }
 
-// TestUnknownRunnersCountAgainstTheBound: while a runner has not told what it
-// holds, it may hold the one replica that is allowed.
+// TestUnknownRunnersCountAgainstTheBound checks that a runner that has not reported its models
+// counts as holding the one allowed replica.
 func TestUnknownRunnersCountAgainstTheBound(t *testing.T) {
 	state := testState(1, 1)
 	state.Engine.Models["m0"].MaximumReplicas = 1
-	waits(state, backend.Unit{Model: "m0"})
+	addWaiting(state, backend.Unit{Model: "m0"})
 	state.Unknown = 1
 	assert.Equal(t, len(MakePlan(state).Steps), 0)
 	state.Unknown = 0
 	assert.Equal(t, len(MakePlan(state).Steps), 1)
 }
 
-// TestSleepingModelsAreUnloaded: a model without use for its keep-alive time is
-// unloaded unless a policy keeps it.
+// TestSleepingModelsAreUnloaded checks that a model unused for its keep-alive time is unloaded
+// unless a policy requires it.
 func TestSleepingModelsAreUnloaded(t *testing.T) {
 	state := testState(1, 1)
 	state.Runners[0].hold("m0")
@@ -232,9 +232,10 @@
 	assert.Equal(t, len(MakePlan(state).Steps), 0)
 }
 
-// TestPlansKeepTheirBounds: for any state, a plan loads only where there is room,
-// keeps the bounds on replicas and the store's rate, and gives a runner one order
-// at a time, but for an adapter's change of places.
+// TestPlansKeepTheirBounds checks with random states that a plan loads only where there is
+// enough memory, respects the limits on replicas and on loads from the store, and gives each
+// runner one model order at a time. Adapters are exempt, as one may be replaced by an unload
+// and a load.
 func TestPlansKeepTheirBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := drawState(t)
@@ -256,13 +257,13 @@
 			}
 			orders[step.Runner]++
 			if orders[step.Runner] > 1 || !runner.Idle {
-				t.Fatalf("%s gets %+v while it is busy", step.Runner, step)
+				t.Fatalf("%s gets %+v, but is busy or has an order already", step.Runner, step)
 			}
 			if step.Action != backend.Load {
 				continue
 			}
 			if runner.Free < state.Engine.Models[step.Unit.Model].Size || runner.Drained {
-				t.Fatalf("%+v has no room", step)
+				t.Fatalf("%+v: the runner is drained or lacks memory", step)
 			}
 			if step.FromStore {
 				fromStore++
@@ -270,11 +271,11 @@
 			copies[step.Unit.Model]++
 			bound := state.Engine.Models[step.Unit.Model].MaximumReplicas
 			if bound != config.Unlimited && copies[step.Unit.Model] > bound {
-				t.Fatalf("%+v goes beyond the bound %d", step, bound)
+				t.Fatalf("%+v exceeds the replica limit %d", step, bound)
 			}
 		}
 		if fromStore > state.Loads {
-			t.Fatalf("%d loads of %d allowed", fromStore, state.Loads)
+			t.Fatalf("%d loads from the store, %d allowed", fromStore, state.Loads)
 		}
 	})
 }
@@ -306,7 +307,8 @@
 	return state
 }
 
-// fewRunners is a state in which one runner serves m0 and two more take orders.
+// fewRunners returns a state with one busy runner that serves m0, two that take orders and
+// three that are drained.
 func fewRunners(models int) *State {
 	state := testState(6, models)
 	state.Runners[0].hold("m0")
@@ -317,15 +319,15 @@
 	return state
 }
 
-// TestBusyModelGoesBeforeColdOnes: a model whose only runner is asked for several times
-// what it can do has its replica before models for which one request waits, even when
-// those could take all runners. All of a holder's loads for 8 s went to cold models while
-// the busiest model was left with one to three runners.
-func TestBusyModelGoesBeforeColdOnes(t *testing.T) {
+// TestBusyModelPrecedesColdModels checks that a model whose only runner is asked for several
+// times its capacity gets a replica before models with one waiting request each, even if those
+// could use all runners. A lease holder once spent 8 s loading only cold models while the
+// busiest model was left with one to three runners.
+func TestBusyModelPrecedesColdModels(t *testing.T) {
 	state := fewRunners(6)
 	state.Demand[backend.Unit{Model: "m0"}] = &Demand{Rate: 40, Work: 5, LastUse: testNow}
 	for index := 1; index < 6; index++ {
-		waits(state, backend.Unit{Model: fmt.Sprintf("m%d", index)})
+		addWaiting(state, backend.Unit{Model: fmt.Sprintf("m%d", index)})
 	}
 	steps := MakePlan(state).Steps
 	assert.Equal(t, steps[0].Unit.Model, "m0")
@@ -333,23 +335,23 @@
 	assert.Equal(t, steps[1].Reason, "waiting")
 }
 
-// TestManyWaitingGoBeforeOneMoreReplica: a replica that would bring little in time is
-// worth less than a model for which requests wait.
-func TestManyWaitingGoBeforeOneMoreReplica(t *testing.T) {
+// TestManyWaitingRequestsPrecedeReplica checks that a replica that improves little is worth
+// less than a model with many waiting requests.
+func TestManyWaitingRequestsPrecedeReplica(t *testing.T) {
 	state := fewRunners(2)
 	state.Demand[backend.Unit{Model: "m0"}] = &Demand{Rate: 2, Work: 0.9, LastUse: testNow}
-	waits(state, backend.Unit{Model: "m1"})
+	addWaiting(state, backend.Unit{Model: "m1"})
 	state.Demand[backend.Unit{Model: "m1"}].Waiting = 12
 	steps := MakePlan(state).Steps
 	assert.Equal(t, steps[0].Unit.Model, "m1", "%+v", steps)
 }
 
-// TestSilentRunnerServesNothing: what a silent runner holds does not stand in for a
-// load elsewhere, but counts for the bound on replicas; it gets no orders.
+// TestSilentRunnerServesNothing checks that models on a silent runner don't replace a load
+// elsewhere, that they count for the replica limit, and that the runner gets no orders.
 func TestSilentRunnerServesNothing(t *testing.T) {
 	state := testState(2, 1)
 	state.Runners[0].hold("m0")
-	waits(state, backend.Unit{Model: "m0"})
+	addWaiting(state, backend.Unit{Model: "m0"})
 	assert.Equal(t, len(MakePlan(state).Steps), 0)
 	state.Runners[0].Silent = true
 	plan := MakePlan(state)
@@ -359,8 +361,8 @@
 	assert.Equal(t, len(MakePlan(state).Steps), 0)
 }
 
-// TestEvictionsFollowCounts: what a plan keeps of what may be unloaded from a runner is what a new
-// look finds, after each need that was served.
+// TestEvictionsFollowCounts checks that the cached victims of each runner equal newly computed
+// ones after every placed need.
 func TestEvictionsFollowCounts(t *testing.T) {
 	state := fullState(200, 60, 20)
 	for index, runner := range state.Runners {
@@ -368,10 +370,10 @@
 		runner.Silent, runner.Out = index%17 == 0, index%13 == 0
 	}
 	state.Floors = map[string]int{"m1": 2, "m2": 200}
-	waits(state, backend.Unit{Model: "m3"})
+	addWaiting(state, backend.Unit{Model: "m3"})
 	p := newPlanner(state)
 	for _, need := range p.needs() {
-		p.serve(need)
+		p.placeNeed(need)
 		for _, runner := range state.Runners {
 			assert.Assert(t, slices.Equal(p.victims(runner), p.findVictims(runner)), runner.ID)
 		}
@@ -379,9 +381,9 @@
 	assert.Assert(t, len(p.plan.Steps) > 5)
 }
 
-// TestPlanLooksAtEachRunnerOnce: a plan in which forty models are waited for allocates little more
-// than one in which one is, as it looks at what each runner may unload once.
-func TestPlanLooksAtEachRunnerOnce(t *testing.T) {
+// TestVictimsAreComputedOncePerRunner checks that planning forty waiting models allocates less
+// than twice as much as planning one, because the victims of each runner are computed once.
+func TestVictimsAreComputedOncePerRunner(t *testing.T) {
 	allocations := func(waiting int) float64 {
 		state := fullState(1000, 100, waiting)
 		state.Loads = 0
--- a/internal/scheduler/state.go
+++ b/internal/scheduler/state.go
@@ -1,12 +1,10 @@
-// Package scheduler decides which models and adapters are loaded where. It is
-// pure: from a state of runners and demand it makes a plan, with no I/O and no
-// clock of its own.
+// Package scheduler decides which models and adapters are loaded on which runners. It computes
+// a plan from a state of runners and demand, without I/O and without reading the clock.
 //
-// A plan is made in these steps: what each model has of replicas is counted; what
-// should not be loaded is unloaded (empty); loads that wait for room go on
-// (continueIntents); models that lack a replica are served in the order of what
-// that is worth, each at the runner where it costs least (needs, serve, with the costs of
-// rank.go); adapters that requests wait for are placed (planAdapters).
+// Planning takes these steps: count the replicas of each model; unload what should not be
+// loaded (unloadUnwanted); continue loads that wait for memory (continueIntents); place the
+// missing replicas by descending value, each on the runner with the lowest cost (needs and
+// placeNeed, with the costs in rank.go); place the adapters that requests wait for (planAdapters).
 package scheduler
 
 import (
@@ -17,122 +15,123 @@
 	"lilacvane/internal/place"
 )
 
-// State is everything a plan is made from.
+// State is the input of a plan.
 type State struct {
 	Now     time.Time
 	Engine  *config.Engine
 	Runners []*Runner
-	// Unknown is how many runners have not told what they hold.
+	// Unknown is the number of runners that have not reported what they hold.
 	Unknown int
-	// Demand by unit. Models appear with the demand of their adapters included.
+	// Demand is the demand by unit. That of a model includes its adapters.
 	Demand map[backend.Unit]*Demand
-	// Parts divides the demand of units by the homes of the requests, sorted by homes.
-	// A unit that is not named is asked for without homes alone.
+	// Parts splits the demand of units by the homes of the requests, sorted by homes. All
+	// requests for a unit that is missing here come without homes.
 	Parts map[backend.Unit][]Part
-	// Paused are the models that are not loaded anywhere now, as runners ended while they
-	// loaded them, and until when.
+	// Paused are the models that must not be loaded anywhere because runners crashed while
+	// loading them, with the end of the pause.
 	Paused map[string]time.Time
-	// Loads is how many loads the weight store allows now.
+	// Loads is how many more loads the weight store allows now.
 	Loads int
-	// StoreWait is the time until the weight store carries another load,
-	// StoreSlowdown how many times its nominal time that load would take.
+	// StoreWait is the time until the weight store has capacity for another load.
+	// StoreSlowdown is the factor by which that load would exceed its nominal time.
 	StoreWait     time.Duration
 	StoreSlowdown float64
-	// Intents are loads decided earlier that wait for room, by runner.
+	// Intents are earlier planned loads that wait for memory, by runner.
 	Intents map[string]Intent
-	// Floors are the replicas that policies keep ready, by model.
+	// Floors are the minimum numbers of replicas required by policies, by model.
 	Floors map[string]int
-	// KeepAlive is how long a model without use stays loaded; a model that is
-	// not named stays until its room is needed.
+	// KeepAlive is how long an unused model stays loaded. A model missing here stays until
+	// its memory is needed.
 	KeepAlive map[string]time.Duration
 }
 
-// Runner is one runner as the scheduler sees it.
+// Runner is the scheduler's view of a runner.
 type Runner struct {
 	ID     string
 	Zone   string
 	Region place.Region
-	// Models are the models it holds or is loading.
+	// Models are the models it holds or loads.
 	Models map[string]*Held
-	// Free is the room left in MB, AdapterSlots the free places for adapters.
+	// Free is the free memory in MB, AdapterSlots the number of free adapter slots.
 	Free         float64
 	AdapterSlots int
-	// BusyFor is how long it is expected to take no order.
+	// BusyFor is the expected time until it accepts orders.
 	BusyFor time.Duration
-	// Idle is set when it would take a model order now, Ready when it would
-	// take one for an adapter.
+	// Idle is set if it would accept a model order now, Ready if it would accept an adapter
+	// order.
 	Idle  bool
 	Ready bool
-	// Host and Disk are the models it keeps copies of.
+	// Host and Disk are the models with a copy of the weights in host memory and on disk.
 	Host map[string]bool
 	Disk map[string]bool
-	// Active is how many requests are under way at it.
+	// Active is the number of its active requests.
 	Active int
-	// Drained is set while a planned stop empties it.
+	// Drained is set while a planned stop empties the runner.
 	Drained bool
-	// Out is set while its zone is taken out, or about to be left for that: it takes no
-	// load and what it holds is not counted on, but it is not emptied either.
+	// Out is set while its zone is taken out or about to be. The runner gets no loads and its
+	// models don't count as served, but they are not unloaded either.
 	Out bool
-	// Silent is set while it answers nobody: what it holds counts for the bound on
-	// replicas, but serves no request.
+	// Silent is set while the runner answers neither nodes nor the lease holder. Its models
+	// count for the replica limit, but not as served.
 	Silent bool
 }
 
-// serves reports whether what the runner holds counts as served.
+// serves reports whether the models on the runner count as served.
 func (r *Runner) serves() bool { return !r.Drained && !r.Out && !r.Silent }
 
-// Held is a model on a runner.
+// Held is a model on a runner. It is Loading while it is loaded and Unloading while it is
+// unloaded.
 type Held struct {
 	Coming  bool
 	Leaving bool
-	// Uncertain is set when only an order without an answer may load it.
+	// Uncertain is set if the model is only there if an unanswered order was carried out.
 	Uncertain bool
-	// Active is how many requests for it are under way.
+	// Active is the number of active requests for the model.
 	Active   int
 	Adapters map[string]*Adapter
 }
 
-// Adapter is an adapter on a runner.
+// Adapter is an adapter on a runner, with the same states as Held.
 type Adapter struct {
 	Coming  bool
 	Leaving bool
-	// Active is how many requests for it are under way.
+	// Active is the number of active requests for the adapter.
 	Active int
 }
 
-// Demand is what is known of the requests for a unit.
+// Demand describes the requests for a unit.
 type Demand struct {
-	// Waiting is how many requests wait for it now, Left the time until the
-	// first of them is given up, Priority the most urgent among them.
+	// Waiting is the number of waiting requests, Left the time until the first of them
+	// expires, and Priority the most urgent priority among them.
 	Waiting  int
 	Left     time.Duration
 	Priority int
-	// From counts those that wait by the region of their nodes, where that is known.
+	// From counts the waiting requests by the region of their node, where it is known.
 	From map[place.Region]int
-	// Rate is the requests a second lately, Work the share of one runner's time
-	// that they take.
+	// Rate is the recent rate in requests per second. Work is the fraction of one runner's
+	// time that these requests take.
 	Rate float64
 	Work float64
-	// LastUse is when it was asked for last.
+	// LastUse is the time of the last request.
 	LastUse time.Time
 }
 
-// Part is the demand of the requests for a unit that have the same homes.
+// Part is the demand of those requests for a unit that have the same homes.
 type Part struct {
 	Homes place.Homes
 	*Demand
 }
 
-// Want is a unit that is wanted in homes.
+// Want is a unit requested in homes.
 type Want struct {
 	Unit  backend.Unit
 	Homes place.Homes
 }
 
-// Intent is a decision to load a model at a runner once there is room.
+// Intent is a planned load on a runner that waits for memory.
 type Intent struct {
 	Model string
-	// Homes are those of the requests that it is for.
+	// Homes are the homes of the requests to be served.
 	Homes place.Homes
 	Until time.Time
 }
@@ -142,21 +141,21 @@
 	Runner string
 	Action backend.Action
 	Unit   backend.Unit
-	// FromStore is set for loads that take from the weight store.
+	// FromStore is set for loads from the weight store.
 	FromStore bool
-	// Expected is how long the order is expected to take.
+	// Expected is the expected duration of the order.
 	Expected time.Duration
-	// Reason is a short word for the log.
+	// Reason is a short explanation for the log.
 	Reason string
 }
 
-// Plan is what is to be ordered now: at most one step a runner, but for an
-// adapter's unload that makes room for another's load.
+// Plan holds the orders to send now: at most one step per runner, or two if an adapter is
+// unloaded to load another.
 type Plan struct {
 	Steps []Step
-	// Intents replaces those of the state.
+	// Intents replaces the intents of the state.
 	Intents map[string]Intent
-	// Ready is the time until each model that is waited for, and that nothing loads
-	// yet in the homes, is expected to be loaded there.
+	// Ready is the expected time until a model with waiting requests is loaded in their
+	// homes, for models that no runner there serves yet.
 	Ready map[Want]time.Duration
 }
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -1,51 +1,54 @@
 package scheduler
 
-// keptForWaiting is how many loads from the weight store are left to models that requests
-// wait for, when others are brought up ahead of their requests.
-const keptForWaiting = 1
+// loadsReservedForWaiting is the number of loads from the weight store reserved for models
+// with waiting requests while other models are being evacuated from a zone.
+const loadsReservedForWaiting = 1
 
 const (
-	// leastMoved is the least that a model must be worth, in seconds of a waiting
-	// request's time, to be looked at: less does not pay for a load.
-	leastMoved = storeCost
-	// movesPerPlan bounds the models that a plan looks at, as the store carries only some
-	// loads at once and a zone may hold hundreds of models.
-	movesPerPlan = 8
+	// minEvacuationValue is the minimum value, in seconds of one waiting request, for which a
+	// model is evacuated: below it a load does not pay.
+	minEvacuationValue = storeCost
+	// maxEvacuationsPerPlan limits the models considered per plan, as a zone may hold
+	// hundreds of models and the store carries only some loads at once.
+	maxEvacuationsPerPlan = 8
 )
 
-// moves reports whether a model that requests are expected for is served in their homes
-// only by runners in zones that are out, so that it is to be brought up elsewhere there.
-func (p *planner) moves(model string, part Part) bool {
-	return part.Demand != nil && p.out.of(model, part.Homes) > 0 && p.copies.of(model, part.Homes) == 0 && p.worthMoving(part.Demand) > leastMoved
+// needsEvacuation reports whether requests are expected for a model that, in their homes, is
+// served only by runners in zones that are out, so that it should be loaded on another runner
+// there.
+func (p *planner) needsEvacuation(model string, part Part) bool {
+	return part.Demand != nil && p.out.in(model, part.Homes) > 0 && p.copies.in(model, part.Homes) == 0 && p.evacuationValue(part.Demand) > minEvacuationValue
 }
 
-// worthMoving is what it would lose that a model is loaded nowhere.
-func (p *planner) worthMoving(demand *Demand) float64 {
-	return p.missed(demand) + demand.Work*gainPerWork
+// evacuationValue is the cost of not having the model loaded anywhere.
+func (p *planner) evacuationValue(demand *Demand) float64 {
+	return p.absenceCost(demand) + demand.Work*gainPerWork
 }
 
-// mayMove reports whether one more model that nobody waits for is to be looked at.
-func (p *planner) mayMove() bool {
-	p.moved++
-	return p.moved <= movesPerPlan && p.loads > keptForWaiting
+// mayEvacuate counts one more evacuation without waiting requests and reports whether it may
+// be considered.
+func (p *planner) mayEvacuate() bool {
+	p.evacuationsTried++
+	return p.evacuationsTried <= maxEvacuationsPerPlan && p.loads > loadsReservedForWaiting
 }
 
-// yields reports whether a need gives way to what waits: it is a model's that nobody waits
-// for yet.
-func (n need) yields() bool { return n.moves && !n.waiting && !n.floor }
-
-// worthPaying is the largest cost of a load that a need is worth at a runner. A model that
-// moves is worth what it would be a loss to unload, and no request waits while it is loaded:
-// its time is no cost.
-func (p *planner) worthPaying(runner *Runner, n need) float64 {
-	if !n.moves {
-		return p.gain(n)
+// isProactive reports whether the need gives way to needs with waiting requests: it evacuates
+// a model that no request waits for yet. Such a need neither takes the last load that the
+// store allows nor reserves a busy runner.
+func (n need) isProactive() bool { return n.evacuates && !n.waiting && !n.floor }
+
+// maxCost returns the highest cost at which a need is still worth a load on a runner. An
+// evacuated model is worth what unloading it would cost. Its load time is not counted as a
+// cost, because no request waits meanwhile.
+func (p *planner) maxCost(runner *Runner, n need) float64 {
+	if !n.evacuates {
+		return p.replicaValue(n)
 	}
 	ready, _ := p.readyIn(runner, n.model)
-	return ready.Seconds() + p.worthMoving(n.demand)
+	return ready.Seconds() + p.evacuationValue(n.demand)
 }
 
-// missed is what the requests to come within horizon cost when a model is not loaded.
-func (p *planner) missed(demand *Demand) float64 {
+// absenceCost estimates the cost for requests within the horizon if the model is not loaded.
+func (p *planner) absenceCost(demand *Demand) float64 {
 	return min(p.expectedRate(demand)*horizon, 1) * reloadCost
 }
--- a/internal/scheduler/zones_test.go
+++ b/internal/scheduler/zones_test.go
@@ -11,22 +11,21 @@
 	"lilacvane/internal/backend"
 )
 
-// asked is the demand for a model that is asked for some times a second, and for which
-// nobody waits.
-func asked(rate float64) *Demand {
+// rateDemand returns a demand with a rate in requests per second and no waiting requests.
+func rateDemand(rate float64) *Demand {
 	return &Demand{Rate: rate, Work: rate / 10, LastUse: testNow}
 }
 
-// TestZoneOutIsLeftWithoutBreak: what only a zone serves is brought up elsewhere while it
-// is left, what is worth most first, and nothing of it is unloaded.
-func TestZoneOutIsLeftWithoutBreak(t *testing.T) {
+// TestZoneOutIsEvacuated checks that models served only by a zone that is out are loaded
+// elsewhere, the most valuable first, and that nothing in the zone is unloaded.
+func TestZoneOutIsEvacuated(t *testing.T) {
 	state := testState(3, 4)
 	state.Runners[0].Out = true
 	state.Runners[0].hold("m0")
 	state.Runners[0].hold("m1")
-	state.Demand[backend.Unit{Model: "m0"}] = asked(0.2)
-	state.Demand[backend.Unit{Model: "m1"}] = asked(2)
-	state.Demand[backend.Unit{Model: "m2"}] = asked(0.2)
+	state.Demand[backend.Unit{Model: "m0"}] = rateDemand(0.2)
+	state.Demand[backend.Unit{Model: "m1"}] = rateDemand(2)
+	state.Demand[backend.Unit{Model: "m2"}] = rateDemand(0.2)
 	state.KeepAlive = map[string]time.Duration{"m0": 0, "m1": 0}
 	plan := MakePlan(state)
 	assert.Equal(t, len(plan.Steps), 2)
@@ -38,38 +37,39 @@
 	}
 }
 
-// TestMovesLeaveRoomForWhatWaits: models that nobody waits for yet take neither the last
-// load that the store carries nor a runner that is busy.
-func TestMovesLeaveRoomForWhatWaits(t *testing.T) {
+// TestEvacuationLeavesLoadsForWaitingRequests checks that a model without waiting requests
+// does not use the last load that the store allows.
+func TestEvacuationLeavesLoadsForWaitingRequests(t *testing.T) {
 	state := testState(2, 2)
 	state.Runners[0].Out = true
 	state.Runners[0].hold("m0")
-	state.Demand[backend.Unit{Model: "m0"}] = asked(2)
-	state.Loads = keptForWaiting
+	state.Demand[backend.Unit{Model: "m0"}] = rateDemand(2)
+	state.Loads = loadsReservedForWaiting
 	assert.Equal(t, len(MakePlan(state).Steps), 0)
-	waits(state, backend.Unit{Model: "m1"})
+	addWaiting(state, backend.Unit{Model: "m1"})
 	steps := MakePlan(state).Steps
 	assert.Equal(t, len(steps), 1)
 	assert.Equal(t, steps[0].Unit.Model, "m1")
 }
 
-// TestModelElsewhereIsNotMoved: a model that another zone serves as well needs no load.
-func TestModelElsewhereIsNotMoved(t *testing.T) {
+// TestModelServedElsewhereIsNotEvacuated checks that a model also served by another zone is
+// not loaded again.
+func TestModelServedElsewhereIsNotEvacuated(t *testing.T) {
 	state := testState(3, 1)
 	state.Runners[0].Out = true
 	state.Runners[0].hold("m0")
 	state.Runners[1].hold("m0")
-	state.Demand[backend.Unit{Model: "m0"}] = asked(0.5)
+	state.Demand[backend.Unit{Model: "m0"}] = rateDemand(0.5)
 	assert.Equal(t, len(MakePlan(state).Steps), 0)
 }
 
-// TestAdapterIsLoadedOutsideTheZone: an adapter that only a zone that is out holds is
-// loaded where the model is elsewhere, never in the zone.
+// TestAdapterIsLoadedOutsideTheZone checks that an adapter held only in a zone that is out is
+// loaded on a runner elsewhere that holds its model, and never in the zone.
 func TestAdapterIsLoadedOutsideTheZone(t *testing.T) {
 	state := testState(2, 1)
 	state.Runners[0].Out = true
 	state.Runners[0].hold("m0").Adapters["a"] = &Adapter{}
-	waits(state, backend.Unit{Model: "m0", Adapter: "a"})
+	addWaiting(state, backend.Unit{Model: "m0", Adapter: "a"})
 	for _, step := range MakePlan(state).Steps {
 		assert.Assert(t, step.Runner == "r1" && step.Unit.Adapter == "")
 	}
@@ -80,9 +80,9 @@
 	assert.Equal(t, steps[0].Unit.Adapter, "a")
 }
 
-// TestReplicasAreBoundedByRunnersThatStay: the part of the runners that one model may have
-// is counted without those in zones that are out.
-func TestReplicasAreBoundedByRunnersThatStay(t *testing.T) {
+// TestMaximumShareExcludesZonesOut checks that maximumShare is taken of the runners outside
+// zones that are out.
+func TestMaximumShareExcludesZonesOut(t *testing.T) {
 	state := testState(8, 1)
 	busy := &Demand{Rate: 50, Work: 10, LastUse: testNow}
 	state.Demand[backend.Unit{Model: "m0"}] = busy
@@ -93,8 +93,7 @@
 	assert.Equal(t, newPlanner(state).desired("m0", Part{Demand: busy}), 1)
 }
 
-// TestZonesOut: whatever is held, loaded, waited for and out, no load goes to a zone that
-// is out, and nothing there is unloaded.
+// TestZonesOut checks with random states that a zone that is out gets no loads and no unloads.
 func TestZonesOut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := testState(rapid.IntRange(1, 8).Draw(t, "runners"), rapid.IntRange(1, 10).Draw(t, "models"))
@@ -112,10 +111,10 @@
 			}
 		}
 		for range rapid.IntRange(0, 6).Draw(t, "asked") {
-			state.Demand[backend.Unit{Model: drawModel(t, state)}] = asked(rapid.Float64Range(0, 5).Draw(t, "rate"))
+			state.Demand[backend.Unit{Model: drawModel(t, state)}] = rateDemand(rapid.Float64Range(0, 5).Draw(t, "rate"))
 		}
 		for range rapid.IntRange(0, 4).Draw(t, "waiting") {
-			waits(state, backend.Unit{Model: drawModel(t, state), Adapter: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "adapter")})
+			addWaiting(state, backend.Unit{Model: drawModel(t, state), Adapter: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "adapter")})
 		}
 		state.KeepAlive[drawModel(t, state)] = 0
 		state.Intents = map[string]Intent{"r0": {Model: drawModel(t, state), Until: testNow.Add(time.Second)}}
@@ -129,16 +128,16 @@
 	return fmt.Sprintf("m%d", rapid.IntRange(0, len(state.Engine.Models)-1).Draw(t, "model"))
 }
 
-// TestZoneOutsideTheHomesMovesNothing: where a zone is out that did not serve requests with
-// homes, they have lost nothing, and no load is made for them before they wait.
-func TestZoneOutsideTheHomesMovesNothing(t *testing.T) {
+// TestZoneOutsideHomesCausesNoLoad checks that requests with homes cause no load before they
+// wait if the zone that is out did not serve them.
+func TestZoneOutsideHomesCausesNoLoad(t *testing.T) {
 	state := regionState(4, 1)
 	state.Runners[0].Out = true
 	state.Runners[0].hold("m0")
 	state.Runners[1].hold("m0")
 	unit := backend.Unit{Model: "m0"}
-	state.Demand[unit] = asked(2)
-	state.Parts[unit] = []Part{{Homes: inSouth, Demand: asked(2)}}
+	state.Demand[unit] = rateDemand(2)
+	state.Parts[unit] = []Part{{Homes: inSouth, Demand: rateDemand(2)}}
 	assert.Equal(t, len(MakePlan(state).Steps), 0)
 	state.Runners[2].Out = true
 	state.Runners[2].hold("m0")
