--- a/internal/orders/room.go
+++ b/internal/orders/capacity.go
@@ -5,7 +5,7 @@
 	"lilacvane/internal/config"
 )
 
-// Free returns the memory in MB that is neither taken nor may become taken.
+// FreeMemory returns the memory in MB that is not used and that no outstanding order may use.
 func (l *Ledger) Free(engine *config.Engine) float64 {
 	free := engine.ModelMemory
 	for name, model := range l.models {
@@ -14,7 +14,7 @@
 			free -= sizeOf(engine, backend.Unit{Model: name, Adapter: adapter})
 		}
 	}
-	for _, order := range l.open() {
+	for _, order := range l.outstanding() {
 		if order.Action == backend.Load {
 			free -= sizeOf(engine, order.Unit)
 		}
@@ -28,7 +28,7 @@
 	for _, model := range l.models {
 		free -= len(model.Adapters)
 	}
-	for _, order := range l.open() {
+	for _, order := range l.outstanding() {
 		if order.Action == backend.Load && order.Unit.Adapter != "" {
 			free--
 		}
@@ -39,7 +39,8 @@
 func sizeOf(engine *config.Engine, unit backend.Unit) float64 {
 	model := engine.Models[unit.Model]
 	if model == nil {
-		// A model that the configuration no longer names takes an unknown room.
+		// The size of a model that is no longer configured is unknown, so it counts as all
+		// memory.
 		return engine.ModelMemory
 	}
 	if unit.Adapter != "" {
@@ -48,7 +49,7 @@
 	return model.Size
 }
 
-func (l *Ledger) comingAdapters() int {
+func (l *Ledger) loadingAdapters() int {
 	count := 0
 	for _, model := range l.models {
 		for _, adapter := range model.Adapters {
--- a/internal/orders/ledger.go
+++ b/internal/orders/ledger.go
@@ -1,6 +1,6 @@
-// Package orders keeps the holder's account of one runner: what it holds, what
-// was ordered, and what may still happen because an order's answer was lost. It
-// is pure: time is passed in, and nothing is sent from here.
+// Package orders tracks the state of one runner for the lease holder: what it holds, what was
+// ordered, and which orders may still take effect because their answer was lost. It does no
+// I/O and doesn't read the clock.
 package orders
 
 import (
@@ -11,60 +11,63 @@
 )
 
 const (
-	// maximumComingAdapters is how many adapters may be on their way to a runner.
-	maximumComingAdapters = 4
-	// adapterTime is how long an adapter is expected to take.
-	adapterTime = 20 * time.Millisecond
+	// maxLoadingAdapters limits the adapters that a runner loads at a time.
+	maxLoadingAdapters = 4
+	// adapterLoadTime is the expected load time of an adapter.
+	adapterLoadTime = 20 * time.Millisecond
 	// reportInterval is the time between two reports of a busy runner.
 	reportInterval = 60 * time.Millisecond
-	// longestInterval is the longest time without a report of a runner with
-	// something under way. One with nothing under way is believed as listed.
-	longestInterval = time.Second
-	// settledReport is the age at which an order must show in every report.
-	settledReport = 500 * time.Millisecond
-	// drainTime is how long the requests of a model that is unloaded are expected
-	// to take yet.
+	// maxReportInterval is the longest time without a report from a runner that carries out
+	// an order. For other runners the platform's list is trusted.
+	maxReportInterval = time.Second
+	// reportSettleTime is the age from which an order shows in every report.
+	reportSettleTime = 500 * time.Millisecond
+	// drainTime is the expected remaining time of the requests to a model that is being
+	// unloaded.
 	drainTime = time.Second
-	// conflictPause follows a refused order.
+	// conflictPause is the pause in orders after one was refused.
 	conflictPause = 120 * time.Millisecond
 )
 
-// Ledger is the account of one runner. It is not safe for concurrent use.
+// Ledger is the state of one runner. It is not safe for concurrent use.
 type Ledger struct {
 	Runner backend.Runner
-	// Version is the controller's version of the last change of the view.
+	// Version is the controller's version of the last change to this state.
 	Version uint64
 
-	// known is set once the runner's state was told, reported once by itself.
+	// known is set once the runner's state is known, from the platform's list or from itself.
+	// reported is set once it reported itself.
 	known    bool
 	reported bool
-	// reportedAt is when it last did.
+	// reportedAt is the time of its last report.
 	reportedAt time.Time
 	sequence   uint64
 	models     map[string]*Model
-	// lost are orders without an answer that may still be carried out, until
-	// another order is accepted at the same sequence number.
-	lost []backend.Order
-	// unsure is set from a lost order to a report that was asked after it.
-	unsure     bool
-	lastOrder  time.Time
-	busy       bool
-	copies     backend.Copies
-	nextReport time.Time
-	// asking is set while a report is being asked for.
-	asking bool
-	// suspected is set when a node got no answer from the runner, silent when the
+	// unanswered are orders whose answer was lost. They may still take effect until another
+	// order is accepted at the same sequence number.
+	unanswered []backend.Order
+	// needsReport blocks further orders until a report that was requested after the last
+	// order: its answer was lost, it was refused, or it unloads an adapter that may still be
+	// in use.
+	needsReport bool
+	lastOrder   time.Time
+	busy        bool
+	copies      backend.Copies
+	nextReport  time.Time
+	// reportPending is set while a report is being requested.
+	reportPending bool
+	// suspected is set if a node got no answer from the runner, and silent if the lease
 	// holder then got none either.
 	suspected bool
 	silent    bool
-	// sending is the order on its way, if any.
-	sending  *backend.Order
-	notUntil time.Time
+	// sending is the order being sent, or nil.
+	sending     *backend.Order
+	pausedUntil time.Time
 }
 
 // Model is a model on a runner.
 type Model struct {
-	// Coming is set while it is loaded, Leaving while it is unloaded.
+	// Loading is set while it is loaded, Unloading while it is unloaded.
 	Coming   bool
 	Leaving  bool
 	Due      time.Time
@@ -74,25 +77,25 @@
 // Adapter is an adapter of a model on a runner.
 type Adapter struct {
 	Coming bool
-	// Leaving is set while requests still use it that is to be unloaded.
+	// Unloading is set while an adapter to be unloaded is still used by requests.
 	Leaving bool
 	Due     time.Time
 }
 
-// NewLedger returns an account of a runner of which nothing is known yet.
+// NewLedger returns the ledger of a runner in unknown state.
 func NewLedger(runner backend.Runner) *Ledger {
 	return &Ledger{Runner: runner, models: make(map[string]*Model)}
 }
 
-// Known reports whether the runner has told its state.
+// Known reports whether the runner's state is known.
 func (l *Ledger) Known() bool { return l.known }
 
-// Confirmed reports whether all is known of what the runner holds and loads: it
-// has told its state itself and is not busy with something unknown.
+// Confirmed reports whether everything that the runner holds and loads is known: it has
+// reported itself and is not busy with an unknown order.
 func (l *Ledger) Confirmed() bool { return l.reported && !l.ForeignWork() }
 
-// ForeignWork reports whether the runner is busy with an order of an earlier
-// holder: its report does not tell with what.
+// ForeignWork reports whether the runner is busy with an order of an earlier lease holder. Its
+// report doesn't say which.
 func (l *Ledger) ForeignWork() bool {
 	if !l.busy {
 		return false
@@ -105,13 +108,13 @@
 	return true
 }
 
-// Models returns the models by name. The map must not be changed.
+// Models returns the models by name. The caller must not modify the map.
 func (l *Ledger) Models() map[string]*Model { return l.models }
 
-// Uncertain returns the models that only orders without an answer may load.
+// Uncertain returns the models that are only there if an unanswered order was carried out.
 func (l *Ledger) Uncertain() []string {
 	var models []string
-	for _, order := range l.lost {
+	for _, order := range l.unanswered {
 		if order.Action == backend.Load && order.Unit.Adapter == "" && l.models[order.Unit.Model] == nil {
 			models = append(models, order.Unit.Model)
 		}
@@ -119,7 +122,7 @@
 	return models
 }
 
-// Sending returns the model that an order on its way is to load; empty for none.
+// Sending returns the model that the order being sent will load, or "".
 func (l *Ledger) Sending() string {
 	if l.sending == nil || l.sending.Action != backend.Load || l.sending.Unit.Adapter != "" {
 		return ""
@@ -127,15 +130,16 @@
 	return l.sending.Unit.Model
 }
 
-// mayLoad returns the models that the runner loads, or may load by an order that has no answer.
-func (l *Ledger) mayLoad() map[string]bool {
+// possibleLoads returns the models that the runner loads, or may be loading because of an
+// unanswered order.
+func (l *Ledger) possibleLoads() map[string]bool {
 	models := make(map[string]bool)
 	for name, model := range l.models {
 		if model.Coming {
 			models[name] = true
 		}
 	}
-	for _, order := range l.open() {
+	for _, order := range l.outstanding() {
 		if order.Action == backend.Load && order.Unit.Adapter == "" && l.models[order.Unit.Model] == nil {
 			models[order.Unit.Model] = true
 		}
@@ -143,40 +147,40 @@
 	return models
 }
 
-// open lists the orders that may take effect and are not in the account yet.
-func (l *Ledger) open() []backend.Order {
+// outstanding returns the orders that may take effect but are not in the ledger's models yet.
+func (l *Ledger) outstanding() []backend.Order {
 	if l.sending == nil {
-		return l.lost
+		return l.unanswered
 	}
-	return append(slices.Clone(l.lost), *l.sending)
+	return append(slices.Clone(l.unanswered), *l.sending)
 }
 
-// Sequence returns the number of orders the runner is known to have taken.
+// Sequence returns the number of orders that the runner is known to have accepted.
 func (l *Ledger) Sequence() uint64 { return l.sequence }
 
-// Copies returns the weights kept near the runner.
+// Copies returns the copies of weights kept near the runner.
 func (l *Ledger) Copies() backend.Copies { return l.copies }
 
-// MayOrder reports whether the runner may take an order now: while it carries out a
-// model order it refuses all others, those for adapters too.
+// MayOrder reports whether the runner may accept an order now. While it carries out a model
+// order it refuses all others, including those for adapters.
 func (l *Ledger) MayOrder(unit backend.Unit, now time.Time) bool {
-	if !l.known || l.silent || l.sending != nil || l.unsure || now.Before(l.notUntil) {
+	if !l.known || l.silent || l.sending != nil || l.needsReport || now.Before(l.pausedUntil) {
 		return false
 	}
 	if l.busy {
 		return false
 	}
-	return unit.Adapter == "" || l.comingAdapters() < maximumComingAdapters
+	return unit.Adapter == "" || l.loadingAdapters() < maxLoadingAdapters
 }
 
-// BusyFor is how long the runner is expected to take no order: until what is under
-// way there is done and seen; zero when it takes one now. active tells whether
-// requests use a model.
+// BusyFor returns the expected time until the runner accepts orders: until its current work is
+// done and reported, or zero if it accepts one now. active reports whether requests use a
+// model.
 func (l *Ledger) BusyFor(active func(model string) bool, now time.Time) time.Duration {
 	if l.Idle(now) {
 		return 0
 	}
-	busy := max(l.notUntil.Sub(now), backend.ReportLag)
+	busy := max(l.pausedUntil.Sub(now), backend.ReportLag)
 	for name, model := range l.models {
 		switch {
 		case model.Coming:
@@ -188,18 +192,18 @@
 	return busy
 }
 
-// Idle reports whether a model order would be taken.
+// Idle reports whether the runner would accept a model order.
 func (l *Ledger) Idle(now time.Time) bool { return l.MayOrder(backend.Unit{}, now) }
 
-// Begin notes that an order is about to be sent and returns it complete.
+// Begin records that an order is about to be sent and returns the complete order.
 func (l *Ledger) Begin(action backend.Action, unit backend.Unit, owner string, token uint64) backend.Order {
 	order := backend.Order{Action: action, Unit: unit, Expected: l.sequence, Owner: owner, Token: token}
 	l.sending = &order
 	return order
 }
 
-// Delay notes that a load under way is expected later than was thought. It returns whether
-// that is so by more than a report tells apart.
+// Delay postpones the expected end of a load. It returns false, and changes nothing, if there
+// is no such load or the new time is later by no more than the lag of reports.
 func (l *Ledger) Delay(model string, due time.Time) bool {
 	loading := l.models[model]
 	if loading == nil || !loading.Coming || due.Sub(loading.Due) <= backend.ReportLag {
@@ -209,45 +213,44 @@
 	return true
 }
 
-// End notes an order's verdict. due is when an accepted load is expected to be
-// done.
+// End records the verdict on an order. due is the expected end of an accepted load.
 func (l *Ledger) End(order backend.Order, verdict backend.Verdict, now, due time.Time) {
 	l.sending = nil
 	l.lastOrder = now
 	switch verdict {
 	case backend.Accepted:
-		l.accepted(order, now, due)
+		l.applyAccepted(order, now, due)
 	case backend.AlreadyHeld:
-		l.accepted(order, now, now)
-		l.adapterGone(order)
+		l.applyAccepted(order, now, now)
+		l.removeAdapter(order)
 		l.busy = false
 		l.nextReport = now.Add(backend.ReportLag)
 	case backend.Lost:
-		if !slices.Contains(l.lost, order) {
-			l.lost = append(l.lost, order)
+		if !slices.Contains(l.unanswered, order) {
+			l.unanswered = append(l.unanswered, order)
 		}
-		l.unsure = true
+		l.needsReport = true
 		l.nextReport = now.Add(backend.ReportLag)
 	case backend.Conflict, backend.Refused:
-		l.notUntil = now.Add(conflictPause)
-		l.unsure = true
+		l.pausedUntil = now.Add(conflictPause)
+		l.needsReport = true
 		l.nextReport = now.Add(backend.ReportLag)
 	case backend.NotSent:
-		l.notUntil = now.Add(conflictPause)
+		l.pausedUntil = now.Add(conflictPause)
 	}
 }
 
-func (l *Ledger) accepted(order backend.Order, now, due time.Time) {
+func (l *Ledger) applyAccepted(order backend.Order, now, due time.Time) {
 	l.sequence = order.Expected + 1
-	l.forgetPassed()
+	l.dropObsolete()
 	unit := order.Unit
 	if unit.Adapter != "" {
-		l.adapterAccepted(order, now)
+		l.applyAcceptedAdapter(order, now)
 		return
 	}
 	l.busy = true
 	l.nextReport = due
-	if soon := now.Add(longestInterval); due.After(soon) {
+	if soon := now.Add(maxReportInterval); due.After(soon) {
 		l.nextReport = soon
 	}
 	if order.Action == backend.Load {
@@ -260,44 +263,45 @@
 	}
 }
 
-func (l *Ledger) adapterAccepted(order backend.Order, now time.Time) {
+func (l *Ledger) applyAcceptedAdapter(order backend.Order, now time.Time) {
 	model := l.models[order.Unit.Model]
 	if model == nil {
 		return
 	}
 	if order.Action == backend.Unload {
-		l.adapterLeaves(model, order, now)
+		l.applyAdapterUnload(model, order, now)
 		return
 	}
-	model.Adapters[order.Unit.Adapter] = &Adapter{Coming: true, Due: now.Add(adapterTime)}
-	if l.nextReport.IsZero() || l.nextReport.After(now.Add(adapterTime)) {
-		l.nextReport = now.Add(adapterTime + backend.ReportLag)
+	model.Adapters[order.Unit.Adapter] = &Adapter{Coming: true, Due: now.Add(adapterLoadTime)}
+	if l.nextReport.IsZero() || l.nextReport.After(now.Add(adapterLoadTime)) {
+		l.nextReport = now.Add(adapterLoadTime + backend.ReportLag)
 	}
 }
 
-// adapterLeaves notes that an adapter goes once no request uses it any more. Until
-// a report shows it, the runner takes no other order: its number moves again.
-func (l *Ledger) adapterLeaves(model *Model, order backend.Order, now time.Time) {
+// applyAdapterUnload records that an adapter is unloaded once no request uses it any more. The
+// runner gets no other order until a report shows that, because its sequence number increases
+// again.
+func (l *Ledger) applyAdapterUnload(model *Model, order backend.Order, now time.Time) {
 	if adapter := model.Adapters[order.Unit.Adapter]; adapter != nil {
 		adapter.Leaving = true
 	}
-	l.unsure = true
+	l.needsReport = true
 	l.nextReport = now.Add(backend.ReportLag)
 }
 
-// adapterGone notes that an adapter's unload was done at once.
-func (l *Ledger) adapterGone(order backend.Order) {
+// removeAdapter records that an adapter was unloaded immediately.
+func (l *Ledger) removeAdapter(order backend.Order) {
 	if order.Action != backend.Unload || order.Unit.Adapter == "" {
 		return
 	}
 	if model := l.models[order.Unit.Model]; model != nil {
 		delete(model.Adapters, order.Unit.Adapter)
 	}
-	l.unsure = false
+	l.needsReport = false
 }
 
-// Settle takes adapters as loaded whose time has come. It returns whether any
-// were.
+// CompleteAdapterLoads marks adapters as loaded whose load time has passed. It returns whether
+// there were any.
 func (l *Ledger) Settle(now time.Time) bool {
 	settled := false
 	for _, model := range l.models {
--- a/internal/orders/ledger_test.go
+++ b/internal/orders/ledger_test.go
@@ -21,9 +21,9 @@
 	return engine
 }
 
-// TestAdapterInUseLeavesLater: an adapter whose unload waits for requests keeps its
-// place, and the runner takes no other order until it has told its number. It failed
-// first: the next order expected a number that the runner did not have.
+// TestAdapterInUseLeavesLater checks that an adapter whose unload waits for requests keeps its
+// slot, and that the runner gets no other order until it has reported its sequence number. The
+// next order used to expect a number that the runner did not have.
 func TestAdapterInUseLeavesLater(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ledger := NewLedger(backend.Runner{ID: "r"})
@@ -48,8 +48,8 @@
 	assert.Assert(t, ledger.MayOrder(other, now))
 }
 
-// fakeRunner takes orders as the platform's runners do: by expected number, one
-// model at a time, some without an answer and some late.
+// fakeRunner accepts orders like the platform's runners: by expected sequence number and one
+// model at a time. Some orders get no answer and some arrive late.
 type fakeRunner struct {
 	engine   *config.Engine
 	sequence uint64
@@ -103,7 +103,7 @@
 	return backend.Accepted
 }
 
-// check fails when an order reached beyond memory or places.
+// check fails if an order exceeded the memory or the adapter slots.
 func (r *fakeRunner) check(t *rapid.T, order backend.Order) {
 	used, places := 0.0, 0
 	for model, adapters := range r.models {
@@ -130,8 +130,9 @@
 	return report
 }
 
-// TestOrdersNeverOvercommit: whatever is lost, late or reported late, an order
-// that the account allows never reaches beyond a runner's memory or places.
+// TestOrdersNeverOvercommit checks that an order allowed by the ledger never exceeds a
+// runner's memory or adapter slots, whichever answers are lost and however late orders and
+// reports arrive.
 func TestOrdersNeverOvercommit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engine := testEngine()
@@ -159,7 +160,7 @@
 				row := reports[index].report
 				ledger.Listed(backend.Runner{ID: "r", Models: row.Models, Sequence: row.Sequence}, now)
 			case "report":
-				// A report is as old as the lag allows, and may be old for longer.
+				// A report is as old as the lag allows, and some are older.
 				lag := now.Add(-time.Duration(rapid.IntRange(0, 140).Draw(t, "lag")) * time.Millisecond)
 				index := len(reports) - 1
 				for index > 0 && reports[index].at.After(lag) {
@@ -208,8 +209,8 @@
 	ledger.End(order, verdict, now, now)
 }
 
-// TestLostOrderCounts: an order without an answer takes its room until another
-// one was accepted in its place.
+// TestLostOrderCounts checks that an unanswered order occupies memory until another one was
+// accepted in its place.
 func TestLostOrderCounts(t *testing.T) {
 	engine := testEngine()
 	now := time.Unix(1000, 0)
@@ -221,20 +222,20 @@
 	ledger.End(order, backend.Lost, now, now)
 	assert.Equal(t, ledger.Free(engine), 60.0)
 	assert.DeepEqual(t, ledger.Uncertain(), []string{"m0"})
-	assert.Assert(t, !ledger.MayOrder(backend.Unit{Model: "m1"}, now), "ordered without knowing")
+	assert.Assert(t, !ledger.MayOrder(backend.Unit{Model: "m1"}, now), "an order was allowed before a new report")
 	later := now.Add(time.Second)
 	ledger.Reported(backend.Report{}, later, later)
 	assert.Assert(t, ledger.MayOrder(backend.Unit{Model: "m1"}, later))
-	assert.Equal(t, ledger.Free(engine), 60.0, "it may still be carried out")
+	assert.Equal(t, ledger.Free(engine), 60.0, "the unanswered order may still take effect")
 	next := ledger.Begin(backend.Load, backend.Unit{Model: "m1"}, "node", 1)
 	ledger.End(next, backend.Accepted, later, later)
-	assert.Equal(t, ledger.Free(engine), 60.0, "the number that it expects has passed")
+	assert.Equal(t, ledger.Free(engine), 60.0, "the unanswered order can no longer take effect")
 	assert.Equal(t, len(ledger.Uncertain()), 0)
 }
 
-// TestListedRunnerIsConfirmedFirst: the platform's word leaves out adapters on
-// their way, so an order waits for a report. It failed first: adapters were
-// ordered beyond a runner's places on the strength of the list.
+// TestListedRunnerIsConfirmedFirst checks that an order waits for a report, because the
+// platform's list leaves out adapters that are still loading. Adapters used to be ordered
+// beyond a runner's slots because of the list.
 func TestListedRunnerIsConfirmedFirst(t *testing.T) {
 	engine := testEngine()
 	now := time.Unix(1000, 0)
@@ -242,7 +243,7 @@
 	row := backend.Runner{ID: "r", Sequence: 4, Models: []backend.Holding{{Model: "m0", Adapters: []string{"a0"}}}}
 	ledger.Listed(row, now)
 	assert.Assert(t, ledger.Known())
-	assert.Assert(t, ledger.MayOrder(backend.Unit{Model: "m0", Adapter: "a1"}, now), "it is planned with")
+	assert.Assert(t, ledger.MayOrder(backend.Unit{Model: "m0", Adapter: "a1"}, now), "a listed runner may be planned with")
 	assert.Equal(t, ledger.FreeAdapterSlots(engine), 1)
 	assert.Assert(t, !ledger.Confirm(now))
 	assert.Assert(t, ledger.WantsReport(now))
@@ -250,13 +251,13 @@
 	ledger.Reported(report, now, now)
 	assert.Assert(t, ledger.Confirm(now))
 	assert.Equal(t, ledger.FreeAdapterSlots(engine), 0)
-	ledger.Listed(row, now.Add(time.Second)) // behind the account
+	ledger.Listed(row, now.Add(time.Second)) // the list is behind the ledger
 	assert.Equal(t, ledger.FreeAdapterSlots(engine), 0)
 }
 
-// TestBusyRunnerOfEarlierHolder: a runner that is busy with what an earlier holder
-// ordered tells only that it is; until it is idle again nothing is certain of
-// what it holds, and no adapter is ordered beside the load.
+// TestBusyRunnerOfEarlierHolder checks that a runner busy with an order of an earlier lease
+// holder, which reports only that it is busy, is not confirmed and gets no adapter orders
+// until it is idle again.
 func TestBusyRunnerOfEarlierHolder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ledger := NewLedger(backend.Runner{ID: "r"})
--- a/internal/orders/reports.go
+++ b/internal/orders/reports.go
@@ -8,8 +8,7 @@
 	"lilacvane/internal/backend"
 )
 
-// NextDue returns when something of the account is due: a report, or an
-// adapter's load; zero when nothing is.
+// NextDue returns when a report or the end of an adapter's load is due next, or the zero time.
 func (l *Ledger) NextDue() time.Time {
 	due := l.nextReport
 	for _, model := range l.models {
@@ -22,24 +21,24 @@
 	return due
 }
 
-// WantsReport reports whether the runner should be asked for a report now, and
-// notes that it is.
+// WantsReport reports whether to request a report from the runner now. If so, it records that
+// the report is being requested.
 func (l *Ledger) WantsReport(now time.Time) bool {
-	if l.asking || l.sending != nil || l.nextReport.IsZero() || now.Before(l.nextReport) {
+	if l.reportPending || l.sending != nil || l.nextReport.IsZero() || now.Before(l.nextReport) {
 		return false
 	}
-	l.asking = true
+	l.reportPending = true
 	l.nextReport = now.Add(reportInterval)
 	return true
 }
 
-// suspectAgain is the age at which a report no longer clears a runner.
-const suspectAgain = 300 * time.Millisecond
+// suspectAfter is the age from which a report no longer shows that a runner is alive.
+const suspectAfter = 300 * time.Millisecond
 
-// Suspect notes that a node got no answer from the runner. It returns whether the
-// runner is to be asked for a report.
+// Suspect records that a node got no answer from the runner. It returns whether to request a
+// report from the runner.
 func (l *Ledger) Suspect(now time.Time) bool {
-	if l.silent || l.suspected || now.Sub(l.reportedAt) < suspectAgain {
+	if l.silent || l.suspected || now.Sub(l.reportedAt) < suspectAfter {
 		return false
 	}
 	l.suspected = true
@@ -47,23 +46,23 @@
 	return true
 }
 
-// Silent reports whether the runner answers neither a node nor the holder. What it
-// holds stays in the account, but nothing is to be expected of it.
+// Silent reports whether the runner answers neither a node nor the lease holder. The ledger
+// keeps what it holds, but no service is expected from it.
 func (l *Ledger) Silent() bool { return l.silent }
 
-// ReportFailed delays the next report of a runner that does not answer. It returns
-// whether nodes are to be told that it is silent.
+// ReportFailed postpones the next report of a runner that did not answer. It returns whether
+// nodes should be told that the runner is silent.
 func (l *Ledger) ReportFailed(now time.Time, pause time.Duration) bool {
-	l.asking = false
+	l.reportPending = false
 	l.nextReport = now.Add(pause)
 	l.silent = l.silent || l.suspected
 	return l.silent
 }
 
-// Listed takes over the platform's word of the runner. It lags and leaves out what
-// is on its way, so it is only believed of a runner that has not reported, and
-// only to plan with: an order needs a report. A word that differs from the
-// account asks for one. Other nodes hear it from the platform themselves.
+// Listed applies the runner's entry in the platform's list. The list lags and leaves out what
+// is still loading, so it is used only until the runner has reported, and only for planning:
+// an order requires a report. Afterwards an entry that differs from the ledger only triggers a
+// new report. Other nodes read the list from the platform themselves.
 func (l *Ledger) Listed(runner backend.Runner, now time.Time) {
 	changed := !reflect.DeepEqual(runner.Models, l.Runner.Models) || runner.Sequence != l.Runner.Sequence
 	l.Runner = runner
@@ -79,11 +78,11 @@
 	l.known = true
 	l.sequence = runner.Sequence
 	l.copies = runner.Copies
-	l.takeModels(backend.Report{Models: runner.Models}, now)
+	l.applyModels(backend.Report{Models: runner.Models}, now)
 }
 
-// Confirm asks for a report of a runner that is to be ordered and has not
-// reported yet. It returns whether the runner has.
+// EnsureReport requests a report from a runner that is about to get an order and has not
+// reported yet. It returns whether the runner has reported.
 func (l *Ledger) Confirm(now time.Time) bool {
 	if !l.reported && l.nextReport.IsZero() {
 		l.nextReport = now
@@ -91,42 +90,42 @@
 	return l.reported
 }
 
-// Reported takes over a report that was asked for at a time. One that is behind
-// the last accepted order is passed over, unless it was asked so long after it
-// that it must show it. It returns whether the view changed.
-func (l *Ledger) Reported(report backend.Report, asked, now time.Time) bool {
-	spoke := l.silent
-	l.asking, l.suspected, l.silent = false, false, false
+// Reported applies a report that was requested at requestedAt. A report older than the last
+// accepted order is ignored, unless it was requested so long after the order that it must
+// include it. It returns whether the state changed.
+func (l *Ledger) Reported(report backend.Report, requestedAt, now time.Time) bool {
+	wasSilent := l.silent
+	l.reportPending, l.suspected, l.silent = false, false, false
 	l.reportedAt = now
-	settled := asked.Sub(l.lastOrder) >= settledReport
+	settled := requestedAt.Sub(l.lastOrder) >= reportSettleTime
 	if l.sending != nil || (l.known && report.Sequence < l.sequence && !settled) {
-		return spoke
+		return wasSilent
 	}
-	if asked.Sub(l.lastOrder) >= backend.ReportLag {
-		l.unsure = false
+	if requestedAt.Sub(l.lastOrder) >= backend.ReportLag {
+		l.needsReport = false
 	}
 	before := l.fingerprint()
 	l.known, l.reported = true, true
 	l.sequence = report.Sequence
-	l.forgetPassed()
+	l.dropObsolete()
 	l.busy = report.Busy
 	l.copies = report.Copies
-	l.takeModels(report, now)
+	l.applyModels(report, now)
 	l.nextReport = time.Time{}
-	if l.busy || l.unsure || l.comingAdapters() > 0 {
+	if l.busy || l.needsReport || l.loadingAdapters() > 0 {
 		l.nextReport = now.Add(reportInterval)
 	}
-	return spoke || before != l.fingerprint()
+	return wasSilent || before != l.fingerprint()
 }
 
-// forgetPassed drops the orders without an answer that can no longer be carried
-// out: the number that they expect has passed.
-func (l *Ledger) forgetPassed() {
-	l.lost = slices.DeleteFunc(l.lost, func(order backend.Order) bool { return order.Expected < l.sequence })
+// dropObsolete removes unanswered orders that can no longer take effect because the runner has
+// passed the sequence number that they expect.
+func (l *Ledger) dropObsolete() {
+	l.unanswered = slices.DeleteFunc(l.unanswered, func(order backend.Order) bool { return order.Expected < l.sequence })
 }
 
-// keepLeaving goes on counting adapters as leaving that are still there.
-func (m *Model) keepLeaving(was *Model) {
+// keepUnloading keeps adapters marked as unloading that are still there.
+func (m *Model) keepUnloading(was *Model) {
 	for name, adapter := range m.Adapters {
 		if before := was.Adapters[name]; before != nil {
 			adapter.Leaving = before.Leaving
@@ -134,7 +133,7 @@
 	}
 }
 
-func (l *Ledger) takeModels(report backend.Report, now time.Time) {
+func (l *Ledger) applyModels(report backend.Report, now time.Time) {
 	before := l.models
 	l.models = make(map[string]*Model, len(report.Models))
 	for _, holding := range report.Models {
@@ -144,13 +143,13 @@
 		}
 		if was := before[holding.Model]; was != nil {
 			model.Leaving = was.Leaving && report.Busy
-			model.keepLeaving(was)
+			model.keepUnloading(was)
 		}
 		l.models[holding.Model] = model
 	}
 	for _, unit := range report.Pending {
 		if model := l.models[unit.Model]; model != nil {
-			model.Adapters[unit.Adapter] = &Adapter{Coming: true, Due: now.Add(adapterTime)}
+			model.Adapters[unit.Adapter] = &Adapter{Coming: true, Due: now.Add(adapterLoadTime)}
 		}
 	}
 	if !report.Busy {
@@ -163,7 +162,7 @@
 	}
 }
 
-// fingerprint sums up what other nodes are told of the runner.
+// fingerprint encodes the part of the runner's state that other nodes are told.
 func (l *Ledger) fingerprint() string {
 	units := make([]string, 0, len(l.models))
 	for name, model := range l.models {
--- a/internal/orders/silent_test.go
+++ b/internal/orders/silent_test.go
@@ -9,33 +9,33 @@
 	"lilacvane/internal/backend"
 )
 
-// TestSilentRunner: a runner is silent when neither a node nor the holder gets an
-// answer; it takes no orders then, and its next report ends that.
+// TestSilentRunner checks that a runner is silent if neither a node nor the lease holder gets
+// an answer, that it then gets no orders, and that its next report ends the silence.
 func TestSilentRunner(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ledger := NewLedger(backend.Runner{ID: "r"})
 	ledger.Reported(backend.Report{Models: []backend.Holding{{Model: "m"}}}, now, now)
-	assert.Assert(t, !ledger.Suspect(now.Add(suspectAgain/2)), "it has just reported")
+	assert.Assert(t, !ledger.Suspect(now.Add(suspectAfter/2)), "the runner has just reported")
 	now = now.Add(time.Second)
-	assert.Assert(t, !ledger.ReportFailed(now, time.Second), "nobody suspected it")
+	assert.Assert(t, !ledger.ReportFailed(now, time.Second), "no node suspected the runner")
 	assert.Assert(t, ledger.Suspect(now))
-	assert.Assert(t, !ledger.Suspect(now), "it is asked already")
+	assert.Assert(t, !ledger.Suspect(now), "a report is already requested")
 	assert.Assert(t, ledger.WantsReport(now))
-	assert.Assert(t, !ledger.WantsReport(now.Add(time.Minute)), "one report is asked for at a time")
+	assert.Assert(t, !ledger.WantsReport(now.Add(time.Minute)), "a second report was requested before the first ended")
 	assert.Assert(t, ledger.ReportFailed(now, time.Second))
 	assert.Assert(t, ledger.Silent())
 	assert.Assert(t, !ledger.MayOrder(backend.Unit{Model: "n"}, now))
-	assert.Assert(t, ledger.Models()["m"] != nil, "what it holds stays in the account")
+	assert.Assert(t, ledger.Models()["m"] != nil, "the models of a silent runner stay in the ledger")
 	now = now.Add(time.Second)
 	assert.Assert(t, ledger.WantsReport(now))
-	assert.Assert(t, ledger.Reported(backend.Report{Models: []backend.Holding{{Model: "m"}}}, now, now), "nodes are told")
+	assert.Assert(t, ledger.Reported(backend.Report{Models: []backend.Holding{{Model: "m"}}}, now, now), "nodes must be told that the runner is back")
 	assert.Assert(t, !ledger.Silent())
 	assert.Assert(t, ledger.MayOrder(backend.Unit{Model: "n"}, now))
 }
 
-// TestAdapterWaitsForModelOrder: a runner that carries out a model order refuses
-// all others, so an adapter is not ordered there meanwhile. It failed first: an
-// adapter was ordered again and again until the load was done.
+// TestAdapterWaitsForModelOrder checks that no adapter is ordered on a runner that carries out
+// a model order, as it refuses all others. An adapter used to be ordered again and again until
+// the load was done.
 func TestAdapterWaitsForModelOrder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ledger := NewLedger(backend.Runner{ID: "r"})
