--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -10,15 +10,15 @@
 
 var start = time.Unix(1000, 0)
 
-// TestTermsOfNonsense: rates of zero and less, and such as are no numbers, make no runner
-// cold; what is huge is bounded.
-func TestTermsOfNonsense(t *testing.T) {
+// TestInvalidTerms checks that rates that are zero, negative or not finite make no runner
+// cold, and that huge values are limited.
+func TestInvalidTerms(t *testing.T) {
 	for _, rate := range []float64{0, -1, math.NaN(), math.Inf(1), math.Inf(-1)} {
 		assert.Equal(t, NewTerms(rate, 1.5, 5, time.Second, Lent{}), Terms{}, "rate %g", rate)
 	}
 	assert.Equal(t, NewTerms(6.9, 1.5, 5, time.Second, Lent{}).Bound, Bound(15))
 	assert.Equal(t, NewTerms(0.5, 1, 0, time.Second, Lent{}).Bound, Bound(0))
-	assert.Equal(t, NewTerms(1e300, 1e300, 0, time.Second, Lent{}).Bound, Bound(largestBound))
+	assert.Equal(t, NewTerms(1e300, 1e300, 0, time.Second, Lent{}).Bound, Bound(maxBound))
 	assert.Equal(t, NewTerms(6.9, math.NaN(), 5, time.Second, Lent{}).Bound, Bound(0))
 	assert.Equal(t, NewTerms(6.9, 1, 5, math.MaxInt64, Lent{}).Start, Longest)
 	assert.Equal(t, NewTerms(6.9, 1, 5, -1, Lent{}).Start, time.Duration(0))
@@ -27,8 +27,9 @@
 	assert.Equal(t, runner.Until(NewTerms(6.9, 1, 5, 0, Lent{}), time.Time{}), start.Add(Longest))
 }
 
-// TestNewRunnerIsSupposedCold: a runner that came while the node ran is cold for its start
-// though its first row does not say so, until a later row says that it is not.
+// TestNewRunnerIsSupposedCold checks that a runner that appeared while the node was running
+// counts as cold for its cold start time, although its first row does not say so, until a
+// later row says that it is not.
 func TestNewRunnerIsSupposedCold(t *testing.T) {
 	terms := NewTerms(6.9, 1.5, 5, 3*time.Second, Lent{})
 	var runner Runner
@@ -38,12 +39,13 @@
 	runner.Hear(Word{Proof: true}, start.Add(time.Second))
 	assert.Assert(t, !runner.Until(terms, time.Time{}).After(start.Add(time.Second)))
 	runner.Hear(Word{For: 2 * time.Second, Proof: true}, start.Add(5*time.Second))
-	assert.Equal(t, runner.Until(terms, time.Time{}), start.Add(7*time.Second), "it became cold again")
+	assert.Equal(t, runner.Until(terms, time.Time{}), start.Add(7*time.Second), "the runner became cold again")
 	assert.Assert(t, runner.Said())
-	assert.Assert(t, runner.Until(Terms{}, time.Time{}).IsZero(), "no runner of its service is cold")
+	assert.Assert(t, runner.Until(Terms{}, time.Time{}).IsZero(), "the zero terms have no cold start")
 }
 
-// TestReturnedZoneIsCold: until a row that was heard after the return says otherwise.
+// TestReturnedZoneIsCold checks that a runner counts as cold after its zone returned, until a
+// row received after the return says otherwise.
 func TestReturnedZoneIsCold(t *testing.T) {
 	terms := NewTerms(6.9, 1.5, 5, 3*time.Second, Lent{})
 	var runner Runner
@@ -54,8 +56,9 @@
 	assert.Assert(t, !runner.Until(terms, returned).After(returned.Add(time.Second)))
 }
 
-// TestPermitEndsByItsQuestion: a permit that was long on its way is worth nothing.
-func TestPermitEndsByItsQuestion(t *testing.T) {
+// TestPermitExpiresByRequestTime checks that the validity of a permit counts from the node's
+// request for it, so that one delayed on the way has expired.
+func TestPermitExpiresByRequestTime(t *testing.T) {
 	terms := NewTerms(6.9, 1.5, 5, 3*time.Second, Lent{})
 	var runner Runner
 	runner.Lent(2, start, 0, start.Add(Validity-time.Millisecond))
@@ -65,14 +68,15 @@
 	assert.Equal(t, runner.Permits(start.Add(Validity)), 0)
 }
 
-// TestNewHolderWaits: it lends nothing until what the one before it lent has run out.
+// TestNewHolderWaits checks that a new lease holder lends nothing until the permits of the
+// previous holder have expired.
 func TestNewHolderWaits(t *testing.T) {
 	lender := NewLender(start)
 	count, next := lender.Lend("r", 1, 15, start.Add(Held-time.Millisecond))
 	assert.Equal(t, count, 0)
 	assert.Equal(t, next, time.Millisecond)
 	count, next = lender.Lend("r", 100, 15, start.Add(Held))
-	assert.Equal(t, count, 5, "not all to one node")
+	assert.Equal(t, count, 5, "one node must not get all permits")
 	assert.Equal(t, next, time.Duration(0))
 	lender.Lend("r", 5, 15, start.Add(Held))
 	lender.Lend("r", 5, 15, start.Add(Held))
@@ -84,8 +88,8 @@
 	assert.Equal(t, next, Longest, "the bound allows none")
 }
 
-// TestLentCountsUntilItRanOut: what is lent may be spent at the end of its time, so nothing
-// takes its place until a second after that.
+// TestLentCountsUntilItRanOut checks that a permit counts until one window after its expiry,
+// as it may be spent at the last moment of its validity.
 func TestLentCountsUntilItRanOut(t *testing.T) {
 	lender := NewLender(start)
 	now := start.Add(Held)
@@ -96,15 +100,15 @@
 	terms := NewTerms(1, 1, 0, time.Minute, Lent{})
 	spent := now.Add(Validity - 1)
 	assert.Assert(t, runner.May("r", terms, spent))
-	count, next := lender.Lend("r", 1, 1, spent.Add(Second))
+	count, next := lender.Lend("r", 1, 1, spent.Add(Window))
 	assert.Equal(t, count, 0)
 	assert.Equal(t, next, time.Duration(1))
 	count, _ = lender.Lend("r", 1, 1, now.Add(Held+1))
 	assert.Equal(t, count, 1)
 }
 
-// TestLenderForgets: runners that nothing is lent for take no room.
-func TestLenderForgets(t *testing.T) {
+// TestLenderRemovesRunners checks that runners without unexpired permits are removed.
+func TestLenderRemovesRunners(t *testing.T) {
 	lender := NewLender(start)
 	now := start.Add(Held)
 	lender.Lend("gone", 1, 15, now)
@@ -112,19 +116,19 @@
 	assert.Equal(t, len(lender.runners), 1)
 }
 
-// TestShareGrowsWithAnswers: a runner that was cold just now gets more at once with each
-// prompt answer, and is like any other after a while.
+// TestShareGrowsWithAnswers checks that the share of a runner that was cold recently grows
+// with each prompt answer, and that the limit ends after a while.
 func TestShareGrowsWithAnswers(t *testing.T) {
 	terms := NewTerms(6.9, 1.5, 5, 3*time.Second, Lent{})
 	var runner Runner
 	_, warming := runner.Warming(time.Time{}, terms, start)
-	assert.Assert(t, !warming, "it never was cold")
+	assert.Assert(t, !warming, "the runner was never cold")
 	share, warming := runner.Warming(start, terms, start)
-	assert.Assert(t, warming && share == firstShare)
+	assert.Assert(t, warming && share == initialShare)
 	runner.Answered(true)
 	runner.Answered(false)
 	share, warming = runner.Warming(start, terms, start)
-	assert.Assert(t, warming && share == firstShare+1)
+	assert.Assert(t, warming && share == initialShare+1)
 	_, warming = runner.Warming(start, terms, start.Add(warmingStarts*3*time.Second))
 	assert.Assert(t, !warming)
 }
--- a/internal/coldstart/lender.go
+++ b/internal/coldstart/lender.go
@@ -5,57 +5,58 @@
 )
 
 const (
-	// Validity is how long a permit may be spent after its node sent the question that
-	// was answered with it: an answer on a busy machine, and the request that it is for.
+	// Validity is how long after its request for permits a node may spend a permit from the
+	// answer. It covers an answer from a busy machine and the request that uses the permit.
 	Validity = 500 * time.Millisecond
-	// Held is how long a permit counts after it was lent: until it has run out and the
-	// last second that it could be spent in has passed.
-	Held = Validity + Second
-	// nodeShare is the part of the bound that one answer lends at most, so that one node
-	// does not take all.
+	// LendingPeriod is how long a permit counts after it was lent: until it has expired and
+	// the last window in which it may have been spent has passed.
+	Held = Validity + Window
+	// nodeShare limits the permits in one answer to the bound divided by nodeShare, but at
+	// least one permit, so that one node does not get all.
 	nodeShare = 3
 )
 
-// Lender is the account of the permits that the holder of a control lease lent. What is
-// lent counts as spent until it has run out, whether it arrived or not.
+// Lender counts the permits that the holder of a control lease has lent. A permit counts as
+// spent until its period has passed, whether the answer arrived or not.
 type Lender struct {
-	// from is when it begins to lend: what a holder before it lent has run out by then.
-	from    time.Time
-	runners map[string][]lending
-	sweptAt time.Time
+	// lendsFrom is when the holder begins to lend: by then the permits of the previous holder
+	// have expired.
+	lendsFrom time.Time
+	runners   map[string][]lending
+	sweptAt   time.Time
 }
 
-// lending is what was lent at one time.
+// lending is a number of permits lent at one time.
 type lending struct {
 	at    time.Time
 	count int
-	// counts is how long it counts.
-	counts time.Duration
+	// period is how long they count.
+	period time.Duration
 }
 
-// NewLender returns the account of a holder that took its lease at now. Nobody else has
-// lent anything since.
+// NewLender returns the Lender of a node that became the lease holder at now. No other node
+// has lent permits since then.
 func NewLender(now time.Time) *Lender {
-	return &Lender{from: now.Add(Held), runners: make(map[string][]lending), sweptAt: now}
+	return &Lender{lendsFrom: now.Add(Held), runners: make(map[string][]lending), sweptAt: now}
 }
 
-// Lend lends permits for a cold runner, as many as are wanted at most. next is the time until
-// another one can be lent; zero when one can now.
+// Lend lends up to wanted permits for a cold runner. next is the time until another permit can
+// be lent, zero if one can be lent now.
 func (l *Lender) Lend(runner string, wanted int, bound Bound, now time.Time) (count int, next time.Duration) {
 	return l.LendWithin(runner, wanted, bound, Held, now)
 }
 
-// LendWithin is Lend for a runner for which what is lent counts for period.
+// LendWithin is like Lend, but the permits count for period.
 func (l *Lender) LendWithin(runner string, wanted int, bound Bound, period time.Duration, now time.Time) (count int, next time.Duration) {
-	if now.Before(l.from) {
-		return 0, l.from.Sub(now)
+	if now.Before(l.lendsFrom) {
+		return 0, l.lendsFrom.Sub(now)
 	}
 	l.sweep(now)
-	lent := current(l.runners[runner], now)
+	lent := unexpired(l.runners[runner], now)
 	left := int(bound) - sum(lent)
 	count = max(min(wanted, left, max(int(bound)/nodeShare, 1)), 0)
 	if count > 0 {
-		lent = append(lent, lending{at: now, count: count, counts: period})
+		lent = append(lent, lending{at: now, count: count, period: period})
 	}
 	if len(lent) > 0 {
 		l.runners[runner] = lent
@@ -63,37 +64,37 @@
 	return count, untilNext(lent, left-count, now)
 }
 
-// untilNext is the time until a permit is free again, of which left are now.
+// untilNext returns the time until a permit is available. left permits are available now.
 func untilNext(lent []lending, left int, now time.Time) time.Duration {
 	switch {
 	case left > 0:
 		return 0
 	case len(lent) == 0:
-		// The bound allows none at all.
+		// The bound allows no permits at all.
 		return Longest
 	default:
-		return lent[0].at.Add(lent[0].counts).Sub(now)
+		return lent[0].at.Add(lent[0].period).Sub(now)
 	}
 }
 
-// sweep forgets runners that nothing is lent for any more.
+// sweep removes runners without unexpired permits.
 func (l *Lender) sweep(now time.Time) {
 	if now.Sub(l.sweptAt) < Held {
 		return
 	}
 	l.sweptAt = now
 	for runner, lent := range l.runners {
-		if len(current(lent, now)) == 0 {
+		if len(unexpired(lent, now)) == 0 {
 			delete(l.runners, runner)
 		}
 	}
 }
 
-// current drops what counts no more. A lending counts through the whole of its last
-// moment, as the window's ends belong to it.
-func current(lent []lending, now time.Time) []lending {
+// unexpired returns the lendings that still count. A lending counts up to and including the
+// end of its period, because the window includes its ends.
+func unexpired(lent []lending, now time.Time) []lending {
 	first := 0
-	for first < len(lent) && now.Sub(lent[first].at) > lent[first].counts {
+	for first < len(lent) && now.Sub(lent[first].at) > lent[first].period {
 		first++
 	}
 	return lent[first:]
--- a/internal/coldstart/limit_test.go
+++ b/internal/coldstart/limit_test.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// limitSpan is the window in which the sends of the tests are counted, limitTimes and limitMore
-	// what of a rate may come in it, and how many requests more.
-	limitSpan  = 4 * time.Second
-	limitTimes = 1.5
-	limitMore  = 5
+	// limitWindow is the window in which the tests count sent requests. allowedFactor and
+	// allowedExtra are the allowed multiple of the rate in it and the number of requests
+	// allowed beyond that.
+	limitWindow   = 4 * time.Second
+	allowedFactor = 1.5
+	allowedExtra  = 5
 )
 
-// mostWithin is how many of some moments lie in one span at most.
-func mostWithin(moments []time.Time, span time.Duration) int {
+// maxInWindow returns the largest number of moments that lie in one window.
+func maxInWindow(moments []time.Time, span time.Duration) int {
 	slices.SortFunc(moments, time.Time.Compare)
 	most, first := 0, 0
 	for i, at := range moments {
@@ -32,20 +33,21 @@
 	return most
 }
 
-// TestLimitTerms: the rate is kept by whole requests, whatever was named.
+// TestLimitTerms checks that any rate is kept with whole requests.
 func TestLimitTerms(t *testing.T) {
 	for rate, want := range map[float64]struct {
 		bound  Bound
 		period time.Duration
-	}{1: {1, time.Second}, 0.25: {1, 4 * time.Second}, 2.5: {2, 800 * time.Millisecond}, 1e300: {largestBound, 0}, 1e-9: {1, Longest}} {
+	}{1: {1, time.Second}, 0.25: {1, 4 * time.Second}, 2.5: {2, 800 * time.Millisecond}, 1e300: {maxBound, 0}, 1e-9: {1, Longest}} {
 		terms := NewLimit(rate, Lent{})
 		assert.Equal(t, terms.Bound, want.bound, "%g", rate)
 		assert.Equal(t, terms.Period, want.period, "%g", rate)
 	}
 }
 
-// TestLentLimitIsKept: nodes that want more all the time get the rate in the mean, and no more than a
-// few requests beyond it in any window, though permits are spent as late as they may be.
+// TestLentLimitIsKept checks that nodes that always want more permits get the rate on average,
+// and no more than a few extra requests in any window, even if permits are spent at any time
+// within their validity.
 func TestLentLimitIsKept(t *testing.T) {
 	for _, rate := range []float64{0.3, 1, 4.5, 40} {
 		terms, lender, now := NewLimit(rate, Lent{}), NewLender(start), start.Add(Held)
@@ -57,13 +59,14 @@
 				sent = append(sent, now.Add(rand.N(Validity)))
 			}
 		}
-		most, allowed := mostWithin(sent, limitSpan), rate*limitTimes*limitSpan.Seconds()+limitMore
+		most, allowed := maxInWindow(sent, limitWindow), rate*allowedFactor*limitWindow.Seconds()+allowedExtra
 		assert.Assert(t, float64(most) <= allowed, "%g a second: %d", rate, most)
 		assert.Assert(t, math.Abs(float64(len(sent))/120-rate) < 0.1*rate+0.02, "%g a second: %d in 2 min", rate, len(sent))
 	}
 }
 
-// TestTurnsKeepALimit: nodes without a holder, which all begin to send at the same moment.
+// TestTurnsKeepALimit checks the limit for nodes without a lease holder that all begin to send
+// at the same moment.
 func TestTurnsKeepALimit(t *testing.T) {
 	for _, nodes := range []int{1, 4, 7, 64, 985} {
 		for _, rate := range []float64{0.3, 1, 4.5, 40} {
@@ -79,14 +82,14 @@
 					}
 				}
 			}
-			most, allowed := mostWithin(sent, limitSpan), rate*limitTimes*limitSpan.Seconds()+limitMore
+			most, allowed := maxInWindow(sent, limitWindow), rate*allowedFactor*limitWindow.Seconds()+allowedExtra
 			assert.Assert(t, float64(most) <= allowed, "%d nodes, %g a second: %d", nodes, rate, most)
 		}
 	}
 }
 
-// TestTurnComesInTime: the time until a node's turn is true.
-func TestTurnComesInTime(t *testing.T) {
+// TestNextTimeSlot checks that a node may send after the time that Next returns.
+func TestNextTimeSlot(t *testing.T) {
 	var runner Runner
 	terms := NewLimit(1, Shared{Node: "n", Nodes: 4})
 	now := start
--- a/internal/coldstart/runner.go
+++ b/internal/coldstart/runner.go
@@ -6,34 +6,36 @@
 )
 
 const (
-	// answerTime is how long an answer of the holder is expected to take: twice the way
-	// to another zone and a busy machine.
+	// answerTime is the expected time until the lease holder answers: a round trip to another
+	// zone and the delay of a busy machine.
 	answerTime = 30 * time.Millisecond
-	// warmingStarts is for how many times its cold time a runner's share grows after it
-	// was cold: long enough for some answers at each node of a large fleet.
+	// warmingStarts is the number of cold start times after the end of the cold start during
+	// which the runner's share grows: long enough for some answers at each node of a large
+	// fleet.
 	warmingStarts = 2
-	// firstShare is how many requests of one node a runner that was cold just now gets at
-	// once at no further cost.
-	firstShare = 1
+	// initialShare is the number of concurrent requests of one node that a runner gets at no
+	// extra cost right after its cold start.
+	initialShare = 1
 )
 
-// Runner is what a node knows of one incarnation's coldness and may send there. It is
-// not safe for concurrent use. Cold, May, Spend and Next take the runner's name and the
-// terms of its service, which may change.
+// Runner is a node's state of one incarnation of a runner: whether it is cold and what may be
+// sent to it. It is not safe for concurrent use. Methods that take the runner's name and the
+// terms of its service accept terms that change between calls.
 type Runner struct {
-	// said is until when the runner is cold by its own word.
-	said time.Time
-	// supposed is since when it is taken to be cold as nobody said that it is not.
-	supposed time.Time
-	// saidAt is when its last word was heard.
-	saidAt time.Time
-	// permits are what may be spent, oldest first.
+	// statedUntil is the end of the cold start as the runner stated it.
+	statedUntil time.Time
+	// assumedSince is when the runner began to count as cold because nothing said that it is
+	// not.
+	assumedSince time.Time
+	// statusAt is when its last status was received.
+	statusAt time.Time
+	// permits may be spent, oldest first.
 	permits []permit
-	// sentAt is when this node sent last to it.
+	// sentAt is when this node last sent a request to it.
 	sentAt time.Time
-	// nextAt is when the holder expects to have another permit.
+	// nextAt is when the lease holder expects to have another permit.
 	nextAt time.Time
-	// prompt counts the answers within their objective since it was cold.
+	// prompt counts the answers within their objective since the runner was cold.
 	prompt int
 }
 
@@ -42,62 +44,64 @@
 	until time.Time
 }
 
-// Word is what a row says of a runner's coldness.
+// Status is what a row says about the cold start of a runner.
 type Word struct {
-	// For is how much longer it stays cold; zero when it is not cold.
+	// ColdFor is the remaining time for which the runner is cold, zero if it is not.
 	For time.Duration
-	// Proof is set when a word that it is not cold counts: not in the first row that is
-	// heard of a runner that came while this node ran.
+	// Conclusive is set if a status that is not cold may be relied on. It is not set for the
+	// first row of a runner that appeared while this node was running.
 	Proof bool
 }
 
-// Hear takes over a row's word.
-func (r *Runner) Hear(word Word, now time.Time) {
-	r.saidAt = now
+// Hear applies the status from a row.
+func (r *Runner) Hear(status Word, now time.Time) {
+	r.statusAt = now
 	switch {
-	case word.For > 0:
-		r.said, r.supposed = now.Add(min(word.For, Longest)), time.Time{}
+	case status.For > 0:
+		r.statedUntil, r.assumedSince = now.Add(min(status.For, Longest)), time.Time{}
 		r.prompt = 0
-	case !word.Proof:
-		r.supposed = now
+	case !status.Proof:
+		r.assumedSince = now
 		r.prompt = 0
 	default:
-		r.warm(now)
+		r.endCold(now)
 	}
 }
 
-// warm ends the coldness now, if it is cold; it goes on to be one that was.
-func (r *Runner) warm(now time.Time) {
-	if !r.supposed.IsZero() || now.Before(r.said) {
-		r.said = now
+// endCold ends the cold start now if the runner is cold. The runner then counts as one that
+// was cold recently.
+func (r *Runner) endCold(now time.Time) {
+	if !r.assumedSince.IsZero() || now.Before(r.statedUntil) {
+		r.statedUntil = now
 	}
-	r.supposed = time.Time{}
+	r.assumedSince = time.Time{}
 }
 
-// Said reports whether the runner's own word is the last one of its coldness.
-func (r *Runner) Said() bool { return r.supposed.IsZero() }
+// StatedByRunner reports whether the cold status comes from the runner itself and was not
+// assumed since.
+func (r *Runner) Said() bool { return r.assumedSince.IsZero() }
 
-// NeverCold reports whether no row ever spoke or left open that the runner is cold.
-func (r *Runner) NeverCold() bool { return r.said.IsZero() && r.supposed.IsZero() }
+// NeverCold reports whether every row so far ruled out that the runner is cold.
+func (r *Runner) NeverCold() bool { return r.statedUntil.IsZero() && r.assumedSince.IsZero() }
 
-// Until is until when the runner is cold; returned is when its zone was taken back last,
-// zero for never. It is zero when the runner was never cold.
+// Until returns the end of the cold start, or the zero time if the runner was never cold or
+// the terms have no cold start. returned is when its zone was last taken back, zero for never.
 func (r *Runner) Until(terms Terms, returned time.Time) time.Time {
 	if terms.Rate == 0 {
 		return time.Time{}
 	}
-	until := r.said
-	if !r.supposed.IsZero() {
-		until = later(until, r.supposed.Add(terms.Start))
+	until := r.statedUntil
+	if !r.assumedSince.IsZero() {
+		until = later(until, r.assumedSince.Add(terms.Start))
 	}
-	if returned.After(r.saidAt) {
+	if returned.After(r.statusAt) {
 		until = later(until, returned.Add(terms.Start))
 	}
 	return until
 }
 
-// Lent takes over what the holder lent in answer to a question sent then, and the time
-// until it expects to lend more, from now on.
+// Lent adds the permits from the lease holder's answer to a request sent at sent. next is the
+// time from now until the holder expects to lend more.
 func (r *Runner) Lent(count int, sent time.Time, next time.Duration, now time.Time) {
 	r.nextAt = now.Add(next)
 	if until := sent.Add(Validity); count > 0 && now.Before(until) {
@@ -105,18 +109,18 @@
 	}
 }
 
-// Permits is how many requests may be sent by what was lent.
+// Permits returns the number of requests that the permits allow.
 func (r *Runner) Permits(now time.Time) int {
 	count := 0
-	for _, p := range r.current(now) {
+	for _, p := range r.validPermits(now) {
 		count += p.count
 	}
 	return count
 }
 
-// current drops permits that ran out. All are valid for as long as another, so they run
-// out in the order in which their questions were sent, nearly that of their answers.
-func (r *Runner) current(now time.Time) []permit {
+// validPermits drops expired permits. All permits are valid for the same time, so they expire
+// in the order of the requests for them, which is nearly the order of the answers.
+func (r *Runner) validPermits(now time.Time) []permit {
 	kept := r.permits[:0]
 	for _, p := range r.permits {
 		if p.count > 0 && now.Before(p.until) {
@@ -127,25 +131,26 @@
 	return kept
 }
 
-// May reports whether one request may be sent to a cold runner now.
+// MaySend reports whether one request may be sent to a cold runner now.
 func (r *Runner) May(id string, terms Terms, now time.Time) bool {
-	switch way := terms.Way.(type) {
+	switch strategy := terms.Way.(type) {
 	case Lent:
-		return len(r.current(now)) > 0
+		return len(r.validPermits(now)) > 0
 	case Drawn:
-		return now.Sub(r.sentAt) > Second && way.drawn(id, terms.Bound, now)
+		return now.Sub(r.sentAt) > Window && strategy.maySend(id, terms.Bound, now)
 	case Shared:
-		return way.turns(id, terms.Rate).may(r.sentAt, now)
+		return strategy.timeSlots(id, terms.Rate).maySend(r.sentAt, now)
 	default:
 		return false
 	}
 }
 
-// Sent notes that one request is sent to a runner that gets any number.
+// Sent records that a request is sent to a runner without a limit.
 func (r *Runner) Sent(now time.Time) { r.sentAt = now }
 
-// Spend notes that one request is sent to a cold runner. May has allowed it. until is when
-// it must have been sent if it is held back; now where a draw allowed it.
+// Spend records that a request is sent to a cold runner. MaySend must have allowed it. until
+// is the time by which the request must have been sent if it is held back. It is now if a
+// random draw allowed it.
 func (r *Runner) Spend(terms Terms, now time.Time) (until time.Time) {
 	r.sentAt = now
 	switch terms.Way.(type) {
@@ -155,7 +160,7 @@
 	default:
 		return now
 	}
-	permits := r.current(now)
+	permits := r.validPermits(now)
 	if len(permits) == 0 {
 		return now
 	}
@@ -163,7 +168,7 @@
 	return permits[0].until
 }
 
-// Return gives back a permit that held until then, of a request that was not sent.
+// Return returns a permit that is valid until the given time, if its request was not sent.
 func (r *Runner) Return(until, now time.Time) {
 	if !now.Before(until) {
 		return
@@ -175,35 +180,35 @@
 	r.permits = slices.Insert(r.permits, first, permit{count: 1, until: until})
 }
 
-// Next is the time until a request may be sent to a cold runner, as far as is known;
-// holderIn is the time until a holder lends at all.
+// Next returns the expected time until a request may be sent to a cold runner. holderIn is the
+// time until there is a lease holder that lends permits.
 func (r *Runner) Next(id string, terms Terms, holderIn time.Duration, now time.Time) time.Duration {
-	switch way := terms.Way.(type) {
+	switch strategy := terms.Way.(type) {
 	case Lent:
 		return max(holderIn, r.nextAt.Sub(now), 0) + answerTime
 	case Drawn:
-		return max(way.next(id, terms.Bound, now), r.sentAt.Add(Second).Sub(now), 0)
+		return max(strategy.next(id, terms.Bound, now), r.sentAt.Add(Window).Sub(now), 0)
 	case Shared:
-		return way.turns(id, terms.Rate).next(r.sentAt, now)
+		return strategy.timeSlots(id, terms.Rate).next(r.sentAt, now)
 	default:
 		return Longest
 	}
 }
 
-// Answered notes an answer of the runner, prompt when it came within its objective.
+// Answered records an answer of the runner. prompt is set if it came within its objective.
 func (r *Runner) Answered(prompt bool) {
 	if prompt {
 		r.prompt++
 	}
 }
 
-// Warming reports whether a runner that was cold until then still has to show what it
-// bears, and how many requests of this node it gets at once at no further cost.
+// Warming reports whether a runner that was cold until the given time has yet to show its
+// capacity, and the number of concurrent requests of this node that it gets at no extra cost.
 func (r *Runner) Warming(until time.Time, terms Terms, now time.Time) (share int, warming bool) {
 	if until.IsZero() || now.Before(until) || now.Sub(until) >= warmingStarts*terms.Start {
 		return 0, false
 	}
-	return firstShare + r.prompt, true
+	return initialShare + r.prompt, true
 }
 
 func later(a, b time.Time) time.Time {
--- a/internal/coldstart/model_test.go
+++ b/internal/coldstart/simulation_test.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// modelStart is long against the steps of a history, so that most is sent to a cold
-	// runner.
-	modelStart = 30 * time.Second
-	modelID    = "r"
+	// simulatedColdStart is long compared with the steps of a simulation, so that most
+	// requests are sent to a cold runner.
+	simulatedColdStart = 30 * time.Second
+	runnerID           = "r"
 )
 
-// modelTerms are those of a service whose runners may get 15 requests a second.
-var modelTerms = NewTerms(6.9, 1.5, 5, modelStart, Lent{})
+// testTerms are the terms of a service whose cold runners may get 15 requests per second.
+var testTerms = NewTerms(6.9, 1.5, 5, simulatedColdStart, Lent{})
 
-// answer is one of the holder's on its way to a node.
+// answer is an answer of the lease holder on its way to a node.
 type answer struct {
 	node  int
 	sent  time.Time
@@ -27,75 +27,78 @@
 	next  time.Duration
 }
 
-// model is one runner, the nodes that send to it, the holder of the lease, messages that
-// are lost or late, and every request that was sent while the runner was cold.
-type model struct {
+// simulation consists of one runner, the nodes that send to it, the lease holder, answers that
+// are lost or late, and the requests sent while the runner was cold.
+type simulation struct {
 	t     assert.TestingT
 	now   time.Time
 	terms Terms
-	// coldUntil is the truth.
+	// coldUntil is the actual end of the cold start.
 	coldUntil time.Time
 	nodes     []*Runner
-	// heard is set for the nodes that heard of the runner, or of its last change.
-	heard   []bool
-	lender  *Lender
-	answers []answer
-	sent    []time.Time
+	// informed is set for the nodes that have received the runner's row since it last became
+	// cold.
+	informed []bool
+	lender   *Lender
+	answers  []answer
+	sent     []time.Time
 }
 
-func newModel(t assert.TestingT, nodes int, terms Terms) *model {
-	m := &model{t: t, now: time.Unix(1000, 0), terms: terms, heard: make([]bool, nodes)}
+func newSimulation(t assert.TestingT, nodes int, terms Terms) *simulation {
+	m := &simulation{t: t, now: time.Unix(1000, 0), terms: terms, informed: make([]bool, nodes)}
 	for range nodes {
 		m.nodes = append(m.nodes, &Runner{})
 	}
 	m.takeOver()
 	m.now = m.now.Add(Held)
-	m.coldUntil = m.now.Add(modelStart)
+	m.coldUntil = m.now.Add(simulatedColdStart)
 	return m
 }
 
-// takeOver makes another process the holder; answers of the old one are still on their way.
-func (m *model) takeOver() { m.lender = NewLender(m.now) }
+// takeOver makes another process the lease holder. Answers of the old one may still be on
+// their way.
+func (m *simulation) takeOver() { m.lender = NewLender(m.now) }
 
-// hear lets a node hear of the runner: by its word, or by a row that leaves it open.
-func (m *model) hear(node int, says bool) {
+// hear gives a node the runner's row, which contains its cold status or leaves it open.
+func (m *simulation) hear(node int, says bool) {
 	left := m.coldUntil.Sub(m.now)
 	switch {
 	case says && left > 0:
 		m.nodes[node].Hear(Word{For: left, Proof: true}, m.now)
 	case says:
 		m.nodes[node].Hear(Word{Proof: true}, m.now)
-	case !m.heard[node]:
+	case !m.informed[node]:
 		m.nodes[node].Hear(Word{}, m.now)
 	}
-	m.heard[node] = true
+	m.informed[node] = true
 }
 
-// ask sends a node's question to the holder, and its answer on its way unless it is lost.
-func (m *model) ask(node, wanted int, sent time.Time, lost bool) {
-	count, next := m.lender.Lend(modelID, wanted, m.terms.Bound, m.now)
+// ask sends a node's request for permits to the lease holder, and the answer back unless it is
+// lost.
+func (m *simulation) ask(node, wanted int, sent time.Time, lost bool) {
+	count, next := m.lender.Lend(runnerID, wanted, m.terms.Bound, m.now)
 	assert.Assert(m.t, count >= 0 && count <= max(wanted, 0))
 	if !lost {
 		m.answers = append(m.answers, answer{node: node, sent: sent, count: count, next: next})
 	}
 }
 
-// arrive lets an answer arrive, in any order.
-func (m *model) arrive(index int) {
+// arrive delivers an answer, in any order.
+func (m *simulation) arrive(index int) {
 	a := m.answers[index]
 	m.answers = append(m.answers[:index], m.answers[index+1:]...)
 	m.nodes[a.node].Lent(a.count, a.sent, a.next, m.now)
 }
 
-// send lets a node send as many requests as it may, count of them at most.
-func (m *model) send(node, count int) {
+// send lets a node send as many requests as it may, up to count.
+func (m *simulation) send(node, count int) {
 	runner := m.nodes[node]
-	if !m.heard[node] {
+	if !m.informed[node] {
 		return
 	}
 	for range count {
 		if m.now.Before(runner.Until(m.terms, time.Time{})) {
-			if !runner.May(modelID, m.terms, m.now) {
+			if !runner.May(runnerID, m.terms, m.now) {
 				return
 			}
 			runner.Spend(m.terms, m.now)
@@ -106,33 +109,34 @@
 	}
 }
 
-// check counts the requests of each second, its ends included.
-func (m *model) check() {
+// check counts the requests in every window, including its ends.
+func (m *simulation) check() {
 	first := 0
 	for last, at := range m.sent {
-		for at.Sub(m.sent[first]) > Second {
+		for at.Sub(m.sent[first]) > Window {
 			first++
 		}
 		assert.Assert(m.t, last-first+1 <= int(m.terms.Bound), "%d in the second before %s, at most %d", last-first+1, at, m.terms.Bound)
 	}
 }
 
-// TestColdRunnerNeverGetsMore: whatever is lost or late, whoever holds the lease and
-// whenever nodes hear of it, a cold runner gets no more than its bound in any second.
+// TestColdRunnerNeverGetsMore checks that a cold runner gets no more requests than its bound
+// in any second, whichever messages are lost or late, whoever holds the lease and whenever
+// nodes learn that the runner is cold.
 func TestColdRunnerNeverGetsMore(t *testing.T) {
-	for range histories {
-		rapid.Check(t, playHistory)
+	for range runFactor {
+		rapid.Check(t, runSimulation)
 	}
 }
 
-// histories is how many times as many histories are played as the library does by itself:
-// they are short, and what a permit allows meets what another does in few of them.
-const histories = 20
+// runFactor multiplies the number of simulations that the library runs by default: they are
+// short, and in only few of them do requests allowed by different permits come together.
+const runFactor = 20
 
-func playHistory(t *rapid.T) {
+func runSimulation(t *rapid.T) {
 	const nodes = 5
 	slack := rapid.SampledFrom([]float64{0, 1, 2, 4, 14}).Draw(t, "slack")
-	m := newModel(t, nodes, NewTerms(1, 1, slack, modelStart, Lent{}))
+	m := newSimulation(t, nodes, NewTerms(1, 1, slack, simulatedColdStart, Lent{}))
 	node := rapid.IntRange(0, nodes-1)
 	t.Repeat(map[string]func(*rapid.T){
 		"time": func(t *rapid.T) {
@@ -173,13 +177,14 @@
 		"take over": func(*rapid.T) { m.takeOver() },
 		"restart": func(t *rapid.T) {
 			restarted := node.Draw(t, "node")
-			m.nodes[restarted], m.heard[restarted] = &Runner{}, false
+			m.nodes[restarted], m.informed[restarted] = &Runner{}, false
 			m.answers = slicesWithout(m.answers, restarted)
 		},
 		"cold again": func(t *rapid.T) {
-			// A node that does not know is not held by anything: it hears before it sends.
-			m.coldUntil = m.now.Add(modelStart)
-			clear(m.heard)
+			// A node that does not know of the cold start is not limited: it gets the row
+			// before it sends.
+			m.coldUntil = m.now.Add(simulatedColdStart)
+			clear(m.informed)
 		},
 		"": func(*rapid.T) { m.check() },
 	})
@@ -195,11 +200,11 @@
 	return kept
 }
 
-// TestEagerNodesUseTheBound: nodes that ask all the time get most of what their permits
-// allow, so that the bound is not kept by lending nothing.
+// TestEagerNodesUseTheBound checks that nodes that ask all the time use most of what the bound
+// allows, so that the bound is not kept by lending nothing.
 func TestEagerNodesUseTheBound(t *testing.T) {
 	const nodes = 71
-	m := newModel(t, nodes, modelTerms)
+	m := newSimulation(t, nodes, testTerms)
 	m.coldUntil = m.now.Add(time.Minute)
 	for node := range nodes {
 		m.hear(node, true)
@@ -216,21 +221,21 @@
 	assert.Assert(t, len(m.sent) >= least, "%d in 20 s, at least %d", len(m.sent), least)
 }
 
-// drawModel lets all nodes send whenever a draw allows it.
-func drawModel(t *testing.T, nodes int, seconds int) (sent int) {
+// simulateRandomized lets all nodes send whenever their draw allows it.
+func simulateRandomized(t *testing.T, nodes int, seconds int) (sent int) {
 	t.Helper()
-	m := newModel(t, 0, modelTerms)
-	ways := make([]Terms, nodes)
-	for i := range ways {
-		ways[i] = m.terms
-		ways[i].Way = Drawn{Node: fmt.Sprint("n", i), Nodes: nodes}
+	m := newSimulation(t, 0, testTerms)
+	terms := make([]Terms, nodes)
+	for i := range terms {
+		terms[i] = m.terms
+		terms[i].Way = Drawn{Node: fmt.Sprint("n", i), Nodes: nodes}
 		m.nodes = append(m.nodes, &Runner{})
 	}
 	for range seconds * 20 {
 		m.now = m.now.Add(50 * time.Millisecond)
 		for i, runner := range m.nodes {
-			if runner.May(modelID, ways[i], m.now) {
-				runner.Spend(ways[i], m.now)
+			if runner.May(runnerID, terms[i], m.now) {
+				runner.Spend(terms[i], m.now)
 				m.sent = append(m.sent, m.now)
 			}
 		}
@@ -239,11 +244,11 @@
 	return len(m.sent)
 }
 
-// TestDrawsKeepTheBound: nodes that never speak to each other keep it by chance, few of
-// them without any.
+// TestDrawsKeepTheBound checks that nodes that don't communicate keep the bound by random
+// draws, and that few nodes keep it without them.
 func TestDrawsKeepTheBound(t *testing.T) {
 	for _, nodes := range []int{1, 15, 16, 71, 300} {
-		sent := drawModel(t, nodes, 300)
+		sent := simulateRandomized(t, nodes, 300)
 		assert.Assert(t, sent > 300/2, "%d nodes sent %d in 300 s", nodes, sent)
 	}
 }
--- a/internal/coldstart/terms.go
+++ b/internal/coldstart/terms.go
@@ -1,9 +1,10 @@
-// Package coldstart bounds what a cold runner, or one that named a limit, gets. A runner is
-// cold for a while after it started, and may become cold again: it bears only few requests a
-// second then, of all nodes together. The package decides who may send how much now: what a node knows
-// of a runner's coldness (Runner), what the holder of the service's control lease lends
-// (Lender), and draws where no node holds a lease (Drawn). It is pure; the time is
-// passed in, always that of a steady clock.
+// Package coldstart limits the requests to cold runners and to runners that stated a limit. A
+// runner is cold for a while after it started and may become cold again. It then has capacity
+// for only a few requests per second from all nodes together. The package decides which node
+// may send how many requests now: it tracks what a node knows about the cold start of a runner
+// (Runner), the permits lent by the holder of the service's control lease (Lender), and what
+// nodes may send without a lease holder (Randomized, TimeSliced). It does no I/O, and times
+// passed in must come from a monotonic clock.
 package coldstart
 
 import (
@@ -12,84 +13,87 @@
 )
 
 const (
-	// Second is the sliding window of the bound.
-	Second = time.Second
-	// Longest bounds how long a runner is taken to be cold by one word of it: far above
-	// what weights and caches take to warm, and still an end when the word is nonsense.
+	// Window is the sliding window of the bound.
+	Window = time.Second
+	// MaxDuration limits the time for which one status makes a runner count as cold. It is
+	// far longer than weights and caches need to warm up, and still ends a cold status that
+	// is nonsense.
 	Longest = 10 * time.Minute
-	// largestBound keeps a bound within what an int holds, in requests.
-	largestBound = 1_000_000
+	// maxBound keeps a bound, in requests, within the range of an int.
+	maxBound = 1_000_000
 )
 
-// Bound is how many requests a cold runner may get within any one second.
+// Bound is the number of requests that a cold runner may get within any window.
 type Bound int
 
-// NewBound returns the bound of runners that bear rate requests a second: share times
-// that and slack more, whole requests only.
+// NewBound returns the bound of runners with capacity for rate requests per second: share
+// times the rate plus slack, rounded down to whole requests.
 func NewBound(rate, share, slack float64) Bound {
 	bound := math.Floor(rate*share + slack)
 	if !(bound > 0) {
 		return 0
 	}
-	return Bound(min(bound, largestBound))
+	return Bound(min(bound, maxBound))
 }
 
-// Terms are what holds for the runners of a service, or for one that named a limit. With the
-// zero Terms no runner is ever cold.
+// Terms are the limits on requests to the cold runners of a service, or to a runner that
+// stated a limit. With the zero Terms no runner is ever cold.
 type Terms struct {
-	// Rate is how many requests a second such a runner bears; zero where none is cold.
+	// Rate is the capacity of such a runner in requests per second, zero if no runner is
+	// cold.
 	Rate float64
 	// Start is how long a runner is cold after its start.
 	Start time.Duration
-	// Bound is what such a runner may get within Period of what is lent.
+	// Bound is the number of permits that may be lent within any Period.
 	Bound  Bound
 	Period time.Duration
-	// Way is how the bound is kept.
+	// Strategy is how the nodes keep the bound.
 	Way Way
 }
 
-// NewTerms returns the terms of a service whose runners are cold for start after their
-// start and bear rate requests a second then.
-func NewTerms(rate, share, slack float64, start time.Duration, way Way) Terms {
+// NewTerms returns the terms of a service whose runners are cold for start after their start
+// and have capacity for rate requests per second during that time.
+func NewTerms(rate, share, slack float64, start time.Duration, strategy Way) Terms {
 	if !(rate > 0) || math.IsInf(rate, 1) {
 		return Terms{}
 	}
-	return Terms{Rate: rate, Start: min(max(start, 0), Longest), Bound: NewBound(rate, share, slack), Period: Held, Way: way}
+	return Terms{Rate: rate, Start: min(max(start, 0), Longest), Bound: NewBound(rate, share, slack), Period: Held, Way: strategy}
 }
 
-// NewLimit returns the terms of a runner that takes rate requests a second, above zero, as it says:
-// as many whole requests as it takes in a second, one at least, in the time in which it takes them.
-func NewLimit(rate float64, way Way) Terms {
-	count := math.Floor(min(max(rate, 1), largestBound))
+// NewLimit returns the terms of a runner that stated a limit of rate requests per second,
+// which must be above zero. The bound is the number of whole requests per second, at least
+// one, and the period the time in which the rate allows that many.
+func NewLimit(rate float64, strategy Way) Terms {
+	count := math.Floor(min(max(rate, 1), maxBound))
 	period := time.Duration(min(count/rate, Longest.Seconds()) * float64(time.Second))
-	return Terms{Rate: rate, Bound: Bound(count), Period: period, Way: way}
+	return Terms{Rate: rate, Bound: Bound(count), Period: period, Way: strategy}
 }
 
-// Way is how nodes keep the bound together: Lent, Drawn or Shared.
-type Way interface{ way() }
+// Strategy is how nodes keep the bound together: Lent, Randomized or TimeSliced.
+type Way interface{ strategy() }
 
-// Lent means that a node sends only what the holder of the service's control lease lent
-// it permits for.
+// Lent means that a node needs a permit, lent by the holder of the service's control lease,
+// for every request.
 type Lent struct{}
 
-// Drawn means that each node draws for itself which seconds it may send in. It needs no
-// message, and leaves most of the bound unused.
+// Randomized means that each node draws independently the seconds in which it may send. It
+// needs no messages, but leaves most of the bound unused.
 type Drawn struct {
 	// Node is this node's name.
 	Node string
-	// Nodes is how many nodes there are, as far as is known; zero while it is not.
+	// Nodes is the known number of nodes, zero while it is unknown.
 	Nodes int
 }
 
-// Shared means that each node has turns of its own, in which it may send one request. It needs no
-// message, and leaves half of the rate unused.
+// TimeSliced means that each node has recurring time slots, each for one request. It needs no
+// messages, but leaves half of the rate unused.
 type Shared struct {
 	// Node is this node's name.
 	Node string
-	// Nodes is how many nodes there are, as far as is known; zero while it is not.
+	// Nodes is the known number of nodes, zero while it is unknown.
 	Nodes int
 }
 
-func (Lent) way()   {}
-func (Drawn) way()  {}
-func (Shared) way() {}
+func (Lent) strategy()   {}
+func (Drawn) strategy()  {}
+func (Shared) strategy() {}
