--- a/internal/weightstore/weightstore_test.go
+++ b/internal/weightstore/weightstore_test.go
@@ -13,8 +13,8 @@
 
 const step = 20 * time.Millisecond
 
-// store is a weight store with a capacity, in virtual time. As the users' store, it
-// sets the time of a load at its begin: by the loads under way then.
+// store simulates a weight store with a capacity in virtual time. Like the real store, it
+// fixes the duration of a load at its begin, by the number of active loads.
 type store struct {
 	capacity float64
 	ends     map[string]time.Time
@@ -34,8 +34,8 @@
 	e.Begin(runner, nominal, s.now)
 }
 
-// run keeps as many loads under way as the estimator allows, for a time. It returns
-// the most at once, and how many ended.
+// run keeps as many loads active as the estimator allows, for a time. It returns the highest
+// number of concurrent loads, and how many ended.
 func (s *store) run(e *Estimator, nominal, lag, length time.Duration) (most, ended int) {
 	for end := s.now.Add(length); s.now.Before(end); s.now = s.now.Add(step) {
 		e.Follow(0, s.now)
@@ -54,8 +54,8 @@
 	return most, ended
 }
 
-// TestLimitFindsCapacity: whatever the store carries, the bound settles near it,
-// for short loads and long ones.
+// TestLimitFindsCapacity checks that the limit converges near the store's capacity, for short
+// and long loads.
 func TestLimitFindsCapacity(t *testing.T) {
 	for _, capacity := range []float64{1, 4, 7, 13} {
 		for _, nominal := range []time.Duration{1300 * time.Millisecond, 6 * time.Second} {
@@ -67,15 +67,16 @@
 	}
 }
 
-// TestLimitRisesWithoutBound: loads that never slow each other are not held back.
+// TestLimitRisesWithoutBound checks that the limit rises to its maximum if loads never slow
+// each other.
 func TestLimitRisesWithoutBound(t *testing.T) {
 	e := New(Estimate{})
 	newStore(math.Inf(1)).run(e, time.Second, 0, 20*time.Second)
-	assert.Equal(t, e.Estimate(), Estimate{Limit: largestLimit})
+	assert.Equal(t, e.Estimate(), Estimate{Limit: maxLimit})
 }
 
-// TestLimitFollowsChange: a store that carries less, or more, is followed, also by
-// an estimator that went on from another one's estimate in the middle.
+// TestLimitFollowsChange checks that the limit follows a capacity that falls or rises, also if
+// a new estimator continues from the estimate of another.
 func TestLimitFollowsChange(t *testing.T) {
 	const nominal = 2 * time.Second
 	e := New(Estimate{})
@@ -91,7 +92,7 @@
 	assert.Assert(t, e.Estimate().Limit >= 8, "%+v", e.Estimate())
 }
 
-// TestImpossibleTimes: loads that end at once, never, or twice leave the bound
+// TestImpossibleTimes checks that loads that end at once, never or twice leave the limit
 // within its range.
 func TestImpossibleTimes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -116,26 +117,26 @@
 	})
 }
 
-// TestStartNeitherJamsNorStarves: a store that is asked for all that the bound allows
-// from the first moment on does, within the first nominal times, nearly what it can,
-// and never begins more than twice what it carries, or the first bound.
+// TestStartNeitherJamsNorStarves checks the start with maximum demand: within the first few
+// nominal times the store does nearly as much as it can, and it never gets more than twice the
+// loads that it carries, or the initial limit.
 func TestStartNeitherJamsNorStarves(t *testing.T) {
 	const nominal = 6 * time.Second
 	for _, c := range []struct {
 		capacity float64
-		// ended is the least number of loads that end within five nominal times.
+		// ended is the minimum number of loads that end within five nominal times.
 		ended int
 	}{
 		{1, 4}, {2, 8}, {6, 22}, {10, 32}, {64, 70},
 	} {
 		e := New(Estimate{})
 		most, ended := newStore(c.capacity).run(e, nominal, 100*time.Millisecond, 5*nominal+time.Second)
-		assert.Assert(t, float64(most) <= max(firstLimit, 2*slowFactor*c.capacity) && ended >= c.ended, "%+v: most %d, ended %d", c, most, ended)
+		assert.Assert(t, float64(most) <= max(initialLimit, 2*slowFactor*c.capacity) && ended >= c.ended, "%+v: most %d, ended %d", c, most, ended)
 	}
 }
 
-// TestOverdueLoadBoundsCapacity: that a load is not done in its nominal time tells
-// before its end that the bound was passed.
+// TestOverdueLoadBoundsCapacity checks that a load still active after its nominal time lowers
+// the limit before it ends.
 func TestOverdueLoadBoundsCapacity(t *testing.T) {
 	const nominal = 6 * time.Second
 	e, s := New(Estimate{Limit: 16}), newStore(2)
@@ -148,22 +149,22 @@
 	assert.Assert(t, e.Estimate().Limit <= 3, "%+v", e.Estimate())
 }
 
-// TestProofCountsForItsNumber: loads that began before the bound rose prove nothing for
-// the new one. Each of them doubled it once: 2, 4, 8, 16 from loads of two at once.
+// TestProofCountsForItsNumber checks that loads that began before the limit rose don't raise
+// the new limit again. Each of them once doubled it: 2, 4, 8, 16 from two concurrent loads.
 func TestProofCountsForItsNumber(t *testing.T) {
 	const nominal = time.Second
 	e, s := New(Estimate{}), newStore(4)
-	for range firstLimit {
+	for range initialLimit {
 		s.begin(e, nominal)
 	}
-	for i := range firstLimit {
+	for i := range initialLimit {
 		e.End(fmt.Sprint("r", i+1), 0, s.now.Add(nominal))
 	}
-	assert.Equal(t, e.Estimate(), Estimate{Limit: 2 * firstLimit})
+	assert.Equal(t, e.Estimate(), Estimate{Limit: 2 * initialLimit})
 }
 
-// TestPromisedTimesHold: the time that a load is told to take is, in the median, within
-// a seventh of what it takes.
+// TestPromisedTimesHold checks that the predicted duration of a load is within 15 % of the
+// actual one in the median.
 func TestPromisedTimesHold(t *testing.T) {
 	const nominal = 3 * time.Second
 	for _, capacity := range []float64{2, 6, 13} {
@@ -183,8 +184,8 @@
 	}
 }
 
-// TestLateLoadIsExpectedLater: a load that is late is expected at the next time that a
-// store which carries fewer would give it, not at once.
+// TestLateLoadIsExpectedLater checks that a late load is expected to end at the next time that
+// results from a lower capacity, and not immediately.
 func TestLateLoadIsExpectedLater(t *testing.T) {
 	e := New(Estimate{})
 	at := time.Unix(0, 0)
