--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -1,8 +1,8 @@
-// Package evacuation keeps which zones operators have taken out, as this node has heard:
-// each goes from In to Leaving, in which models that only it serves are brought up
-// elsewhere, to Out, in which nothing new goes there; and when it is taken back through
-// Returning, in which demand comes back by degrees. It is pure: a Table never changes,
-// each piece of news makes a new one, and the time is handed in.
+// Package evacuation tracks the zones that operators have taken out, as known to this node. A
+// zone goes from In to Leaving, during which models served only there are loaded elsewhere,
+// and then to Out, where it gets no new requests. When it is taken back, it goes through
+// Returning, during which its share of requests rises gradually. The package does no I/O and
+// doesn't read the clock. A Table is immutable: each update returns a new one.
 package evacuation
 
 import (
@@ -15,82 +15,84 @@
 )
 
 const (
-	// sendMargin is the longest way of a request from the choice of its runner to its
-	// arrival there: a connection may take 350 ms (upstream), the way some ms.
+	// sendMargin is the longest time from the choice of a runner until the request arrives
+	// there: making a connection may take 350 ms (see package upstream), and the transfer
+	// some ms.
 	sendMargin = 500 * time.Millisecond
-	// answerAge is how old at most what an answer tells may be: a relay that heard of the
-	// store 0.9 s ago still answers (relay), which takes a moment.
-	answerAge = time.Second
-	// returnRamp is the time in which a zone's share rises from nothing to all of it. A
-	// runner that starts is slow for some seconds, and what it is sent at first shows
-	// what it bears. The figure is measured, see docs/design/newcomers.md.
+	// maxAnswerAge is the maximum age of the information in an answer: a relay that heard of
+	// the store 0.9 s ago still answers (see package relay), and the answer takes a moment.
+	maxAnswerAge = time.Second
+	// returnRamp is the time in which a zone's share rises from zero to one. A runner that
+	// has just started is slow for some seconds, and the first requests show its capacity.
+	// The value was measured, see docs/design/newcomers.md.
 	returnRamp = 3 * time.Second
 )
 
 // State is how far a zone is out.
 type State uint8
 
-// The states of a zone.
+// States of a zone.
 const (
-	// In is a zone as any other.
+	// In is the normal state.
 	In State = iota
-	// Leaving is a zone that was taken out and that still serves what nobody else can.
+	// Leaving is a zone that was taken out and still serves what no other zone can.
 	Leaving
-	// Out is a zone to which nothing new goes.
+	// Out is a zone that gets no new requests.
 	Out
-	// Returning is a zone that was taken back and that is not yet given its full share.
+	// Returning is a zone that was taken back and doesn't get its full share yet.
 	Returning
 )
 
-// String names the state as logs spell it.
+// String returns the state as it is written in logs.
 func (s State) String() string {
 	return [...]string{"in", "leaving", "out", "returning"}[s]
 }
 
-// Bounds are the times by which a zone's states change.
+// Bounds are the time limits of the state changes.
 type Bounds struct {
-	// Within is how late after a zone was taken out something may still arrive there.
+	// Within is how long after a zone was taken out a request may still arrive there.
 	Within time.Duration
-	// News is how long it takes at most until a node hears what operators wrote.
+	// PropagationDelay is the maximum time until a node receives what operators wrote.
 	News time.Duration
 }
 
-// lead is how long a zone is Leaving, given that nothing was heard for gap before its
-// row: the row is no older than that and the age of an answer, which News bounds as long
-// as answers come.
-func (b Bounds) lead(gap time.Duration) time.Duration {
-	return max(b.Within-max(b.News, gap+answerAge)-sendMargin, 0)
+// leavingTime returns how long a zone is Leaving if nothing was received for gap before its
+// row. The row is at most as old as gap plus the age of an answer, which PropagationDelay
+// limits as long as answers arrive.
+func (b Bounds) leavingTime(gap time.Duration) time.Duration {
+	return max(b.Within-max(b.News, gap+maxAnswerAge)-sendMargin, 0)
 }
 
-// Row is what operators wrote about a zone.
+// Row is an operator's change of a zone.
 type Row struct {
 	Zone     place.Zone
 	Revision uint64
-	// Back is set when the zone was taken back.
+	// Returned is set if the zone was taken back.
 	Back bool
 }
 
-// Table is what is known of the zones. It never changes. A nil Table knows nothing, so
-// that any zone may be out.
+// Table holds the known state of the zones. It is immutable. In a nil Table nothing is known,
+// so any zone may be out.
 type Table struct {
 	zones map[place.Zone]entry
 }
 
-// entry is a zone that was taken out once.
+// entry is a zone that was taken out at least once.
 type entry struct {
-	// revision is that of the newest word on it.
+	// revision is the revision of the latest row of the zone.
 	revision uint64
 	out      bool
-	// heardAt is when it was heard that the zone is out; leftAt is when nothing more
-	// goes there.
+	// heardAt is when this node learned that the zone is out. leftAt is when the zone
+	// becomes Out.
 	heardAt time.Time
 	leftAt  time.Time
-	// returnedAt is when it was heard that the zone was taken back.
+	// returnedAt is when this node learned that the zone was taken back.
 	returnedAt time.Time
 }
 
-// Whole takes all zones that are out; those that are missing were taken back. How old a
-// row is that was not known before, a whole read does not tell, so such a zone is Out.
+// ApplySnapshot returns the table after a full read of the zones that are out. Zones missing
+// from rows were taken back. A full read doesn't tell the age of its rows, so a zone not known
+// to be out before is Out at once.
 func (t *Table) Whole(rows []Row, now time.Time) *Table {
 	next := t.copy()
 	listed := make(map[place.Zone]bool, len(rows))
@@ -99,18 +101,18 @@
 			continue
 		}
 		listed[row.Zone] = true
-		next.take(row, now, now)
+		next.markOut(row, now, now)
 	}
 	for zone, known := range next.zones {
 		if known.out && !listed[zone] {
-			next.zones[zone] = known.back(known.revision, now)
+			next.zones[zone] = known.markReturned(known.revision, now)
 		}
 	}
 	return next
 }
 
-// Changed takes changes, in their order. gap is how long nothing had been heard before.
-// Before the zones were read whole, changes alone say nothing.
+// ApplyChanges returns the table after changes, in their order. gap is how long nothing had
+// been received before. Changes are ignored until the zones have been read in full.
 func (t *Table) Changed(rows []Row, gap time.Duration, bounds Bounds, now time.Time) *Table {
 	if t == nil {
 		return nil
@@ -120,13 +122,13 @@
 		known, seen := next.zones[row.Zone]
 		switch {
 		case seen && row.Revision <= known.revision:
-			// Older news.
+			// The row is outdated.
 		case !row.Back:
-			next.take(row, now, now.Add(bounds.lead(gap)))
+			next.markOut(row, now, now.Add(bounds.leavingTime(gap)))
 		default:
-			// The zone was out since, even where this is the first word of it: of each row
-			// the last change alone is told.
-			next.zones[row.Zone] = known.back(row.Revision, now)
+			// The zone was out since the last known row, even if that was not received: of
+			// each row only the last change is sent.
+			next.zones[row.Zone] = known.markReturned(row.Revision, now)
 		}
 	}
 	return next
@@ -139,22 +141,22 @@
 	return &Table{zones: maps.Clone(t.zones)}
 }
 
-// take notes that a zone is out from leftAt on. News of a zone that is out already do
-// not put that off.
-func (t *Table) take(row Row, now, leftAt time.Time) {
+// markOut records that a zone is out from leftAt on. Further rows for a zone that is already
+// out don't postpone that.
+func (t *Table) markOut(row Row, now, leftAt time.Time) {
 	known, seen := t.zones[row.Zone]
 	switch {
 	case seen && known.out:
 		known.revision = max(known.revision, row.Revision)
 		t.zones[row.Zone] = known
 	case seen && row.Revision <= known.revision:
-		// The zone was taken back since.
+		// The zone was taken back after this row.
 	default:
 		t.zones[row.Zone] = entry{revision: row.Revision, out: true, heardAt: now, leftAt: leftAt, returnedAt: known.returnedAt}
 	}
 }
 
-func (e entry) back(revision uint64, now time.Time) entry {
+func (e entry) markReturned(revision uint64, now time.Time) entry {
 	e.revision, e.out, e.returnedAt = revision, false, now
 	return e
 }
@@ -172,10 +174,10 @@
 	}
 }
 
-// Read reports whether the zones were read whole.
+// Read reports whether the zones have been read in full.
 func (t *Table) Read() bool { return t != nil }
 
-// Quiet reports whether no zone was ever heard to be out.
+// Quiet reports whether the zones were read and none was ever out.
 func (t *Table) Quiet() bool { return t != nil && len(t.zones) == 0 }
 
 // State returns how far a zone is out.
@@ -190,8 +192,8 @@
 	return known.state(now)
 }
 
-// Share is the part, 0 to 1, of what a zone would be given that it is to be given now,
-// where there is a choice.
+// Share returns the fraction, 0 to 1, of its normal requests that a zone should get now if
+// there is a choice.
 func (t *Table) Share(zone place.Zone, now time.Time) float64 {
 	switch t.State(zone, now) {
 	case Leaving, Out:
@@ -203,8 +205,9 @@
 	}
 }
 
-// ReturnedAt returns when a zone was last heard to be taken back; false when it never was,
-// or is out again. What its runners said of themselves before need not hold any more.
+// ReturnedAt returns when this node last learned that the zone was taken back. It returns
+// false if it never was or is out again. Earlier statements of the zone's runners may no
+// longer be valid.
 func (t *Table) ReturnedAt(zone place.Zone) (time.Time, bool) {
 	if t == nil {
 		return time.Time{}, false
@@ -213,19 +216,20 @@
 	return known.returnedAt, !known.out && !known.returnedAt.IsZero()
 }
 
-// Status describes a zone that was taken out once.
+// Status describes a zone that was taken out at least once.
 type Status struct {
 	Zone     place.Zone
 	State    State
 	Revision uint64
-	// HeardAt is when the zone was heard to be out, LeftAt when it is Out, ReturnedAt when
-	// it was heard to be taken back; zero where it was not.
+	// HeardAt is when this node learned that the zone is out, LeftAt when it becomes Out,
+	// and ReturnedAt when this node learned that it was taken back. They are zero if that
+	// did not happen.
 	HeardAt    time.Time
 	LeftAt     time.Time
 	ReturnedAt time.Time
 }
 
-// Zones describes all zones that were taken out once, by name.
+// Zones returns all zones that were taken out at least once, sorted by name.
 func (t *Table) Zones(now time.Time) []Status {
 	if t == nil {
 		return nil
@@ -240,7 +244,7 @@
 	return statuses
 }
 
-// CountOut returns how many zones are Leaving or Out.
+// CountOut returns the number of zones that are Leaving or Out.
 func (t *Table) CountOut() int {
 	if t == nil {
 		return 0
@@ -254,7 +258,8 @@
 	return count
 }
 
-// Next returns when a zone's state changes next without news; false when none does.
+// NextChange returns when the state of a zone changes next without further rows. It returns
+// false if none will.
 func (t *Table) Next(now time.Time) (next time.Time, ok bool) {
 	if t == nil {
 		return time.Time{}, false
