--- a/internal/sleep/gaps.go
+++ b/internal/sleep/gaps.go
@@ -1,6 +1,6 @@
-// Package sleep decides how long an idle replica stays loaded and which models
-// wake ahead of their time. It is pure: it sees only what it was told and the
-// time it is asked about.
+// Package sleep decides how long an idle replica stays loaded and which models are loaded
+// ahead of their expected use. It does no I/O and doesn't read the clock: it knows only the
+// observations and times passed to it.
 package sleep
 
 import (
@@ -9,12 +9,12 @@
 )
 
 const (
-	gapBuckets  = 40
-	firstGap    = time.Second
-	gapFactor   = 1.3
-	decay       = 0.98
-	enoughGaps  = 3.0
-	minimumKeep = 2 * time.Second
+	gapBuckets   = 40
+	firstGap     = time.Second
+	gapFactor    = 1.3
+	decay        = 0.98
+	minGaps      = 3.0
+	minKeepAlive = 2 * time.Second
 )
 
 // Gaps is a decaying histogram of the idle times between two uses of a unit.
@@ -23,7 +23,7 @@
 	total   float64
 }
 
-// gapEdge is the upper edge of a bucket.
+// gapEdge returns the upper edge of a bucket.
 func gapEdge(bucket int) time.Duration {
 	return time.Duration(float64(firstGap) * math.Pow(gapFactor, float64(bucket)))
 }
@@ -36,7 +36,7 @@
 	return min(bucket, gapBuckets-1)
 }
 
-// Observe adds one idle time; older ones count less.
+// Observe adds an idle time. Older ones lose weight.
 func (g *Gaps) Observe(gap time.Duration) {
 	for index := range g.weights {
 		g.weights[index] *= decay
@@ -45,14 +45,14 @@
 	g.weights[gapBucket(gap)]++
 }
 
-// KeepAlive returns the time to stay loaded that costs least: the expected idle
-// time plus penalty, the idle seconds that a cold start is worth, weighted by how
-// likely it is. Limit bounds it.
+// KeepAlive returns the keep-alive time with the lowest expected cost, between minKeepAlive
+// and limit. The cost is the expected idle time plus penalty, the idle seconds that a cold
+// start is worth, weighted by the probability of a cold start.
 func (g *Gaps) KeepAlive(penalty float64, limit time.Duration) time.Duration {
-	if g.total < enoughGaps {
-		// Without knowledge, staying loaded for as long as a cold start is worth
-		// costs at most twice the best choice.
-		return bound(time.Duration(penalty*float64(time.Second)), limit)
+	if g.total < minGaps {
+		// Without enough observations, staying loaded for as long as a cold start is worth
+		// costs at most twice as much as the best choice.
+		return clamp(time.Duration(penalty*float64(time.Second)), limit)
 	}
 	best, bestCost := time.Duration(0), math.Inf(1)
 	var shorter, idle float64
@@ -69,9 +69,9 @@
 			best, bestCost = keep, cost
 		}
 	}
-	return bound(best, limit)
+	return clamp(best, limit)
 }
 
-func bound(keep, limit time.Duration) time.Duration {
-	return min(max(keep, minimumKeep), limit)
+func clamp(keep, limit time.Duration) time.Duration {
+	return min(max(keep, minKeepAlive), limit)
 }
--- a/internal/sleep/keeper.go
+++ b/internal/sleep/keeper.go
@@ -6,54 +6,54 @@
 	"time"
 )
 
-// Replica is a model at a place where it would be loaded.
+// Replica is a model on a runner where it is or would be loaded.
 type Replica struct {
 	Name string
-	// LoadTime is how long a load there takes.
+	// LoadTime is the duration of a load there.
 	LoadTime time.Duration
-	// Share is the part of the runner's memory that it takes, 0 to 1.
+	// Share is the fraction, 0 to 1, of the runner's memory that it takes.
 	Share float64
 }
 
-// Settings say how a deployment weighs cold starts against idle accelerators.
+// Settings weigh cold starts against idle accelerators.
 type Settings struct {
-	// Fixed is a fixed keep-alive time; zero means that it is learned.
+	// Fixed is a fixed keep-alive time. If zero, the time is learned.
 	Fixed time.Duration
-	// Exchange is how many idle seconds a cold start of one second is worth. A
-	// cold start n times as long is worth n to the power TailPower times as
-	// much: what is weighed is the tail, not the mean.
+	// IdlePerColdSecond is the number of idle seconds that a cold start of one second is
+	// worth. A cold start that is n times as long is worth n to the power of TailPower times
+	// as much, so that the tail of the cold starts counts and not the mean.
 	Exchange  float64
 	TailPower float64
-	// Limit is the longest time a replica without work stays loaded.
+	// Limit is the maximum keep-alive time.
 	Limit time.Duration
 }
 
-// penalty is what a cold start of a unit is worth in seconds of its own idle
-// time: a unit that takes a small share of a runner costs little to keep.
+// penalty returns the value of a cold start in idle seconds of the unit itself: a unit that
+// takes a small share of a runner costs little to keep.
 func (s Settings) penalty(r Replica) float64 {
-	return s.Exchange * math.Pow(r.LoadTime.Seconds(), s.TailPower) / max(r.Share, smallestShare)
+	return s.Exchange * math.Pow(r.LoadTime.Seconds(), s.TailPower) / max(r.Share, minShare)
 }
 
-// smallestShare bounds how cheap a small unit is to keep.
-const smallestShare = 0.001
+// minShare limits how cheap it is to keep a small unit.
+const minShare = 0.001
 
-// Keeper learns the idle gaps of units and says how long they stay loaded. It is
-// safe for concurrent use.
+// Keeper learns the idle times of units and decides how long they stay loaded. It is safe for
+// concurrent use.
 type Keeper struct {
 	settings Settings
 	mutex    sync.Mutex
 	gaps     map[string]*Gaps
 	patterns map[string]*Pattern
-	// firstSeen is when units without a pattern were first asked about.
+	// firstSeen is when units without a pattern were first observed.
 	firstSeen map[string]time.Time
 }
 
-// NewKeeper returns a keeper that has seen nothing.
+// NewKeeper returns a Keeper without observations.
 func NewKeeper(settings Settings) *Keeper {
 	return &Keeper{settings: settings, gaps: make(map[string]*Gaps), patterns: make(map[string]*Pattern), firstSeen: make(map[string]time.Time)}
 }
 
-// For returns how long a replica without work stays loaded.
+// KeepAlive returns how long a replica stays loaded while it is idle.
 func (k *Keeper) For(replica Replica) time.Duration {
 	if k.settings.Fixed > 0 {
 		return k.settings.Fixed
@@ -77,7 +77,7 @@
 	k.gaps[unit].Observe(gap)
 }
 
-// ObserveUse tells whether a unit had demand at a local time.
+// ObserveUse records whether a unit had demand at a local time.
 func (k *Keeper) ObserveUse(unit string, local time.Time, used bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -87,9 +87,9 @@
 	k.patterns[unit].Observe(local, used)
 }
 
-// startPattern begins a unit's pattern at its first use, with the days before
-// counted as days without use; most units are idle and need none. It is called
-// with the mutex held.
+// startPattern creates the pattern of a unit at its first use, with the days before counted as
+// days without use. Units that were never used need no pattern, and most are idle. The mutex
+// must be held.
 func (k *Keeper) startPattern(unit string, local time.Time, used bool) bool {
 	first, known := k.firstSeen[unit]
 	if !known {
@@ -105,8 +105,8 @@
 	return true
 }
 
-// WakeAhead tells whether a model should be ready now because it usually is used
-// about this time.
+// WakeAhead reports whether a model should be loaded now because it is usually used at about
+// this time.
 func (k *Keeper) WakeAhead(replica Replica, local time.Time) bool {
 	if k.settings.Fixed > 0 {
 		return false
--- a/internal/sleep/sleep_test.go
+++ b/internal/sleep/sleep_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestKeepAliveFollowsGaps: uses that follow each other within a minute are kept
-// for, those that come after hours are not.
+// TestKeepAliveFollowsGaps checks that a unit used every 30 seconds stays loaded between uses,
+// and one used every few hours does not.
 func TestKeepAliveFollowsGaps(t *testing.T) {
 	var short, long Gaps
 	for range 20 {
@@ -19,11 +19,11 @@
 	const penalty = 300
 	kept := short.KeepAlive(penalty, time.Hour)
 	assert.Assert(t, kept >= 30*time.Second && kept < 5*time.Minute, "%s", kept)
-	assert.Equal(t, long.KeepAlive(penalty, time.Hour), minimumKeep)
+	assert.Equal(t, long.KeepAlive(penalty, time.Hour), minKeepAlive)
 }
 
-// TestKeepAliveGrowsWithPenalty: the more a cold start is worth, the longer a
-// replica is kept, within its bounds.
+// TestKeepAliveGrowsWithPenalty checks that the keep-alive time grows with the penalty and
+// stays within its limits.
 func TestKeepAliveGrowsWithPenalty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var gaps Gaps
@@ -34,14 +34,14 @@
 		high := low + rapid.Float64Range(0, 1e5).Draw(t, "more")
 		limit := time.Hour
 		shorter, longer := gaps.KeepAlive(low, limit), gaps.KeepAlive(high, limit)
-		if shorter > longer || longer > limit || shorter < minimumKeep {
+		if shorter > longer || longer > limit || shorter < minKeepAlive {
 			t.Fatalf("penalty %g keeps %s, %g keeps %s", low, shorter, high, longer)
 		}
 	})
 }
 
-// TestPatternWakesAhead: a model used every morning wakes ahead of it, and not at
-// night.
+// TestPatternWakesAhead checks that a model used every morning is loaded ahead of that, and
+// not at night.
 func TestPatternWakesAhead(t *testing.T) {
 	keeper := NewKeeper(Settings{Exchange: 60, TailPower: 1, Limit: time.Hour})
 	start := time.Date(2026, time.March, 2, 0, 0, 0, 0, time.UTC)
