--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,7 +1,6 @@
-// Package policy compiles and runs the operators' policy programs. A program is
-// one CEL expression of type int: how many replicas of a model are to be kept
-// ready at a time and place. Programs are deterministic, do no I/O and are
-// bounded in cost.
+// Package policy compiles and runs the operators' policy programs. A program is a CEL
+// expression of type int: the number of replicas of a model to keep ready at a given time and
+// region. Programs are deterministic, do no I/O and have a limited cost.
 package policy
 
 import (
@@ -24,15 +23,15 @@
 
 const stepCheck = "check policy"
 
-// Input is the time and place a program is asked about.
+// Input is the input of a program.
 type Input struct {
 	Model  string
 	Region string
-	// Time carries the zone in which hour, minute and weekday are read.
+	// Time must be in the time zone in which hour, minute and weekday are read.
 	Time time.Time
 }
 
-// Program is a checked policy program.
+// Program is a compiled policy program.
 type Program struct {
 	program cel.Program
 }
@@ -55,27 +54,27 @@
 	return env
 }
 
-type noSizes struct{}
+type noEstimates struct{}
 
-func (noSizes) EstimateSize(cost.AstNode) *cost.SizeEstimate { return nil }
-func (noSizes) EstimateCallCost(string, string, *cost.AstNode, []cost.AstNode) *cost.CallEstimate {
+func (noEstimates) EstimateSize(cost.AstNode) *cost.SizeEstimate { return nil }
+func (noEstimates) EstimateCallCost(string, string, *cost.AstNode, []cost.AstNode) *cost.CallEstimate {
 	return nil
 }
 
-// Compile checks a program: its syntax, types and cost. Errors name line and
-// column.
+// Compile compiles a program and checks its syntax, types and cost. Errors contain the line
+// and column.
 func Compile(source string) (*Program, error) {
 	if len(source) > MaximumBytes {
 		return nil, fault.New(fault.CodeInvalid, stepCheck, "program has %d bytes, at most %d are allowed", len(source), MaximumBytes)
 	}
 	ast, issues := environment.Compile(source)
 	if issues.Err() != nil {
-		return nil, located(issues)
+		return nil, positionError(issues)
 	}
 	if ast.OutputType() != cel.IntType {
 		return nil, fault.New(fault.CodeInvalid, stepCheck, "line 1, column 1: the program gives %s, not int", ast.OutputType())
 	}
-	estimate, err := environment.EstimateCost(ast, noSizes{})
+	estimate, err := environment.EstimateCost(ast, noEstimates{})
 	if err != nil {
 		return nil, fault.New(fault.CodeInvalid, stepCheck, "cost: %v", err)
 	}
@@ -89,13 +88,13 @@
 	return &Program{program: program}, nil
 }
 
-func located(issues *cel.Issues) error {
+func positionError(issues *cel.Issues) error {
 	first := issues.Errors()[0]
 	text := fmt.Sprintf("line %d, column %d: %s", first.Location.Line(), first.Location.Column()+1, first.Message)
 	return fault.New(fault.CodeInvalid, stepCheck, "%s", text)
 }
 
-// Ready runs the program. The result is 0 to api.MaximumReplicas.
+// Ready runs the program. The result is limited to the range from 0 to api.MaximumReplicas.
 func (p *Program) Ready(input Input) (int, error) {
 	const step = "run policy"
 	value, _, err := p.program.Eval(map[string]any{
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -11,8 +11,8 @@
 	"lilacvane/internal/fault"
 )
 
-// TestBadProgramsAreRefusedWithPlace: syntax, types, unknown names and cost are
-// refused at submission, with line and column.
+// TestBadProgramsAreRefusedWithPlace checks that programs with errors in syntax, types, names
+// or cost are refused with the line and column.
 func TestBadProgramsAreRefusedWithPlace(t *testing.T) {
 	for source, place := range map[string]string{
 		"hour >= 7 ? 1":                       "line 1, column",
@@ -29,7 +29,8 @@
 	}
 }
 
-// TestProgramSeesLocalTime: a program reads the clock of its deployment.
+// TestProgramSeesLocalTime checks that a program reads local time in the time zone of its
+// input.
 func TestProgramSeesLocalTime(t *testing.T) {
 	program, err := Compile("weekday >= 1 && weekday <= 5 && hour >= 7 && region == 'montevideo' ? 2 : 0")
 	assert.NilError(t, err)
@@ -46,13 +47,13 @@
 	}
 }
 
-// fixedSource lists fixed objects.
+// fixedSource is a Source with fixed objects.
 type fixedSource []api.Object
 
 func (f fixedSource) List(api.Kind) []api.Object { return f }
 
-// TestFailingPolicyKeepsLastResult: a policy that fails at run time keeps its
-// last good result and says so.
+// TestFailingPolicyKeepsLastResult checks that a policy that fails at run time keeps its last
+// good result and is listed as failing.
 func TestFailingPolicyKeepsLastResult(t *testing.T) {
 	object := api.NewObject(api.KindPolicy, "p", api.Policy{Models: []string{"*"}, Ready: "6 / (hour - 8)"})
 	object.Generation = 1
@@ -67,7 +68,8 @@
 	assert.Equal(t, len(set.Failures()), 1)
 }
 
-// FuzzCompile: no program makes the check panic or run without bound.
+// FuzzCompile checks that no program makes Compile or Ready panic or run without limit, and
+// that results are in range.
 func FuzzCompile(f *testing.F) {
 	for _, seed := range []string{"1", "hour >= 7 ? 2 : 0", "model.startsWith('a') ? 1 : 0", "[1,2].map(x, x * hour).size()", "((((", "'\\x00'"} {
 		f.Add(seed)
@@ -79,7 +81,7 @@
 		}
 		ready, err := program.Ready(Input{Model: "m", Region: "r", Time: time.Unix(0, 0).UTC()})
 		if err == nil && (ready < 0 || ready > api.MaximumReplicas) {
-			t.Fatalf("%q gives %d", source, ready)
+			t.Fatalf("%q returned %d", source, ready)
 		}
 	})
 }
--- a/internal/policy/set.go
+++ b/internal/policy/set.go
@@ -8,23 +8,23 @@
 	"lilacvane/internal/api"
 )
 
-// Source lists the policies in force.
+// Source lists the active policies.
 type Source interface {
 	// List returns the objects of a kind.
 	List(kind api.Kind) []api.Object
 }
 
-// Set runs the policies in force. A policy that fails keeps its last good
-// result. It is safe for concurrent use.
+// Set runs the active policies. A policy that fails keeps its last good result. It is safe for
+// concurrent use.
 type Set struct {
 	source Source
 	zone   *time.Location
 	region string
 
-	mutex    sync.Mutex
-	compiled map[string]compiledPolicy
-	last     map[resultKey]int
-	failures map[string]string
+	mutex       sync.Mutex
+	compiled    map[string]compiledPolicy
+	lastResults map[resultKey]int
+	failures    map[string]string
 }
 
 type compiledPolicy struct {
@@ -38,15 +38,15 @@
 	model  string
 }
 
-// NewSet returns a set that reads clock times in zone.
+// NewSet returns a Set for a region whose policies read the clock in the given time zone.
 func NewSet(source Source, region string, zone *time.Location) *Set {
 	return &Set{
 		source: source, zone: zone, region: region, compiled: make(map[string]compiledPolicy),
-		last: make(map[resultKey]int), failures: make(map[string]string),
+		lastResults: make(map[resultKey]int), failures: make(map[string]string),
 	}
 }
 
-// Refresh compiles the policies that changed.
+// Refresh compiles the policies that have changed and removes those that no longer exist.
 func (s *Set) Refresh() {
 	objects := s.source.List(api.KindPolicy)
 	s.mutex.Lock()
@@ -66,7 +66,7 @@
 	}
 }
 
-// compile is called with the mutex held.
+// compile compiles one policy. The mutex must be held.
 func (s *Set) compile(object api.Object) {
 	spec, err := api.Decode[api.Policy](object)
 	if err != nil {
@@ -82,8 +82,8 @@
 	s.compiled[object.Name] = compiledPolicy{generation: object.Generation, models: spec.Models, program: program}
 }
 
-// Ready returns the largest floor that any policy states for a model now, and
-// the name of that policy.
+// Ready returns the highest number of ready replicas that any policy requires for a model now,
+// and the name of that policy.
 func (s *Set) Ready(model string, now time.Time) (int, string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -100,20 +100,20 @@
 	return floor, from
 }
 
-// run is called with the mutex held.
+// run runs one policy. If that fails, it returns the last good result. The mutex must be held.
 func (s *Set) run(name string, policy compiledPolicy, input Input) int {
 	key := resultKey{policy: name, model: input.Model}
 	ready, err := policy.program.Ready(input)
 	if err != nil {
 		s.failures[name] = err.Error()
-		return s.last[key]
+		return s.lastResults[key]
 	}
 	delete(s.failures, name)
-	s.last[key] = ready
+	s.lastResults[key] = ready
 	return ready
 }
 
-// Failures returns, by policy name, why policies that are in force do not run.
+// Failures returns the errors of policies that don't compile or run, by name.
 func (s *Set) Failures() map[string]string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -124,5 +124,5 @@
 	return failures
 }
 
-// Zone is the time zone in which policies read the clock.
+// Zone returns the time zone in which policies read the clock.
 func (s *Set) Zone() *time.Location { return s.zone }
