--- a/internal/limit/divider.go
+++ b/internal/limit/divider.go
@@ -8,121 +8,124 @@
 )
 
 const (
-	// lenderSilence is how long a lender may be silent before another one is chosen:
-	// eight reports.
-	lenderSilence = 2 * time.Second
-	// reserveAfter is how long a divider gathers reports before it divides the reserve: parts
-	// for too few nodes would have to be taken back.
-	reserveAfter = 3 * time.Second
-	// reserveRoom is for how many times as many nodes the reserve is divided, so that some
-	// may join before parts are taken back.
-	reserveRoom = 1.25
-	// silenceMargin is how much longer than Lifetime a silent node's part is kept.
-	silenceMargin = time.Second
-	// startSpread is how long after it took over a divider lets buckets begin with
-	// something: the nodes that were started with it have found it by then.
-	startSpread = 2 * time.Second
-	// startMargin is what may lie between the reading of the row and the divider's begin:
-	// two calls to the store, and some.
-	startMargin = 3 * time.Second
-	// startedShare is the part of the nodes that have parts that must be started anew.
-	startedShare = 0.5
+	// lenderTimeout is how long a lender may go without reporting before another one is chosen:
+	// eight report intervals.
+	lenderTimeout = 2 * time.Second
+	// reserveDelay is how long a new divider collects reports before it divides the reserve.
+	// Parts computed for too few nodes would have to be taken back.
+	reserveDelay = 3 * time.Second
+	// reserveHeadroom divides the reserve among that many times the known nodes, so that some
+	// can join before parts have to be taken back.
+	reserveHeadroom = 1.25
+	// expiryMargin is how much longer than Lifetime the part of a node that stopped reporting
+	// stays allocated.
+	expiryMargin = time.Second
+	// startupWindow is how long after taking over a divider may grant buckets their initial
+	// tokens. Nodes that were started together with it have found it by then.
+	startupWindow = 2 * time.Second
+	// startReadMargin bounds the time between reading the row and starting the divider: two
+	// calls to the store, plus some slack.
+	startReadMargin = 3 * time.Second
+	// minRestartedFraction is the fraction of the nodes holding parts that must have restarted
+	// before initial tokens are granted.
+	minRestartedFraction = 0.5
 )
 
-// Divider divides limits among nodes. It works on a row (Record) that holds what nodes
-// may have in force; its user writes what Next returns on condition that the row is still
-// the one written before, and says with Confirmed that it was. When a write fails, or its
-// outcome is not known, a new divider begins. It is not safe for concurrent use.
+// Divider divides limits among nodes. It maintains a row (Record) with what nodes may have in
+// force. Its user writes the record that Next returns, on condition that the row is still the
+// one written before, and calls Confirmed once the write succeeded. When a write fails, or its
+// outcome is unknown, a new divider takes over. It is not safe for concurrent use.
 type Divider struct {
-	// record is the row as it was read or confirmed last, next the one being written.
+	// record is the row as last read or confirmed, next the one being written.
 	record    *Record
 	next      *Record
 	nodes     map[string]*member
 	tolerance tenant.Tolerance
-	// began is when this divider took over: nodes may have been told something just
-	// before. readAt is that on the clock of the row's table, or a little sooner.
+	// began is when this divider took over; its predecessor may have told nodes something just
+	// before. readAt is the same moment on the clock of the row's table, or slightly earlier.
 	began  time.Time
 	readAt time.Duration
-	// startVersion is that of the row that lets buckets begin with something: what they
-	// begin with goes by its parts, so that it is no more than the whole.
-	startVersion Version
+	// fillVersion is the version of the row that grants initial tokens. The amounts follow the
+	// parts in that row, so their sum is at most the whole.
+	fillVersion Version
 }
 
-// NewDivider returns a divider that goes on from a row that was read at a time of the
-// table's clock. Nothing may be told of a row that was only read, as what is read may be
-// old: its user first writes the record that Begin makes of it, on condition that the row
-// is still the one read.
-func NewDivider(begun *Record, readAt time.Duration, tolerance tenant.Tolerance, now time.Time) *Divider {
-	return &Divider{record: begun, nodes: make(map[string]*member), tolerance: tolerance, began: now, readAt: readAt}
+// NewDivider returns a divider that continues from a row that was read at readAt on the table's
+// clock. A row that was only read may be outdated, so nothing in it may be told to nodes: the
+// caller first writes the record that Begin returns, on condition that the row is still the one
+// read.
+func NewDivider(record *Record, readAt time.Duration, tolerance tenant.Tolerance, now time.Time) *Divider {
+	return &Divider{record: record, nodes: make(map[string]*member), tolerance: tolerance, began: now, readAt: readAt}
 }
 
-// Begin returns the record that a new divider writes over the one it read; an empty one
-// where there is none.
+// Begin returns the record that a new divider writes over the one it read, or over an empty
+// record if there was none.
 func Begin(read *Record) *Record {
 	begun := read.clone()
 	begun.Version++
 	return begun
 }
 
-// Young reports whether the divider may still let buckets begin with something.
-func (d *Divider) Young(now time.Time) bool { return now.Sub(d.began) < startSpread }
+// InStartup reports whether the divider may still grant initial tokens.
+func (d *Divider) Young(now time.Time) bool { return now.Sub(d.began) < startupWindow }
 
-// claimStart says in the row that buckets begin with something, where most nodes were
-// started anew and none did so within a window. It returns whether it did.
-func (d *Divider) claimStart(next *Record, now time.Time) bool {
-	if !d.Young(now) || d.startVersion > 0 {
+// claimInitialFill marks the row as granting initial tokens, if most nodes restarted and no
+// earlier row did so within a window. It reports whether it marked the row.
+func (d *Divider) claimInitialFill(next *Record, now time.Time) bool {
+	if !d.Young(now) || d.fillVersion > 0 {
 		return false
 	}
-	if next.StartedAt > 0 && d.readAt-next.StartedAt < d.tolerance.Window+startSpread+startMargin {
+	if next.FilledAt > 0 && d.readAt-next.FilledAt < d.tolerance.Window+startupWindow+startReadMargin {
 		return false
 	}
-	fresh := 0
+	empty := 0
 	for _, m := range d.nodes {
-		if m.fresh {
-			fresh++
+		if m.startedEmpty {
+			empty++
 		}
 	}
-	if fresh == 0 || float64(fresh) < startedShare*float64(len(next.Reserve)) {
+	if empty == 0 || float64(empty) < minRestartedFraction*float64(len(next.Reserve)) {
 		return false
 	}
-	next.StartedAt = max(d.readAt, time.Millisecond)
-	d.startVersion = next.Version
+	next.FilledAt = max(d.readAt, time.Millisecond)
+	d.fillVersion = next.Version
 	return true
 }
 
-// Report takes a node's report and returns what it is to have in force.
+// Report records a node's report and returns the grant that the node is to apply.
 func (d *Divider) Report(report Report, now time.Time) Grant {
 	m := d.nodes[report.Node]
 	if m == nil {
-		m = &member{fresh: report.Version == 0, process: report.Process, replaced: make(map[string]bool), used: make(map[tenant.Name]*flow)}
+		m = &member{startedEmpty: report.Version == 0, process: report.Process, replaced: make(map[string]bool), used: make(map[tenant.Name]*usage)}
 		d.nodes[report.Node] = m
 	}
 	if m.replaced[report.Process] {
-		// An old process's word that came late.
-		return Grant{Same: true}
+		// A delayed report of an earlier process.
+		return Grant{Unchanged: true}
 	}
 	if m.process != report.Process {
 		m.replaced[m.process] = true
 		m.process, m.acked = report.Process, 0
 	}
-	m.address, m.region, m.spare, m.heard = report.Address, report.Region, report.Spare, now
+	m.address, m.region, m.spare, m.lastReport = report.Address, report.Region, report.Spare, now
 	m.acked = max(m.acked, report.Version)
 	for _, use := range report.Asked {
-		m.flow(use.Tenant, now).add(use.Cost, float64(use.Requests), now)
+		m.usageOf(use.Tenant, now).add(use.Cost, float64(use.Requests), now)
 	}
-	starts := m.fresh && !m.started && d.startVersion > 0 && d.record.Version == d.startVersion && d.Young(now)
-	if !starts && report.Version > 0 && report.Version >= d.record.changed(report.Node) {
-		return Grant{Version: d.record.Version, Same: true}
+	fill := m.startedEmpty && !m.filledInitially && d.fillVersion > 0 && d.record.Version == d.fillVersion && d.Young(now)
+	if !fill && report.Version > 0 && report.Version >= d.record.changed(report.Node) {
+		return Grant{Version: d.record.Version, Unchanged: true}
 	}
 	if d.next != nil {
-		// The row being written may give to others what a node had that was silent for long.
-		return Grant{Same: true}
+		// The row being written may give other nodes the part of this one, if it did not report
+		// for a long time.
+		return Grant{Unchanged: true}
 	}
-	m.started = m.started || starts
-	return Grant{Version: d.record.Version, Shares: d.record.shares(report.Node, report.Region), Reserve: d.record.Reserve.at(report.Node).Told, Start: starts}
+	m.filledInitially = m.filledInitially || fill
+	return Grant{Version: d.record.Version, Shares: d.record.shares(report.Node, report.Region), Reserve: d.record.Reserve.at(report.Node).Assigned, FillInitially: fill}
 }
 
-// Asked is what is asked of a tenant's limit, in units a second.
+// Asked returns the demand for a tenant's limit, in units per second.
 func (d *Divider) Asked(name tenant.Name, now time.Time) float64 {
 	sum := 0.0
 	for _, m := range d.nodes {
@@ -133,7 +136,7 @@
 	return sum
 }
 
-// Lenders are the nodes that lend a tenant's limit.
+// Lenders returns the nodes that lend a tenant's limit.
 func (d *Divider) Lenders(name tenant.Name) []string {
 	var nodes []string
 	if division := d.record.Tenants[name]; division != nil {
@@ -144,13 +147,13 @@
 	return nodes
 }
 
-// Next returns the row that is to be written now; nil when nothing changes. limited are
-// the tenants that have a limit.
+// Next returns the record to write now, or nil if nothing changes. limited holds the tenants
+// that have a limit.
 func (d *Divider) Next(limited []*tenant.Tenant, now time.Time) *Record {
 	d.next = nil
 	next := d.record.clone()
 	next.Version++
-	d.settle(next, now)
+	d.reclaim(next, now)
 	d.seed(next, limited, now)
 	changed := false
 	for _, t := range limited {
@@ -164,11 +167,11 @@
 	if d.divideReserve(next, now) {
 		changed = true
 	}
-	if d.claimStart(next, now) {
+	if d.claimInitialFill(next, now) {
 		changed = true
 	}
 	if !changed {
-		// What nodes have given back is noted in memory; the next row holds it.
+		// Returned parts are kept in memory until the next row is written.
 		next.Version--
 		d.record = next
 		return nil
@@ -177,15 +180,15 @@
 	return next
 }
 
-// withdraw takes back the parts of tenants that have no limit any more.
+// withdraw takes back the parts of tenants that no longer have a limit.
 func (d *Divider) withdraw(next *Record, limited []*tenant.Tenant) (changed bool) {
 	for name, division := range next.Tenants {
 		if slices.ContainsFunc(limited, func(t *tenant.Tenant) bool { return t.Name == name }) {
 			continue
 		}
 		for _, entry := range division.Nodes {
-			if entry.Told > 0 {
-				entry.tell(0, next.Version)
+			if entry.Assigned > 0 {
+				entry.assign(0, next.Version)
 				changed = true
 			}
 		}
@@ -197,8 +200,8 @@
 	return changed
 }
 
-// seed gives nodes that are new to this divider the weight by which an earlier one gave
-// them their parts.
+// seed initializes the usage of nodes that are new to this divider from the parts that an
+// earlier divider gave them.
 func (d *Divider) seed(record *Record, limited []*tenant.Tenant, now time.Time) {
 	for node, m := range d.nodes {
 		if m.seeded {
@@ -211,58 +214,59 @@
 			if entry == nil || division.lends(node) {
 				continue
 			}
-			m.flow(t.Name, now).addRate(float64(entry.Told)/float64(Whole)/ownHeadroom*t.Limit.Rate, now)
+			m.usageOf(t.Name, now).addRate(float64(entry.Assigned)/float64(Whole)/ownHeadroom*t.Limit.Rate, now)
 		}
 	}
 }
 
-// Confirmed notes that the row returned by Next was written.
+// Confirmed records that the row returned by Next was written.
 func (d *Divider) Confirmed() { d.record, d.next = d.next, nil }
 
-// settle notes what nodes gave back of all pools. What was spent of a reserve before it was
-// given back counts for a window from then on.
-func (d *Divider) settle(next *Record, now time.Time) {
+// reclaim frees the parts that nodes have returned in all pools. A part of the reserve becomes
+// free one window after its return, because it may have been spent just before.
+func (d *Divider) reclaim(next *Record, now time.Time) {
 	for _, division := range next.Tenants {
-		d.settlePool(division.Nodes, 0, now)
+		d.reclaimPool(division.Nodes, 0, now)
 	}
-	d.settlePool(next.Reserve, d.tolerance.Window, now)
+	d.reclaimPool(next.Reserve, d.tolerance.Window, now)
 }
 
-// settlePool notes what nodes gave back: those that have what they were told last, and
-// those that are silent for so long that they use nothing. It is free after delay.
-func (d *Divider) settlePool(pool Pool, delay time.Duration, now time.Time) {
+// reclaimPool frees what nodes returned: nodes that confirmed their latest assignment, and nodes
+// that have not reported for so long that their parts have expired. Returned parts become free
+// after delay.
+func (d *Divider) reclaimPool(pool Pool, delay time.Duration, now time.Time) {
 	for node, entry := range pool {
-		heard := d.began
+		lastReport := d.began
 		if m := d.nodes[node]; m != nil {
-			heard = m.heard
-			if entry.givenBack.IsZero() && m.acked >= entry.Since {
-				entry.givenBack = now
+			lastReport = m.lastReport
+			if entry.releasedAt.IsZero() && m.acked >= entry.Since {
+				entry.releasedAt = now
 			}
 		}
-		if !entry.givenBack.IsZero() && now.Sub(entry.givenBack) >= delay {
-			entry.Bound = entry.Told
+		if !entry.releasedAt.IsZero() && now.Sub(entry.releasedAt) >= delay {
+			entry.Bound = entry.Assigned
 		}
-		if now.Sub(heard) > Lifetime+silenceMargin+delay {
-			entry.Bound, entry.Told = 0, 0
+		if now.Sub(lastReport) > Lifetime+expiryMargin+delay {
+			entry.Bound, entry.Assigned = 0, 0
 		}
-		if entry.Bound == 0 && entry.Told == 0 {
+		if entry.Bound == 0 && entry.Assigned == 0 {
 			delete(pool, node)
 		}
 	}
 }
 
-// divide moves a tenant's limit to where it is asked for. It returns whether that
+// divide moves a tenant's limit to the nodes where it is requested. It reports whether that
 // changes the row.
 func (d *Divider) divide(t *tenant.Tenant, next *Record, now time.Time) bool {
 	division := next.division(t.Name)
 	changed := d.chooseLenders(t.Name, division, next.Version, now)
 	targets := d.targets(t, division, now)
-	return division.Nodes.move(targets, next.Version) || changed
+	return division.Nodes.rebalance(targets, next.Version) || changed
 }
 
-// divideReserve gives all nodes an even part of the reserve.
+// divideReserve gives all nodes equal parts of the reserve.
 func (d *Divider) divideReserve(next *Record, now time.Time) bool {
-	if now.Sub(d.began) < reserveAfter {
+	if now.Sub(d.began) < reserveDelay {
 		return false
 	}
 	targets := make(map[string]Part)
@@ -274,9 +278,9 @@
 	for node := range next.Reserve {
 		targets[node] = 0
 	}
-	even := Part(float64(Whole) / reserveRoom / float64(max(len(targets), 1)))
+	even := Part(float64(Whole) / reserveHeadroom / float64(max(len(targets), 1)))
 	for node := range targets {
 		targets[node] = even
 	}
-	return next.Reserve.move(targets, next.Version)
+	return next.Reserve.rebalance(targets, next.Version)
 }
--- a/internal/limit/divider_test.go
+++ b/internal/limit/divider_test.go
@@ -16,20 +16,21 @@
 	limited = []*tenant.Tenant{{Name: "t", Limit: tenant.Limit{Rate: 100, Burst: 100}}}
 )
 
-// begin returns a divider that goes on from a record, which it confirmed.
+// begin returns a divider that continues from a record, with its first write confirmed.
 func begin(record *Record, now time.Time) *Divider {
 	return NewDivider(Begin(record), 0, strict, now)
 }
 
-// divideOnce lets a divider write what it would.
+// divideOnce lets a divider compute and write its next record.
 func divideOnce(d *Divider, now time.Time) {
 	if d.Next(limited, now) != nil {
 		d.Confirmed()
 	}
 }
 
-// TestLateReportGivesNothingBack: a report from before that reaches a new divider late says
-// that its node has nothing; what the node may have in force counts all the same.
+// TestLateReportGivesNothingBack: an old report that reaches a new divider late says that its
+// node has nothing. The divider must not take that as returning the part, which the node may
+// still have in force.
 func TestLateReportGivesNothingBack(t *testing.T) {
 	now := time.Unix(1000, 0)
 	late := Report{Node: "a", Process: "p", Address: "a", Spare: 1}
@@ -56,8 +57,8 @@
 	assert.Assert(t, d.record.Tenants["t"].Nodes.at("a").Bound < Whole)
 }
 
-// TestNothingIsToldOfARowBeingWritten: nodes are told what the last written row says until
-// the next one is confirmed.
+// TestNothingIsToldOfARowBeingWritten: nodes get what the last confirmed row says until the next
+// one is confirmed.
 func TestNothingIsToldOfARowBeingWritten(t *testing.T) {
 	now := time.Unix(1000, 0)
 	report := Report{Node: "a", Process: "p", Address: "a", Spare: 1}
@@ -68,19 +69,19 @@
 	d.Confirmed()
 	assert.Equal(t, d.Report(report, now).Shares[0].Part, Whole)
 
-	// A node that keeps what it has is not told the number of a row that may never be
-	// written: another divider's row would have the same number.
+	// A node whose shares are unchanged must not get the version of a row that may never be
+	// written: another divider's row would have the same version.
 	written := d.record.Version
 	report.Version = written
-	now = now.Add(reserveAfter)
+	now = now.Add(reserveDelay)
 	d.Report(report, now)
 	assert.Assert(t, d.Next(limited, now) != nil)
 	kept := Report{Node: "b", Process: "q", Address: "b", Spare: 1, Version: written}
 	assert.Equal(t, d.Report(kept, now).Version, written)
 }
 
-// TestNearLendersAreAskedFirst: a node is told which lenders lie in its region, and asks
-// these in turn before the others, which it still asks.
+// TestNearLendersAreAskedFirst: a node learns which lenders are in its region and asks these
+// first, in rotation, then the others.
 func TestNearLendersAreAskedFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := NewDivider(Begin(NewRecord()), 0, tenant.Tolerance{Window: time.Second}, now)
@@ -117,7 +118,7 @@
 	}
 }
 
-// TestOddNearIsBounded: a count of near lenders that cannot be is of no harm.
+// TestOddNearIsBounded: an out-of-range count of near lenders does no harm.
 func TestOddNearIsBounded(t *testing.T) {
 	limited := &tenant.Tenant{Name: "t", Limit: tenant.Limit{Rate: 10, Burst: 10}}
 	for _, near := range []int{-3, 9} {
@@ -128,8 +129,8 @@
 	}
 }
 
-// TestEachRegionHasALender: a region of few nodes among many gets a lender all the same, and
-// another one when it is lost; where regions are not known the best nodes lend.
+// TestEachRegionHasALender: a region with few of the nodes still gets a lender, and another one
+// if that is lost. Where regions are unknown, the nodes with the most spare capacity lend.
 func TestEachRegionHasALender(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := NewDivider(Begin(NewRecord()), 0, tenant.Tolerance{Window: time.Second}, now)
--- a/internal/limit/grants.go
+++ b/internal/limit/grants.go
@@ -8,8 +8,8 @@
 	"lilacvane/internal/tenant"
 )
 
-// Report returns what was asked since the last report, and the version of the shares in
-// force. Restore gives it back when the report was not delivered.
+// Report returns the version of the shares in force and the demand since the last report. If the
+// report is not delivered, pass the demand to Restore.
 func (k *Keeper) Report() (Version, []Use) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -24,7 +24,7 @@
 	return k.version, uses
 }
 
-// Restore takes back what a report that was not delivered told.
+// Restore adds back the demand of a report that was not delivered.
 func (k *Keeper) Restore(uses []Use) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -35,18 +35,19 @@
 	}
 }
 
-// Apply takes over a grant. sent is when the report was sent that it answers: a divider
-// that lost touch since counts the shares as unused from Lifetime after its answer on.
+// Apply applies a grant. sent is when the report that it answers was sent: a divider that loses
+// contact treats the shares as unused once Lifetime has passed since its answer.
 func (k *Keeper) Apply(grant Grant, sent time.Time) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.expire()
 	if grant.Version < k.version {
+		// The shares expired while the divider answered.
 		return
 	}
 	switch {
-	case !grant.Same:
-		k.setShares(grant.Shares, grant.Start)
+	case !grant.Unchanged:
+		k.setShares(grant.Shares, grant.FillInitially)
 		k.reserve = grant.Reserve
 	case k.version == 0:
 		// They expired while the divider answered.
@@ -58,27 +59,27 @@
 	}
 }
 
-// setShares replaces all shares. What is at hand stays, as far as the new share holds
-// it; a larger share fills by its rate. start lets them begin with something. mutex is
-// held.
-func (k *Keeper) setShares(shares []Share, start bool) {
+// setShares replaces all shares. The current level is kept as far as the new share has room for
+// it; a larger share fills at its own rate. fillInitially grants buckets their initial tokens.
+// mutex is held.
+func (k *Keeper) setShares(shares []Share, fillInitially bool) {
 	told := make(map[tenant.Name]Share, len(shares))
 	for _, share := range shares {
 		told[share.Tenant] = share
 		k.account(share.Tenant)
 	}
 	for name, a := range k.accounts {
-		a.nextPart(told[name].Part, k.now())
+		a.setPart(told[name].Part, k.now())
 		a.lenders, a.near = told[name].Lenders, told[name].Near
-		if start {
-			a.startPart = a.part
+		if fillInitially {
+			a.initialPart = a.part
 		}
 	}
 }
 
-// nextPart changes the part. Nothing is filled up for the time before: the rate of that
-// time is not known here, and less is on the safe side.
-func (a *account) nextPart(part Part, now time.Time) {
+// setPart changes the part. The time since the last refill adds no tokens: the rate of that time
+// is unknown here, and fewer tokens are the safe side.
+func (a *account) setPart(part Part, now time.Time) {
 	if a.part == part {
 		return
 	}
@@ -88,13 +89,13 @@
 	a.part, a.at = part, now
 }
 
-// expire drops the shares when no divider was heard for too long. mutex is held.
+// expire drops all shares if no divider was heard from for Lifetime. mutex is held.
 func (k *Keeper) expire() {
 	if k.version == 0 || k.now().Before(k.validUntil) {
 		return
 	}
 	k.version, k.reserve = 0, 0
 	for _, a := range k.accounts {
-		a.part, a.level, a.startPart = 0, 0, 0
+		a.part, a.level, a.initialPart = 0, 0, 0
 	}
 }
--- a/internal/limit/keeper.go
+++ b/internal/limit/keeper.go
@@ -9,62 +9,64 @@
 	"lilacvane/internal/tenant"
 )
 
-// Keeper is a node's side of the limits. Its methods may be called concurrently.
+// Keeper holds a node's shares of all limits and spends from them. Its methods may be called
+// concurrently.
 type Keeper struct {
 	now func() time.Time
 
 	mutex     sync.Mutex
 	tolerance tenant.Tolerance
 	version   Version
-	// validUntil is until when the shares are in force.
+	// validUntil is when the shares expire.
 	validUntil time.Time
 	accounts   map[tenant.Name]*account
-	// reserve is the node's part of each tenant's reserve. An earlier process may have
-	// spent it until this one began.
+	// reserve is the node's part of each tenant's reserve. An earlier process of the node may
+	// have spent from it until this one started, at began.
 	reserve Part
 	began   time.Time
 }
 
-// account is this node's part of one tenant's limit.
+// account holds this node's share of one tenant's limit.
 type account struct {
 	part    Part
 	lenders []string
-	// near is how many of the lenders, the first ones, lie in this node's region.
+	// near is how many of the lenders are in this node's region; they come first.
 	near int
-	// level is what may be spent, as of at.
+	// level is the number of tokens in the bucket as of at.
 	level float64
 	at    time.Time
-	// startPart is the part by which the bucket is still to be given what it begins with.
-	startPart Part
-	// asked is what was asked since the last report, by so many requests.
+	// initialPart is the part of the bucket whose initial tokens are yet to be added.
+	initialPart Part
+	// asked is the cost requested since the last report, requests the number of requests.
 	asked    float64
 	requests int
-	// taken is what was spent of the reserve within a window, oldest first, takenSum the
-	// sum of it.
-	taken    []taken
-	takenSum float64
-	// dryUntil is until when the lenders have nothing for requests of dryCost and dryRank,
-	// and for larger and less urgent ones.
-	dryUntil time.Time
-	dryCost  float64
-	dryRank  int
-	// next is the lender that is asked first next time.
-	next int
+	// reserveSpends lists what was spent from the reserve within the current window, oldest
+	// first; reserveSpent is the sum.
+	reserveSpends []reserveSpend
+	reserveSpent  float64
+	// refusedUntil is when to ask the lenders again for requests that cost refusedCost or more
+	// and are of refusedRank or less urgent.
+	refusedUntil time.Time
+	refusedCost  float64
+	refusedRank  int
+	// nextLender is the rotation offset of the lender to ask first.
+	nextLender int
 }
 
-// NewKeeper returns a keeper without any share.
+// NewKeeper returns a keeper without shares.
 func NewKeeper(tolerance tenant.Tolerance, now func() time.Time) *Keeper {
 	return &Keeper{now: now, tolerance: tolerance, accounts: make(map[tenant.Name]*account), began: now()}
 }
 
-// SetTolerance changes by how much use may pass limits.
+// SetTolerance changes by how much usage may exceed limits.
 func (k *Keeper) SetTolerance(tolerance tenant.Tolerance) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.tolerance = tolerance
 }
 
-// Ask notes that a request of the cost was asked for; it moves shares to this node.
+// RecordDemand records that a request of the cost arrived. Dividers move shares to the nodes
+// with demand.
 func (k *Keeper) Ask(t *tenant.Tenant, cost float64) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -73,7 +75,7 @@
 	a.requests++
 }
 
-// account returns a tenant's account. mutex is held.
+// account returns a tenant's account, creating it if needed. mutex is held.
 func (k *Keeper) account(name tenant.Name) *account {
 	a := k.accounts[name]
 	if a == nil {
@@ -83,26 +85,27 @@
 	return a
 }
 
-// Forget drops the accounts of tenants that are no more, once nothing of them is in force.
+// Forget removes the accounts of tenants that no longer exist, once nothing of them is in force.
 func (k *Keeper) Forget(known func(tenant.Name) bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	maps.DeleteFunc(k.accounts, func(name tenant.Name, a *account) bool {
-		return !known(name) && a.part == 0 && len(a.taken) == 0
+		return !known(name) && a.part == 0 && len(a.reserveSpends) == 0
 	})
 }
 
-// Status is a tenant's account at this node.
+// Status describes a tenant's account at this node.
 type Status struct {
 	Tenant tenant.Name
-	// Part is the node's part, 0 to 1, Level what it may spend now, in the limit's unit.
+	// Part is the node's part of the limit, 0 to 1. Level is what it may spend now, in the
+	// limit's unit.
 	Part  float64
 	Level float64
-	// Lenders are who spends for the node.
+	// Lenders are the addresses of the nodes that spend for this one.
 	Lenders []string
 }
 
-// Statuses lists the accounts by tenant.
+// Statuses lists all accounts, sorted by tenant.
 func (k *Keeper) Statuses() []Status {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
--- a/internal/limit/lenders.go
+++ b/internal/limit/lenders.go
@@ -6,39 +6,39 @@
 	"lilacvane/internal/tenant"
 )
 
-// longestDry bounds how long a lender's refusal is believed without asking it again:
-// its bucket fills, and other nodes ask for less.
-const longestDry = 200 * time.Millisecond
+// maxRefusalAge bounds how long a lender's refusal is relied on without asking it again: its
+// bucket refills, and other nodes may ask for less.
+const maxRefusalAge = 200 * time.Millisecond
 
-// Lenders returns who may spend for this node, in the order in which to ask: those of its
-// region first, and of these each in turn. dry is above zero when they said a moment ago
-// that they cannot.
-func (k *Keeper) Lenders(t *tenant.Tenant, cost float64, rank int) (addresses []string, dry time.Duration) {
+// Lenders returns the addresses of the nodes that may spend for this one, in the order in which
+// to ask: those of its region first, in rotation, then the others. refusedFor is above zero if
+// they refused a moment ago.
+func (k *Keeper) Lenders(t *tenant.Tenant, cost float64, rank int) (addresses []string, refusedFor time.Duration) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	a := k.account(t.Name)
-	if left := a.dryUntil.Sub(k.now()); left > 0 && cost >= a.dryCost && rank >= a.dryRank {
+	if left := a.refusedUntil.Sub(k.now()); left > 0 && cost >= a.refusedCost && rank >= a.refusedRank {
 		return nil, left
 	}
 	near := min(max(a.near, 0), len(a.lenders))
-	addresses = appendTurned(addresses, a.lenders[:near], a.next)
-	addresses = appendTurned(addresses, a.lenders[near:], a.next)
-	a.next++
+	addresses = appendRotated(addresses, a.lenders[:near], a.nextLender)
+	addresses = appendRotated(addresses, a.lenders[near:], a.nextLender)
+	a.nextLender++
 	return addresses, 0
 }
 
-// appendTurned appends all of a list, beginning at another one each turn.
-func appendTurned(to, list []string, turn int) []string {
+// appendRotated appends a list rotated by turn.
+func appendRotated(to, list []string, turn int) []string {
 	for i := range list {
 		to = append(to, list[(turn+i)%len(list)])
 	}
 	return to
 }
 
-// Refused notes that the lenders have nothing for the cost and rank until in.
-func (k *Keeper) Refused(t *tenant.Tenant, cost float64, rank int, in time.Duration) {
+// Refused records that the lenders cannot cover the cost at the rank before wait has passed.
+func (k *Keeper) Refused(t *tenant.Tenant, cost float64, rank int, wait time.Duration) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	a := k.account(t.Name)
-	a.dryUntil, a.dryCost, a.dryRank = k.now().Add(min(in, longestDry)), cost, rank
+	a.refusedUntil, a.refusedCost, a.refusedRank = k.now().Add(min(wait, maxRefusalAge)), cost, rank
 }
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -11,8 +11,8 @@
 	"lilacvane/internal/tenant"
 )
 
-// fleet is a model of nodes, of the row and of one divider at a time, with messages that
-// are lost and processes that are started again.
+// fleet simulates nodes, the stored row and one divider at a time. Messages get lost and
+// processes restart.
 type fleet struct {
 	t         assert.TestingT
 	now       time.Time
@@ -22,7 +22,7 @@
 	processes int
 	row       *Record
 	divider   *Divider
-	// rank is that of the requests.
+	// rank is the rank of the requests.
 	rank int
 	// spent lists what was spent, by tenant.
 	spent map[tenant.Name][]spending
@@ -32,7 +32,7 @@
 	name    string
 	process string
 	keeper  *Keeper
-	// old is a report of this node that may come late.
+	// old is an earlier report of this node that may arrive late.
 	old *Report
 }
 
@@ -62,7 +62,7 @@
 	n.keeper = NewKeeper(f.tolerance, f.clock)
 }
 
-// takeOver lets a new divider go on from the row.
+// takeOver starts a new divider from the stored row.
 func (f *fleet) takeOver() {
 	f.row = Begin(f.readRow())
 	f.divider = NewDivider(f.row.clone(), f.now.Sub(time.Unix(0, 0)), f.tolerance, f.now)
@@ -90,7 +90,8 @@
 	}
 }
 
-// divide lets the divider write its row. A write may fail, and may be done all the same.
+// divide lets the divider write its row. The write may fail, and a write whose answer is lost
+// may still have been done.
 func (f *fleet) divide(done, told bool) {
 	next := f.divider.Next(f.tenants, f.now)
 	if next == nil {
@@ -133,8 +134,8 @@
 	return ok
 }
 
-// check compares with the reference: the parts in force are no more than the whole, and
-// what was spent in each window is no more than the undivided bucket lets through.
+// check verifies that the parts in force do not exceed the whole, and that what was spent in
+// each window does not exceed what the undivided bucket admits.
 func (f *fleet) check() {
 	reserve := 0.0
 	for _, n := range f.nodes {
@@ -168,8 +169,8 @@
 	}
 }
 
-// TestLimitIsNeverPassed: whatever the order of spending, reports, losses, restarts and
-// changes of divider, all nodes together keep each limit in each window.
+// TestLimitIsNeverPassed: in any order of spending, reports, losses, restarts and changes of
+// divider, all nodes together keep each limit in each window.
 func TestLimitIsNeverPassed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t, rapid.IntRange(1, 6).Draw(t, "nodes"))
--- a/internal/limit/member.go
+++ b/internal/limit/member.go
@@ -7,64 +7,65 @@
 	"lilacvane/internal/tenant"
 )
 
-// useHalfLife is how fast a node's weight follows what is asked there. A tenant asks
-// at most nodes every few seconds only.
+// useHalfLife is the half-life of a node's recorded usage. At most nodes a tenant sends requests
+// only every few seconds.
 const useHalfLife = 8 * time.Second
 
-// member is a node that reported.
+// member is a node that has reported to the divider.
 type member struct {
 	address  string
 	region   string
 	spare    float64
 	process  string
 	replaced map[string]bool
-	// acked is the newest version that its process said it has; zero when it has said none
-	// to this divider: what it has then is not known.
-	acked Version
-	heard time.Time
-	used  map[tenant.Name]*flow
-	// fresh is set when it had nothing at its first report, started once its buckets began
-	// with something.
-	fresh   bool
-	started bool
-	// seeded is set once used was filled from the parts that an earlier divider gave.
+	// acked is the newest version that the node's current process confirmed; zero if it has
+	// confirmed none to this divider, in which case it is not known what the node has.
+	acked      Version
+	lastReport time.Time
+	used       map[tenant.Name]*usage
+	// startedEmpty is set if the node had no shares at its first report. filledInitially is set
+	// once its buckets got their initial tokens.
+	startedEmpty    bool
+	filledInitially bool
+	// seeded is set once used was initialized from the parts that an earlier divider assigned.
 	seeded bool
 }
 
-// flow is a fading sum of what was asked, by so many requests.
-type flow struct {
+// usage is an exponentially decaying sum of the requested cost and of the number of requests.
+type usage struct {
 	cost     float64
 	requests float64
 	at       time.Time
 }
 
-func (m *member) flow(name tenant.Name, now time.Time) *flow {
+func (m *member) usageOf(name tenant.Name, now time.Time) *usage {
 	if m.used[name] == nil {
-		m.used[name] = &flow{at: now}
+		m.used[name] = &usage{at: now}
 	}
 	return m.used[name]
 }
 
-func (f *flow) add(cost, requests float64, now time.Time) {
-	f.fade(now)
-	f.cost += cost
-	f.requests += requests
+func (u *usage) add(cost, requests float64, now time.Time) {
+	u.decay(now)
+	u.cost += cost
+	u.requests += requests
 }
 
-func (f *flow) fade(now time.Time) {
-	kept := math.Exp2(-float64(now.Sub(f.at)) / float64(useHalfLife))
-	f.cost *= kept
-	f.requests *= kept
-	f.at = now
+func (u *usage) decay(now time.Time) {
+	kept := math.Exp2(-float64(now.Sub(u.at)) / float64(useHalfLife))
+	u.cost *= kept
+	u.requests *= kept
+	u.at = now
 }
 
-// addRate adds what makes it as if so much had been asked a second until now.
-func (f *flow) addRate(perSecond float64, now time.Time) {
-	f.add(perSecond*useHalfLife.Seconds()/math.Ln2, 0, now)
+// addRate adds the cost that the sum would hold if perSecond had been requested steadily until
+// now.
+func (u *usage) addRate(perSecond float64, now time.Time) {
+	u.add(perSecond*useHalfLife.Seconds()/math.Ln2, 0, now)
 }
 
-// perSecond is what is asked a second.
-func (f *flow) perSecond(now time.Time) float64 {
-	f.fade(now)
-	return f.cost * math.Ln2 / useHalfLife.Seconds()
+// perSecond returns the requested cost per second.
+func (u *usage) perSecond(now time.Time) float64 {
+	u.decay(now)
+	return u.cost * math.Ln2 / useHalfLife.Seconds()
 }
--- a/internal/limit/pool.go
+++ b/internal/limit/pool.go
@@ -6,42 +6,42 @@
 )
 
 const (
-	// leastGiven is the least that is worth a row and a word to the node.
-	leastGiven = Whole / 100_000
-	// hysteresis is by which part of itself a share must be off before it is changed:
-	// each change is written to a row and told to nodes.
+	// minGrant is the smallest increase that is worth writing a row and telling the node.
+	minGrant = Whole / 100_000
+	// hysteresis is the relative deviation from its target at which a part is changed. Each
+	// change is written to a row and sent to nodes.
 	hysteresis = 0.3
 )
 
-// Pool is something whole that is divided among nodes.
+// Pool is a limit or reserve divided among nodes, by node.
 type Pool map[string]*Entry
 
 // Entry is one node's part.
 type Entry struct {
-	// Bound is the most that the node may have in force, Told what it is to have.
-	Bound Part `cbor:"1,keyasint"`
-	Told  Part `cbor:"2,keyasint,omitempty"`
-	// Since is the version from which on it is told so.
+	// Bound is the most that the node may have in force. Assigned is what it is meant to have.
+	Bound    Part `cbor:"1,keyasint"`
+	Assigned Part `cbor:"2,keyasint,omitempty"`
+	// Since is the version from which on Assigned applies.
 	Since Version `cbor:"3,keyasint,omitempty"`
-	// givenBack is when the node was first known to have no more than Told.
-	givenBack time.Time
+	// releasedAt is when the node was first known to have no more than Assigned.
+	releasedAt time.Time
 }
 
-// tell changes what the node is to have.
-func (e *Entry) tell(part Part, version Version) {
-	e.Told, e.Since, e.givenBack = part, version, time.Time{}
+// assign changes what the node is meant to have.
+func (e *Entry) assign(part Part, version Version) {
+	e.Assigned, e.Since, e.releasedAt = part, version, time.Time{}
 }
 
 func (p Pool) check() bool {
 	for _, entry := range p {
-		if entry == nil || entry.Told > entry.Bound {
+		if entry == nil || entry.Assigned > entry.Bound {
 			return false
 		}
 	}
 	return p.free() >= 0
 }
 
-// free is what nobody may have in force.
+// free returns the part that no node may have in force.
 func (p Pool) free() int64 {
 	free := int64(Whole)
 	for _, entry := range p {
@@ -59,7 +59,7 @@
 	return copied
 }
 
-// entry returns a node's entry.
+// entry returns a node's entry, creating it if needed.
 func (p Pool) entry(node string) *Entry {
 	entry := p[node]
 	if entry == nil {
@@ -69,7 +69,7 @@
 	return entry
 }
 
-// at is a node's part; nothing for a node without an entry.
+// at returns a copy of a node's entry; the zero Entry if there is none.
 func (p Pool) at(node string) Entry {
 	if entry := p[node]; entry != nil {
 		return *entry
@@ -77,37 +77,36 @@
 	return Entry{}
 }
 
-// off reports whether a part is so far from its target that it is changed.
-func off(part, target Part) bool {
+// needsChange reports whether a part deviates so far from its target that it is changed.
+func needsChange(part, target Part) bool {
 	return math.Abs(float64(target)-float64(part)) > hysteresis*float64(max(part, target))
 }
 
-// move tells nodes to have what they should: at once where that is less, and where it is
-// more as far as nobody else may have it in force. It returns whether that changes the
-// pool.
-func (p Pool) move(targets map[string]Part, version Version) (changed bool) {
+// rebalance assigns nodes their targets: decreases at once, increases only as far as no other
+// node may have that part in force. It reports whether that changes the pool.
+func (p Pool) rebalance(targets map[string]Part, version Version) (changed bool) {
 	for node, entry := range p {
-		if off(entry.Told, targets[node]) && targets[node] < entry.Told {
-			entry.tell(targets[node], version)
+		if needsChange(entry.Assigned, targets[node]) && targets[node] < entry.Assigned {
+			entry.assign(targets[node], version)
 			changed = true
 		}
 	}
 	return p.raise(targets, version) || changed
 }
 
-// raise gives nodes more, in proportion to what they lack.
+// raise increases parts, in proportion to what each node lacks.
 func (p Pool) raise(targets map[string]Part, version Version) (changed bool) {
 	lacking := make(map[string]int64)
 	sum := int64(0)
 	for node, target := range targets {
-		told := p.at(node).Told
-		if target <= told || !off(told, target) {
+		assigned := p.at(node).Assigned
+		if target <= assigned || !needsChange(assigned, target) {
 			continue
 		}
 		entry := p.entry(node)
-		if entry.Bound > entry.Told {
-			// It may still have more than it was told to have.
-			entry.tell(min(target, entry.Bound), version)
+		if entry.Bound > entry.Assigned {
+			// The node may still have more than it was last assigned.
+			entry.assign(min(target, entry.Bound), version)
 			changed = true
 		}
 		if target > entry.Bound {
@@ -118,12 +117,12 @@
 	free := p.free()
 	for node, lacks := range lacking {
 		given := Part(min(lacks, max(free, 0)*lacks/sum))
-		if given < leastGiven {
+		if given < minGrant {
 			continue
 		}
 		entry := p[node]
 		entry.Bound += given
-		entry.tell(entry.Bound, version)
+		entry.assign(entry.Bound, version)
 		changed = true
 	}
 	return changed
--- a/internal/limit/record.go
+++ b/internal/limit/record.go
@@ -8,39 +8,38 @@
 	"lilacvane/internal/tenant"
 )
 
-// Record is the row that holds how limits are divided.
+// Record is the stored row that describes how limits are divided.
 type Record struct {
 	// Version is one more than that of the row it replaced.
 	Version Version                   `cbor:"2,keyasint"`
 	Tenants map[tenant.Name]*Division `cbor:"1,keyasint"`
-	// StartedAt is when a divider last let buckets begin with something, on the clock of the
-	// row's table.
-	StartedAt time.Duration `cbor:"4,keyasint,omitempty"`
-	// Reserve is how the reserves of all tenants are divided.
+	// FilledAt is when a divider last granted initial tokens, on the clock of the row's table.
+	FilledAt time.Duration `cbor:"4,keyasint,omitempty"`
+	// Reserve is how the reserve of each tenant is divided; the same for all tenants.
 	Reserve Pool `cbor:"3,keyasint,omitempty"`
 }
 
-// Division is how one tenant's limit is divided.
+// Division describes how one tenant's limit is divided.
 type Division struct {
-	// Lenders are the nodes that spend for others, LendersSince the version from which on
-	// nodes are told so.
+	// Lenders are the nodes that spend on behalf of others. LendersSince is the version from
+	// which on they apply.
 	Lenders      []Lender `cbor:"1,keyasint"`
 	LendersSince Version  `cbor:"3,keyasint,omitempty"`
 	// Nodes is how the bucket is divided.
 	Nodes Pool `cbor:"2,keyasint"`
 }
 
-// Lender is a node that spends for others.
+// Lender is a node that spends on behalf of others.
 type Lender struct {
 	Node string `cbor:"1,keyasint"`
-	// Address is where peers reach it (ip:port).
+	// Address is where peers reach the lender (ip:port).
 	Address string `cbor:"2,keyasint"`
-	// Region is where it is; empty when it is not known.
+	// Region is the lender's region; empty if unknown.
 	Region string `cbor:"3,keyasint,omitempty"`
 }
 
-// nearFirst lists the addresses of the lenders, those in a region first, and how many
-// these are.
+// nearFirst lists the lenders' addresses, those in the given region first, and how many these
+// are.
 func (d *Division) nearFirst(region string) (addresses []string, near int) {
 	var others []string
 	for _, lender := range d.Lenders {
@@ -58,13 +57,12 @@
 	return slices.ContainsFunc(d.Lenders, func(l Lender) bool { return l.Node == node })
 }
 
-// NewRecord returns a record of nothing.
+// NewRecord returns an empty record.
 func NewRecord() *Record {
 	return &Record{Tenants: make(map[tenant.Name]*Division), Reserve: make(Pool)}
 }
 
-// Check reports whether a record that was read keeps what it must: parts that do not
-// add up to more than the whole.
+// Check reports whether a record that was read is valid: no parts add up to more than the whole.
 func (r *Record) Check() bool {
 	for _, division := range r.Tenants {
 		if division == nil || !division.Nodes.check() {
@@ -75,14 +73,14 @@
 }
 
 func (r *Record) clone() *Record {
-	copied := &Record{Version: r.Version, StartedAt: r.StartedAt, Tenants: make(map[tenant.Name]*Division, len(r.Tenants)), Reserve: r.Reserve.clone()}
+	copied := &Record{Version: r.Version, FilledAt: r.FilledAt, Tenants: make(map[tenant.Name]*Division, len(r.Tenants)), Reserve: r.Reserve.clone()}
 	for name, division := range r.Tenants {
 		copied.Tenants[name] = &Division{Lenders: division.Lenders, LendersSince: division.LendersSince, Nodes: division.Nodes.clone()}
 	}
 	return copied
 }
 
-// division returns a tenant's division.
+// division returns a tenant's division, creating it if needed.
 func (r *Record) division(name tenant.Name) *Division {
 	division := r.Tenants[name]
 	if division == nil {
@@ -92,7 +90,7 @@
 	return division
 }
 
-// changed is the version from which on a node's shares are what they are.
+// changed returns the version that last changed any of a node's shares.
 func (r *Record) changed(node string) Version {
 	last := r.Reserve.at(node).Since
 	for _, division := range r.Tenants {
@@ -101,11 +99,11 @@
 	return last
 }
 
-// shares lists what a node in a region is to have, by tenant.
+// shares lists the shares of a node in a region, sorted by tenant.
 func (r *Record) shares(node, region string) []Share {
 	shares := make([]Share, 0, len(r.Tenants))
 	for name, division := range r.Tenants {
-		share := Share{Tenant: name, Part: division.Nodes.at(node).Told}
+		share := Share{Tenant: name, Part: division.Nodes.at(node).Assigned}
 		share.Lenders, share.Near = division.nearFirst(region)
 		shares = append(shares, share)
 	}
--- a/internal/limit/reserve.go
+++ b/internal/limit/reserve.go
@@ -6,46 +6,47 @@
 	"lilacvane/internal/tenant"
 )
 
-// taken is one spending of the reserve.
-type taken struct {
+// reserveSpend is an amount spent from the reserve.
+type reserveSpend struct {
 	at   time.Time
 	cost float64
 }
 
-// smallPart is the part of a node's reserve up to which a request is small: small ones
-// together leave half of the reserve for when the lenders cannot be asked.
+// A request is small if it costs at most smallRequestFraction of the node's part of the reserve.
+// Small requests together use at most smallTotalFraction of that part; the rest is kept for when
+// no lender can be reached.
 const (
-	smallPart  = 0.1
-	smallLimit = 0.5
+	smallRequestFraction = 0.1
+	smallTotalFraction   = 0.5
 )
 
-// SpendSmall takes the cost of a small request from the reserve.
+// SpendSmall takes the cost from the reserve if the request is small.
 func (k *Keeper) SpendSmall(t *tenant.Tenant, cost float64) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	a, reserve := k.reserveOf(t)
-	if cost > smallPart*reserve || a.takenSum+cost > smallLimit*reserve {
+	if cost > smallRequestFraction*reserve || a.reserveSpent+cost > smallTotalFraction*reserve {
 		return false
 	}
-	a.take(cost, k.now())
+	a.spendReserve(cost, k.now())
 	return true
 }
 
-// SpendReserve takes the cost from the reserve. Where that does not suffice, in is the
-// time until it does, Never when it cannot.
-func (k *Keeper) SpendReserve(t *tenant.Tenant, cost float64) (ok bool, in time.Duration) {
+// SpendReserve takes the cost from the reserve. If the reserve is insufficient, wait is the time
+// until it suffices, or Never.
+func (k *Keeper) SpendReserve(t *tenant.Tenant, cost float64) (ok bool, wait time.Duration) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	a, reserve := k.reserveOf(t)
-	if a.takenSum+cost <= reserve {
-		a.take(cost, k.now())
+	if a.reserveSpent+cost <= reserve {
+		a.spendReserve(cost, k.now())
 		return true, 0
 	}
 	if cost > reserve {
 		return false, Never
 	}
-	left := a.takenSum
-	for _, spent := range a.taken {
+	left := a.reserveSpent
+	for _, spent := range a.reserveSpends {
 		if left -= spent.cost; left+cost <= reserve {
 			return false, spent.at.Add(k.tolerance.Window).Sub(k.now())
 		}
@@ -58,29 +59,29 @@
 	k.expire()
 	a := k.account(t.Name)
 	now := k.now()
-	a.forget(now.Add(-k.tolerance.Window))
+	a.dropReserveSpends(now.Add(-k.tolerance.Window))
 	if now.Sub(k.began) < k.tolerance.Window {
 		return a, 0
 	}
 	return a, t.Limit.Budget(k.tolerance).Reserve * float64(k.reserve) / float64(Whole)
 }
 
-func (a *account) take(cost float64, now time.Time) {
-	a.taken = append(a.taken, taken{at: now, cost: cost})
-	a.takenSum += cost
+func (a *account) spendReserve(cost float64, now time.Time) {
+	a.reserveSpends = append(a.reserveSpends, reserveSpend{at: now, cost: cost})
+	a.reserveSpent += cost
 }
 
-// forget drops what was spent of the reserve before a moment.
-func (a *account) forget(before time.Time) {
+// dropReserveSpends removes entries older than before.
+func (a *account) dropReserveSpends(before time.Time) {
 	count := 0
-	for count < len(a.taken) && a.taken[count].at.Before(before) {
-		a.takenSum -= a.taken[count].cost
+	for count < len(a.reserveSpends) && a.reserveSpends[count].at.Before(before) {
+		a.reserveSpent -= a.reserveSpends[count].cost
 		count++
 	}
 	if count > 0 {
-		a.taken = append(a.taken[:0], a.taken[count:]...)
+		a.reserveSpends = append(a.reserveSpends[:0], a.reserveSpends[count:]...)
 	}
-	if len(a.taken) == 0 {
-		a.takenSum = 0
+	if len(a.reserveSpends) == 0 {
+		a.reserveSpent = 0
 	}
 }
--- a/internal/limit/share_test.go
+++ b/internal/limit/share_test.go
@@ -12,8 +12,9 @@
 	"lilacvane/internal/tenant"
 )
 
-// caller asks for a tenant's limit at some nodes: so many requests a second of a mean
-// cost, most of them smaller and some several times as large.
+// caller sends requests for a tenant's limit to some nodes: rate requests per second with
+// exponentially distributed costs of the given mean, so that most are smaller and some several
+// times as large.
 type caller struct {
 	tenant *tenant.Tenant
 	nodes  []int
@@ -22,9 +23,9 @@
 	rank   int
 }
 
-// play lets callers ask for some seconds and returns the part of the cost that each was
-// granted.
-func (f *fleet) play(callers []caller, seconds int, random *rand.Rand) []float64 {
+// simulate lets callers send requests for some seconds and returns the fraction of the cost that
+// each was granted.
+func (f *fleet) simulate(callers []caller, seconds int, random *rand.Rand) []float64 {
 	const step = 50 * time.Millisecond
 	asked, granted := make([]float64, len(callers)), make([]float64, len(callers))
 	for tick := range seconds * int(time.Second/step) {
@@ -71,9 +72,9 @@
 	return list
 }
 
-// TestLimitIsWhereItIsAskedFor: a tenant within its limit that asks at all nodes loses next
-// to nothing beside one that asks for four times its own at three nodes, which gets nearly
-// all of it there.
+// TestLimitIsWhereItIsAskedFor: a tenant that stays within its limit and sends requests to all
+// nodes loses next to nothing, beside one that requests four times its limit at three nodes and
+// gets nearly all of its limit there.
 func TestLimitIsWhereItIsAskedFor(t *testing.T) {
 	const nodes = 84
 	f := newFleet(t, nodes)
@@ -87,22 +88,22 @@
 	f.takeOver()
 	random := rand.New(rand.NewPCG(1, 2))
 	callers := []caller{{tenant: calm, nodes: upTo(nodes), rate: 6, mean: 9_200}, {tenant: hot, nodes: []int{5, 6, 7}, rate: 87, mean: 9_200}}
-	f.play(callers[:1], 10, random)
-	granted := f.play(callers, 20, random)
+	f.simulate(callers[:1], 10, random)
+	granted := f.simulate(callers, 20, random)
 	f.check()
 	assert.Assert(t, granted[0] > 0.99, "calm: %.3f", granted[0])
 	assert.Assert(t, granted[1] > 0.9/4, "hot: %.3f of four times its limit", granted[1])
 }
 
-// TestLostLenderCostsLittle: when one of a tenant's lenders is gone for good, the others
-// carry what the tenant uses in ordinary times.
+// TestLostLenderCostsLittle: when one of a tenant's lenders is gone for good, the others carry
+// the tenant's normal usage.
 func TestLostLenderCostsLittle(t *testing.T) {
 	f := newFleet(t, 20)
 	calm := &tenant.Tenant{Name: "calm", Limit: tenant.Limit{Rate: 100, Burst: 100}}
 	f.tenants = []*tenant.Tenant{calm}
 	random := rand.New(rand.NewPCG(3, 4))
 	everywhere := []caller{{tenant: calm, nodes: upTo(20), rate: 55, mean: 1}}
-	f.play(everywhere, 10, random)
+	f.simulate(everywhere, 10, random)
 	lost := f.divider.Lenders("calm")[0]
 	for i, n := range f.nodes {
 		if n.name == lost {
@@ -111,26 +112,26 @@
 		}
 	}
 	everywhere[0].nodes = upTo(19)
-	granted := f.play(everywhere, 10, random)
+	granted := f.simulate(everywhere, 10, random)
 	f.check()
 	assert.Assert(t, granted[0] > 0.97, "%.3f", granted[0])
 }
 
-// TestNewDividerKeepsLenders: a new divider does not take nodes for gone that had no time to
-// report to it, and goes on to have a lender asked that it does not hear itself.
+// TestNewDividerKeepsLenders: a new divider does not treat nodes as gone before they had time to
+// report, and keeps a lender listed that it does not hear from itself.
 func TestNewDividerKeepsLenders(t *testing.T) {
 	f := newFleet(t, 20)
 	calm := &tenant.Tenant{Name: "calm", Limit: tenant.Limit{Rate: 100, Burst: 100}}
 	f.tenants = []*tenant.Tenant{calm}
 	random := rand.New(rand.NewPCG(5, 6))
 	everywhere := []caller{{tenant: calm, nodes: upTo(20), rate: 55, mean: 4}}
-	f.play(everywhere, 10, random)
+	f.simulate(everywhere, 10, random)
 	before := f.divider.Lenders("calm")
 	f.takeOver()
 	f.report(f.nodes[7], false, false)
 	f.divide(true, true)
 	assert.DeepEqual(t, f.divider.Lenders("calm"), before)
-	for f.now = f.now.Add(lenderSilence); len(f.divider.Lenders("calm")) < 2*lenderCount; {
+	for f.now = f.now.Add(lenderTimeout); len(f.divider.Lenders("calm")) < 2*lenderCount; {
 		f.now = f.now.Add(time.Second)
 		for _, n := range f.nodes {
 			if !slices.Contains(before, n.name) {
@@ -142,30 +143,30 @@
 	assert.DeepEqual(t, f.divider.Lenders("calm")[:lenderCount], before)
 }
 
-// TestUrgentRequestsOfATenantGoFirst: of a tenant that asks for three times its limit the
-// urgent requests are served, and what is left goes to the others.
+// TestUrgentRequestsOfATenantGoFirst: when a tenant requests three times its limit, its urgent
+// requests are served and the others get what is left.
 func TestUrgentRequestsOfATenantGoFirst(t *testing.T) {
 	f := newFleet(t, 12)
 	hot := &tenant.Tenant{Name: "hot", Limit: tenant.Limit{Rate: 1000, Burst: 1000}}
 	f.tenants = []*tenant.Tenant{hot}
 	random := rand.New(rand.NewPCG(7, 8))
 	asked := []caller{{tenant: hot, nodes: upTo(12), rate: 140, mean: 5, rank: 0}, {tenant: hot, nodes: upTo(12), rate: 460, mean: 5, rank: 2}}
-	f.play(asked, 5, random)
-	granted := f.play(asked, 20, random)
+	f.simulate(asked, 5, random)
+	granted := f.simulate(asked, 20, random)
 	f.check()
 	assert.Assert(t, granted[0] > 0.95, "urgent: %.3f", granted[0])
 	assert.Assert(t, granted[1] > 0.1 && granted[1] < 0.3, "others: %.3f", granted[1])
 }
 
-// TestAllStartedAgainBeginWithSomething: when all nodes are started again, a tenant that asks
-// for what it asked before is served from the first second on.
+// TestAllStartedAgainBeginWithSomething: after all nodes restart, a tenant whose demand is
+// unchanged is served from the first second on.
 func TestAllStartedAgainBeginWithSomething(t *testing.T) {
 	f := newFleet(t, 20)
 	calm := &tenant.Tenant{Name: "calm", Limit: tenant.Limit{Rate: 1000, Burst: 1000}}
 	f.tenants = []*tenant.Tenant{calm}
 	random := rand.New(rand.NewPCG(9, 10))
 	everywhere := []caller{{tenant: calm, nodes: upTo(20), rate: 110, mean: 5}}
-	f.play(everywhere, 20, random)
+	f.simulate(everywhere, 20, random)
 	f.now = f.now.Add(time.Second)
 	for _, n := range f.nodes {
 		f.restart(n)
@@ -175,12 +176,12 @@
 		f.report(n, false, false)
 	}
 	f.divide(true, true)
-	granted := f.play(everywhere, 1, random)
+	granted := f.simulate(everywhere, 1, random)
 	f.check()
 	assert.Assert(t, granted[0] > 0.9, "%.3f", granted[0])
 }
 
-// BenchmarkSpend is what a node takes to decide by its own share.
+// BenchmarkSpend measures how long a node takes to decide from its own share.
 func BenchmarkSpend(b *testing.B) {
 	keeper := NewKeeper(tenant.Tolerance{Window: time.Second}, time.Now)
 	t := &tenant.Tenant{Name: "t", Limit: tenant.Limit{Rate: 1e9, Burst: 1e9}}
@@ -191,8 +192,8 @@
 	}
 }
 
-// BenchmarkDivide is what a divider takes to move the limits of 16 tenants among so many
-// nodes, all of which ask for all of them.
+// BenchmarkDivide measures how long a divider takes to move the limits of 16 tenants among nodes
+// that all have demand for all of them.
 func BenchmarkDivide(b *testing.B) {
 	for _, nodes := range []int{84, 300} {
 		f := newFleet(b, nodes)
--- a/internal/limit/targets.go
+++ b/internal/limit/targets.go
@@ -11,58 +11,57 @@
 )
 
 const (
-	// lenderCount is how many lenders a limit has: two of three carry what a tenant uses
-	// in ordinary times when one is lost.
+	// lenderCount is how many lenders a limit has. If one is lost, the other two carry what a
+	// tenant normally uses.
 	lenderCount = 3
-	// ownHeadroom is how much more than what is asked at a node its own part is, and
-	// ownMost the most of a limit that lies with nodes other than lenders: the lenders
-	// even out what comes unevenly.
-	ownHeadroom = 1.3
-	ownMost     = 0.5
-	// ownRequests is how many mean requests a node's own part must hold to be of use.
-	ownRequests = 4
-	// leastPart is the least part of a bucket that is of use: a thousandth is less than one
-	// request.
-	leastPart = Whole / 1000
-	// unevenLender is how many times an even part a lender may keep: when one of three is
-	// lost, the even part falls to two thirds.
-	unevenLender = 1.6
+	// ownHeadroom is the ratio of a node's own part to its demand. maxOwnFraction is the most of
+	// a limit that nodes other than lenders get; lenders even out uneven demand.
+	ownHeadroom    = 1.3
+	maxOwnFraction = 0.5
+	// minOwnRequests is how many requests of mean cost a node's own part must hold to be useful.
+	minOwnRequests = 4
+	// minPart is the smallest useful part of a bucket: a thousandth is less than one request.
+	minPart = Whole / 1000
+	// lenderTolerance is how many times the even part a lender may keep. If one of three lenders
+	// is lost and replaced, its part stays blocked and the even part falls to two thirds, so
+	// that each of the other two has 1.5 times that.
+	lenderTolerance = 1.6
 )
 
-// targets are the parts that nodes should have: their own where that is of use, and what
-// is left the lenders. What silent nodes may have in force is left to them.
+// targets computes the parts that nodes should have: nodes with enough demand get their own,
+// lenders get the rest. Nodes that stopped reporting keep what they may have in force.
 func (d *Divider) targets(t *tenant.Tenant, division *Division, now time.Time) map[string]Part {
 	targets := make(map[string]Part)
 	left := float64(Whole)
 	for node, entry := range division.Nodes {
 		if !d.reports(node, now) {
-			targets[node] = entry.Told
+			targets[node] = entry.Assigned
 			left -= float64(entry.Bound)
 		}
 	}
-	for node, part := range d.ownParts(t, division, ownMost*left, now) {
+	for node, part := range d.ownParts(t, division, maxOwnFraction*left, now) {
 		targets[node] = Part(part)
 		left -= part
 	}
 	lenders := slices.DeleteFunc(slices.Clone(division.Lenders), func(l Lender) bool { return !d.reports(l.Node, now) })
 	for _, lender := range lenders {
-		targets[lender.Node] = lenderTarget(division.Nodes.at(lender.Node).Told, left/float64(len(lenders)))
+		targets[lender.Node] = lenderTarget(division.Nodes.at(lender.Node).Assigned, left/float64(len(lenders)))
 	}
 	return targets
 }
 
-// lenderTarget is what a lender should have when an even part is so much. What it has is
-// moved only when it is much more: until the others have it, it is of use to nobody.
-func lenderTarget(told Part, even float64) Part {
-	if float64(told) > even && float64(told) <= unevenLender*even {
-		return told
+// lenderTarget returns what a lender should have, given the even part. Parts are only moved off
+// a lender that has far more than that, because a part is usable by nobody until the others have
+// received it.
+func lenderTarget(assigned Part, even float64) Part {
+	if float64(assigned) > even && float64(assigned) <= lenderTolerance*even {
+		return assigned
 	}
 	return Part(even)
 }
 
-// ownParts are the parts, up to most in all, that nodes other than lenders can use
-// themselves: those of the nodes at which most is asked, as far as each holds some
-// requests.
+// ownParts computes parts, at most most in total, for nodes other than lenders: the nodes with
+// the highest demand, as far as each part holds several requests.
 func (d *Divider) ownParts(t *tenant.Tenant, division *Division, most float64, now time.Time) map[string]float64 {
 	cost, requests := 0.0, 0.0
 	var asked []ownPart
@@ -80,19 +79,19 @@
 		}
 	}
 	slices.SortFunc(asked, func(a, b ownPart) int { return cmp.Or(cmp.Compare(b.part, a.part), cmp.Compare(a.node, b.node)) })
-	least := max(ownRequests*cost/max(requests, 1)/bucket.Capacity*float64(Whole), float64(leastPart))
-	return fitting(asked, least, most)
+	least := max(minOwnRequests*cost/max(requests, 1)/bucket.Capacity*float64(Whole), float64(minPart))
+	return scaleToFit(asked, least, most)
 }
 
-// ownPart is what a node could use itself.
+// ownPart is the part that a node could use itself.
 type ownPart struct {
 	node string
 	part float64
 }
 
-// fitting gives the first of a list, the largest first, their parts in proportion: to as
-// many as can have least each and most in all.
-func fitting(asked []ownPart, least, most float64) map[string]float64 {
+// scaleToFit takes candidates in descending order and scales the parts of the first ones in
+// proportion, for as many as can get at least least each and at most most in total.
+func scaleToFit(asked []ownPart, least, most float64) map[string]float64 {
 	sum, count, scale := 0.0, 0, 1.0
 	for i, own := range asked {
 		sum += own.part
@@ -107,25 +106,25 @@
 	return own
 }
 
-// silent reports whether a node has not reported lately. A new divider takes nobody for
-// silent until all had time to find it.
+// silent reports whether a node has not reported lately. A new divider treats no node as silent
+// until all had time to find it.
 func (d *Divider) silent(node string, now time.Time) bool {
 	m := d.nodes[node]
 	if m == nil {
-		return now.Sub(d.began) > lenderSilence
+		return now.Sub(d.began) > lenderTimeout
 	}
-	return now.Sub(m.heard) > lenderSilence
+	return now.Sub(m.lastReport) > lenderTimeout
 }
 
-// reports reports whether a node reported to this divider lately.
+// reports reports whether a node has reported to this divider lately.
 func (d *Divider) reports(node string, now time.Time) bool {
 	return d.nodes[node] != nil && !d.silent(node, now)
 }
 
-// chooseLenders keeps a tenant's lenders while they report, and finds others for those that
-// do not. One that is silent goes on to be asked as long as it may have a part: nodes may
-// reach it that the divider does not. The lenders of all tenants are spread over the nodes
-// with the most to spare.
+// chooseLenders keeps a tenant's lenders while they report, and replaces those that do not. A
+// lender that is silent is still asked as long as it may have a part: nodes may reach it even if
+// the divider does not. The lenders of all tenants are spread over the nodes with the most spare
+// capacity.
 func (d *Divider) chooseLenders(name tenant.Name, division *Division, version Version, now time.Time) bool {
 	var lenders []Lender
 	reporting := 0
@@ -153,8 +152,9 @@
 	return true
 }
 
-// nextLender picks one of the candidates beside the lenders: the best one of a region that
-// has none yet that reports, so that nodes there need not ask farther, or else the best one.
+// nextLender picks the next lender from the candidates: the best one in a region without a
+// reporting lender, so that nodes there need not ask another region, or else the best one
+// overall.
 func (d *Divider) nextLender(candidates []string, lenders []Lender, now time.Time) (node string, found bool) {
 	for _, candidate := range candidates {
 		region := d.nodes[candidate].region
@@ -170,7 +170,7 @@
 	return node, found
 }
 
-// lender brings a lender's address up to date.
+// lender returns a lender with its address and region brought up to date.
 func (d *Divider) lender(known Lender) Lender {
 	if m := d.nodes[known.Node]; m != nil {
 		known.Address, known.Region = m.address, m.region
@@ -187,12 +187,12 @@
 		}
 	}
 	slices.SortFunc(nodes, func(a, b string) int {
-		return cmp.Or(cmp.Compare(d.nodes[b].spare, d.nodes[a].spare), cmp.Compare(place(name, a), place(name, b)))
+		return cmp.Or(cmp.Compare(d.nodes[b].spare, d.nodes[a].spare), cmp.Compare(rendezvousHash(name, a), rendezvousHash(name, b)))
 	})
 	return nodes
 }
 
-// place is a node's place in a tenant's order of lenders (rendezvous hashing).
-func place(name tenant.Name, node string) uint64 {
+// rendezvousHash ranks nodes as lenders of a tenant.
+func rendezvousHash(name tenant.Name, node string) uint64 {
 	return xxhash.Sum64String(string(name) + "/" + node)
 }
