--- a/internal/statement/limit.go
+++ b/internal/statement/limit.go
@@ -7,28 +7,29 @@
 	"time"
 )
 
-// crossing is how long after a runner named its limit an answer without it may have been under way
-// already: it lifts nothing.
-const crossing = 250 * time.Millisecond
+// inFlightGrace is the time after a runner stated its limit in which an answer without a limit
+// does not lift it: that answer may already have been in flight.
+const inFlightGrace = 250 * time.Millisecond
 
-// limit notes a limit, and reports whether that is news.
-func (r *record) limit(now time.Time, rate float64, lasting time.Duration) bool {
-	news := !r.limited(now, lasting) || rate != r.rate
+// limit records a limit, and reports whether that is a change.
+func (r *record) limit(now time.Time, rate float64, duration time.Duration) bool {
+	changed := !r.limited(now, duration) || rate != r.rate
 	r.rate, r.limitedAt = rate, now
-	return news
+	return changed
 }
 
-// limited reports whether the runner named a limit within the last time that was not lifted.
-func (r *record) limited(now time.Time, lasting time.Duration) bool {
-	return r.rate > 0 && within(r.limitedAt, now, lasting)
+// limited reports whether the runner stated a limit within the given duration that was not
+// lifted since.
+func (r *record) limited(now time.Time, duration time.Duration) bool {
+	return r.rate > 0 && within(r.limitedAt, now, duration)
 }
 
-// lift ends a runner's limit, as its answer to a request names none any more.
+// lift ends a runner's limit, after an answer to a request that states none.
 func (b *Book) lift(source Source) {
-	if b.known.Load() == 0 {
+	if b.recordCount.Load() == 0 {
 		return
 	}
-	if !b.lifted(source.Runner) {
+	if !b.clearLimit(source.Runner) {
 		return
 	}
 	b.options.Log.Info("runner names no limit any more", "runner", source.Runner, "request", source.Request)
@@ -37,67 +38,67 @@
 	}
 }
 
-// lifted ends a limit, and reports whether there was one.
-func (b *Book) lifted(runner string) bool {
+// clearLimit removes a limit, and reports whether there was one.
+func (b *Book) clearLimit(runner string) bool {
 	now := b.options.Now()
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	known := b.runners[runner]
-	if known == nil || !known.limited(now, b.options.Limits().LimitFor) || within(known.limitedAt, now, crossing) {
+	rec := b.runners[runner]
+	if rec == nil || !rec.limited(now, b.options.Limits().LimitFor) || within(rec.limitedAt, now, inFlightGrace) {
 		return false
 	}
-	known.rate, known.liftedAt = 0, now
+	rec.rate, rec.liftedAt = 0, now
 	return true
 }
 
-// HeardLimit is a runner that named a limit, and how long ago it did so last.
+// LimitReport is a runner's limit and how long ago the runner last stated it.
 type HeardLimit struct {
 	Runner string
-	// Rate is the limit in requests a second.
+	// Rate is the limit in requests per second.
 	Rate float64
 	Age  time.Duration
 }
 
-// Limits returns the limits that are in force, those named last first.
+// Limits returns the limits in force, the most recently stated first.
 func (b *Book) Limits() []HeardLimit {
 	return b.heardLimits(func(r *record) time.Time { return r.limitedAt })
 }
 
-// HeardLimits returns those of them that this node heard in answers, by these alone: nodes report no
-// others.
+// HeardLimits returns the limits in force that this node itself read from answers, with the age
+// of its own readings. Nodes pass on only these to others.
 func (b *Book) HeardLimits() []HeardLimit {
-	return b.heardLimits(func(r *record) time.Time { return r.ownLimitAt })
+	return b.heardLimits(func(r *record) time.Time { return r.heardLimitAt })
 }
 
-// heardLimits returns the limits by a time that is told of each.
+// heardLimits returns the limits in force, with ages by the given time.
 func (b *Book) heardLimits(at func(*record) time.Time) []HeardLimit {
-	if b == nil || b.known.Load() == 0 {
+	if b == nil || b.recordCount.Load() == 0 {
 		return nil
 	}
-	now, lasting := b.options.Now(), b.options.Limits().LimitFor
+	now, duration := b.options.Now(), b.options.Limits().LimitFor
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
 	var heard []HeardLimit
-	for id, known := range b.runners {
-		if said := at(known); known.limited(now, lasting) && within(said, now, lasting) {
-			heard = append(heard, HeardLimit{Runner: id, Rate: known.rate, Age: now.Sub(said)})
+	for id, rec := range b.runners {
+		if last := at(rec); rec.limited(now, duration) && within(last, now, duration) {
+			heard = append(heard, HeardLimit{Runner: id, Rate: rec.rate, Age: now.Sub(last)})
 		}
 	}
 	slices.SortFunc(heard, func(x, y HeardLimit) int { return cmp.Or(cmp.Compare(x.Age, y.Age), cmp.Compare(x.Runner, y.Runner)) })
 	return heard
 }
 
-// LearnLimits takes the word of another node that runners named limits.
+// LearnLimits records limits that another node passed on.
 func (b *Book) LearnLimits(peer string, heard []HeardLimit) {
-	for _, told := range heard {
-		if b.learnLimit(told) {
-			b.announce(Source{Runner: told.Runner, Peer: peer}, Limit{Rate: told.Rate})
+	for _, report := range heard {
+		if b.learnLimit(report) {
+			b.announce(Source{Runner: report.Runner, Peer: peer}, Limit{Rate: report.Rate})
 		}
 	}
 }
 
-// learnLimit notes one such word, and reports whether it is news. One that is older than what this
-// node heard changes nothing.
+// learnLimit records one of them, and reports whether it is a change. A report that is older
+// than what this node knows changes nothing.
 func (b *Book) learnLimit(heard HeardLimit) bool {
 	now, limits := b.options.Now(), b.options.Limits()
 	age := max(heard.Age, 0)
@@ -106,11 +107,11 @@
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	known, at := b.recordOf(heard.Runner, now), now.Add(-age)
-	if !at.After(known.limitedAt) || !at.After(known.liftedAt) {
+	rec, at := b.recordOf(heard.Runner, now), now.Add(-age)
+	if !at.After(rec.limitedAt) || !at.After(rec.liftedAt) {
 		return false
 	}
-	news := !known.limited(now, limits.LimitFor) || known.rate != heard.Rate
-	known.rate, known.limitedAt = heard.Rate, at
-	return news
+	changed := !rec.limited(now, limits.LimitFor) || rec.rate != heard.Rate
+	rec.rate, rec.limitedAt = heard.Rate, at
+	return changed
 }
--- a/internal/statement/read.go
+++ b/internal/statement/read.go
@@ -1,7 +1,7 @@
-// Package statement keeps what runners state of themselves in the heads of their answers:
-// that they leave, want no requests for a while, or only so many a second. All exchanges with runners pass the heads
-// of their answers through a Book, which reads, bounds and remembers the statements by the
-// incarnation that made them.
+// Package statement tracks what runners state about themselves in the headers of their answers:
+// that they are leaving, that they want no requests for a while, or how many they take per
+// second. The headers of all answers from runners pass through a Registry, which reads, bounds
+// and stores the statements by the incarnation that made them.
 package statement
 
 import (
@@ -13,59 +13,60 @@
 	"time"
 )
 
-// Statement is what a runner states of itself: Leaving, Rest or Limit.
+// Statement is what a runner states about itself: Leaving, Rest or Limit.
 type Statement interface{ statement() }
 
-// Leaving means that the runner ends soon: it serves what it has, and nothing new is to go there.
+// Leaving means that the runner will end soon: it finishes the requests it has and must get no
+// new ones.
 type Leaving struct{}
 
-// Rest means that the runner wants nothing from this node for a while.
+// Rest means that the runner wants no requests from this node for a while.
 type Rest struct{ For time.Duration }
 
-// Limit is how many requests a second the runner takes from all nodes together, for as long as it
-// says so; above zero.
+// Limit is how many requests per second the runner takes from all nodes together, as long as its
+// answers say so. Rate is above zero.
 type Limit struct{ Rate float64 }
 
 func (Leaving) statement() {}
 func (Rest) statement()    {}
 func (Limit) statement()   {}
 
-// Limits bound what is believed.
+// Limits bound the effect of statements.
 type Limits struct {
-	// LongestRest cuts a longer rest, so that no runner is out for long by a wrong number.
+	// LongestRest caps rests, so that a wrong number does not take a runner out of use for long.
 	LongestRest time.Duration
-	// UnreadableRest is the rest of a runner that names no time that can be read.
+	// UnreadableRest is the rest of a runner whose header has no readable time.
 	UnreadableRest time.Duration
-	// LeavingFor is how long a runner that stays is left alone after it said last that it
-	// leaves.
+	// LeavingFor is how long a runner gets no requests after it last said that it leaves, if it
+	// stays after all.
 	LeavingFor time.Duration
-	// LeastRate is taken, in requests a second, where a runner names a smaller limit or zero, so
-	// that some request finds out when it is over.
+	// LeastRate, in requests per second, replaces smaller limits and zero, so that some request
+	// gets through and finds out when the limit has ended.
 	LeastRate float64
-	// LimitFor is how long a limit is believed that no answer names or lifts.
+	// LimitFor is how long a limit lasts that no answer repeats or lifts.
 	LimitFor time.Duration
 }
 
 const (
-	// headerRest names the time, in seconds, after which a runner that turned a request away
-	// takes another one.
+	// headerRest gives the time, in seconds, after which a runner that rejected a request takes
+	// another one.
 	headerRest = "Retry-After"
-	// leaves is the platform's value for a runner that leaves. One that stays leaves the header
-	// out; stays is taken as the same.
-	leaves = "1"
-	stays  = "0"
+	// valueLeaving is the header value that the platform defines for a runner that leaves. A
+	// runner that stays omits the header; valueStaying means the same.
+	valueLeaving = "1"
+	valueStaying = "0"
 )
 
 // Headers are the names of the headers in which runners make statements.
 type Headers struct {
-	// Leaving says that the runner leaves.
+	// Leaving is the header that says that the runner leaves.
 	Leaving string
-	// Limit names how many requests a second it takes.
+	// Limit is the header with the number of requests per second that the runner takes.
 	Limit string
 }
 
-// read returns the statements in the head of an answer, and what of it could not be taken as
-// it was said.
+// read returns the statements in an answer's header, and the problems with those that were not
+// accepted as given.
 func read(names Headers, limits Limits, status int, header http.Header) (statements []Statement, problems []string) {
 	for _, value := range header.Values(names.Limit) {
 		rate, problem := rateOf(value, limits)
@@ -78,29 +79,30 @@
 	}
 	for _, value := range header.Values(names.Leaving) {
 		switch strings.TrimSpace(value) {
-		case leaves:
+		case valueLeaving:
 			statements = append(statements, Leaving{})
-		case stays, "":
+		case valueStaying, "":
 		default:
 			problems = append(problems, fmt.Sprintf("leaving: %q is not known", value))
 		}
 	}
-	if !turnsAway(status) {
+	if !mayRequestRest(status) {
 		return statements, problems
 	}
 	for _, value := range header.Values(headerRest) {
-		lasting, problem := restOf(value, limits)
+		duration, problem := restOf(value, limits)
 		if problem != "" {
 			problems = append(problems, problem)
 		}
-		if lasting > 0 {
-			statements = append(statements, Rest{For: lasting})
+		if duration > 0 {
+			statements = append(statements, Rest{For: duration})
 		}
 	}
 	return statements, problems
 }
 
-// rateOf reads a limit; zero for none that can be taken. problem says why it is not what was named.
+// rateOf parses a limit; zero if it is unusable. problem says why the result differs from the
+// stated value.
 func rateOf(value string, limits Limits) (rate float64, problem string) {
 	rate, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 	switch {
@@ -113,13 +115,14 @@
 	}
 }
 
-// turnsAway reports whether an answer with the status may ask for a rest.
-func turnsAway(status int) bool {
+// mayRequestRest reports whether an answer with the status may ask for a rest.
+func mayRequestRest(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// restOf reads the time of a rest. problem says why it is not the time that was named.
-func restOf(value string, limits Limits) (lasting time.Duration, problem string) {
+// restOf parses the duration of a rest. problem says why the result differs from the stated
+// value.
+func restOf(value string, limits Limits) (duration time.Duration, problem string) {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 	switch {
 	case err != nil, math.IsNaN(seconds), seconds < 0:
--- a/internal/statement/read_test.go
+++ b/internal/statement/read_test.go
@@ -15,9 +15,10 @@
 
 var testLimits = Limits{LongestRest: time.Minute, UnreadableRest: time.Second, LeavingFor: 5 * time.Minute, LeastRate: 0.1, LimitFor: time.Minute}
 
-// TestStatementsAreRead: what is no number of seconds, or too many, is bounded and named.
+// TestStatementsAreRead: values that are not a number, or out of range, are bounded and reported
+// as problems.
 func TestStatementsAreRead(t *testing.T) {
-	rest := func(lasting time.Duration) []Statement { return []Statement{Rest{For: lasting}} }
+	rest := func(duration time.Duration) []Statement { return []Statement{Rest{For: duration}} }
 	for name, test := range map[string]struct {
 		status   int
 		leaving  []string
--- /dev/null
+++ b/internal/statement/registry.go
@@ -0,0 +1,323 @@
+package statement
+
+import (
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/go-logr/logr"
+)
+
+// Kind names kinds of statements in metrics.
+type Kind string
+
+// The kinds of statements. KindDoubtful counts statements that were not accepted as given.
+const (
+	KindLeaving  Kind = "leaving"
+	KindRest     Kind = "rest"
+	KindLimit    Kind = "limit"
+	KindDoubtful Kind = "doubtful"
+)
+
+// Source describes the answer that contained a statement.
+type Source struct {
+	// Runner identifies the incarnation that answered. If it is empty, the incarnation is
+	// unknown and the answer is ignored.
+	Runner string
+	// Request is the request that was answered; empty for a question or an order of the node.
+	Request string
+	// Peer is the node that passed the statement on; empty if this node received it itself.
+	Peer string
+}
+
+// Options configures a Registry.
+type Options struct {
+	// Headers are the names of the headers to read.
+	Headers Headers
+	// Limits returns the limits in force.
+	Limits func() Limits
+	// Now reads a clock that keeps running while the machine is suspended, since rests end
+	// meanwhile.
+	Now func() time.Time
+	Log logr.Logger
+	// Observe, if set, is called for each statement.
+	Observe func(Kind)
+	// OnChange, if set, is called with each statement that changes what was known of the runner.
+	News func(source Source, statement Statement)
+	// OnCapacity, if set, is called when a runner that has rested may get more requests at once,
+	// or when a runner's limit ends.
+	Widened func()
+}
+
+// Registry holds the current statements of runners. Its methods may be called concurrently; a
+// nil Registry reads and holds nothing.
+type Book struct {
+	options Options
+	// recordCount is the size of runners, so that callers need no lock while it is zero.
+	recordCount atomic.Int64
+
+	mutex   sync.RWMutex
+	runners map[string]*record
+}
+
+// record holds what an incarnation stated. Registry.mutex guards it.
+type record struct {
+	// leavingAt is when the runner last said to any node that it leaves, heardLeavingAt to this
+	// node. restsUntil is the latest end of its rests. problemLoggedAt is when a problem with
+	// its statements was last logged. All are zero for never.
+	leavingAt, heardLeavingAt, restsUntil, problemLoggedAt time.Time
+	// rate is the limit that the runner stated, in requests per second; zero for none. limitedAt
+	// is when it last stated a limit to any node, heardLimitAt to this node. liftedAt is when an
+	// answer without a limit ended it.
+	rate                              float64
+	limitedAt, heardLimitAt, liftedAt time.Time
+	// window is how many requests that the runner has not begun to answer it may have after its
+	// rest; zero for any number.
+	window int
+}
+
+const (
+	// initialWindow is how many requests a runner may have at once after a rest. As long as it
+	// rejects none, each answer raises the window by one, so that it doubles with each round
+	// trip (slow start). In the test with many requests, 222 and 226 were rejected with it, 259
+	// and 263 without (means of three runs each).
+	initialWindow = 2
+	// maxWindow is the window at which the bound is dropped: more requests than a node usually
+	// has at one runner.
+	maxWindow = 64
+	// recoveryTimeout is how long after a rest the bound is dropped in any case, for runners
+	// that get few requests.
+	recoveryTimeout = 10 * time.Second
+)
+
+// NewRegistry returns an empty registry.
+func NewBook(options Options) *Book {
+	return &Book{options: options, runners: make(map[string]*record)}
+}
+
+// ReadHeader reads the statements in the header of a runner's answer. An answer with status 421
+// is ignored: another runner that now has the address may have sent it.
+func (b *Book) Hear(source Source, status int, header http.Header) {
+	if b == nil || source.Runner == "" || status == http.StatusMisdirectedRequest {
+		return
+	}
+	statements, problems := read(b.options.Headers, b.options.Limits(), status, header)
+	if source.Request != "" && len(header.Values(b.options.Headers.Limit)) == 0 {
+		b.lift(source)
+	}
+	if len(statements)+len(problems) == 0 {
+		if source.Request != "" && !mayRequestRest(status) {
+			b.widen(source.Runner)
+		}
+		return
+	}
+	if len(problems) > 0 {
+		b.reportProblems(source, status, problems)
+	}
+	for _, statement := range statements {
+		b.apply(source, statement)
+	}
+}
+
+// problemLogInterval is the minimum time between two log lines about problems with one runner's
+// statements: a runner that sends malformed headers does so with each answer.
+const problemLogInterval = time.Second
+
+// reportProblems counts and logs statements that were not accepted as given.
+func (b *Book) reportProblems(source Source, status int, problems []string) {
+	b.count(KindDoubtful)
+	now := b.options.Now()
+	b.mutex.Lock()
+	rec := b.recordOf(source.Runner, now)
+	log := !within(rec.problemLoggedAt, now, problemLogInterval)
+	if log {
+		rec.problemLoggedAt = now
+	}
+	b.mutex.Unlock()
+	if log {
+		b.options.Log.Info("runner's statement in doubt", "runner", source.Runner, "request", source.Request, "status", status, "problems", problems)
+	}
+}
+
+// widen enlarges the window of a runner that has rested, after it answered a request.
+func (b *Book) widen(runner string) {
+	if b.recordCount.Load() == 0 {
+		return
+	}
+	b.mutex.Lock()
+	rec := b.runners[runner]
+	widened := rec != nil && rec.widen(b.options.Now())
+	b.mutex.Unlock()
+	if widened && b.options.Widened != nil {
+		b.options.Widened()
+	}
+}
+
+func (b *Book) count(kind Kind) {
+	if b.options.Observe != nil {
+		b.options.Observe(kind)
+	}
+}
+
+// apply records a statement and announces it if it is a change.
+func (b *Book) apply(source Source, statement Statement) {
+	if b.update(source, statement) {
+		b.announce(source, statement)
+	}
+}
+
+// announce logs a change and passes it to Options.OnChange.
+func (b *Book) announce(source Source, statement Statement) {
+	switch statement := statement.(type) {
+	case Leaving:
+		b.options.Log.Info("runner says that it leaves", "runner", source.Runner, "request", source.Request, "peer", source.Peer)
+	case Rest:
+		b.options.Log.Info("runner wants rest", "runner", source.Runner, "request", source.Request, "forMs", statement.For.Milliseconds())
+	case Limit:
+		b.options.Log.Info("runner names a limit", "runner", source.Runner, "request", source.Request, "peer", source.Peer, "rate", statement.Rate)
+	}
+	if b.options.News != nil {
+		b.options.News(source, statement)
+	}
+}
+
+// update records a statement and reports whether it is a change.
+func (b *Book) update(source Source, statement Statement) bool {
+	now := b.options.Now()
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	rec := b.recordOf(source.Runner, now)
+	switch statement := statement.(type) {
+	case Leaving:
+		b.count(KindLeaving)
+		return rec.leave(now, b.options.Limits().LeavingFor)
+	case Rest:
+		b.count(KindRest)
+		return rec.rest(now, statement.For)
+	case Limit:
+		b.count(KindLimit)
+		rec.heardLimitAt = now
+		return rec.limit(now, statement.Rate, b.options.Limits().LimitFor)
+	default:
+		return false
+	}
+}
+
+// recordOf returns a runner's record, creating an empty one if needed, and removes expired
+// records. mutex is held.
+func (b *Book) recordOf(runner string, now time.Time) *record {
+	b.sweep(now)
+	rec := b.runners[runner]
+	if rec == nil {
+		rec = &record{}
+		b.runners[runner] = rec
+	}
+	b.recordCount.Store(int64(len(b.runners)))
+	return rec
+}
+
+// State is what a runner stated that is still in force.
+type State struct {
+	// Leaving is set while the runner is considered to be leaving.
+	Leaving bool
+	// Rest is how much longer the runner wants no requests; zero if it does not rest.
+	Rest time.Duration
+	// Window is how many requests that the runner has not begun to answer it may have after its
+	// rest; zero for any number.
+	Window int
+	// Rate is how many requests per second the runner takes from all nodes together, RateFor how
+	// much longer that applies. Both are zero if it stated no limit.
+	Rate    float64
+	RateFor time.Duration
+}
+
+// State returns what a runner stated that is still in force.
+func (b *Book) Of(runner string) State {
+	if b == nil || b.recordCount.Load() == 0 {
+		return State{}
+	}
+	b.mutex.RLock()
+	defer b.mutex.RUnlock()
+	rec := b.runners[runner]
+	if rec == nil {
+		return State{}
+	}
+	now := b.options.Now()
+	state := State{Leaving: rec.leaves(now, b.options.Limits().LeavingFor), Rest: max(rec.restsUntil.Sub(now), 0)}
+	if rec.recovering(now) {
+		state.Window = rec.window
+	}
+	if duration := b.options.Limits().LimitFor; rec.limited(now, duration) {
+		state.Rate, state.RateFor = rec.rate, rec.limitedAt.Add(duration).Sub(now)
+	}
+	return state
+}
+
+// CountResting returns the number of runners that want no requests from this node now.
+func (b *Book) CountResting() int {
+	b.mutex.RLock()
+	defer b.mutex.RUnlock()
+	now, count := b.options.Now(), 0
+	for _, rec := range b.runners {
+		if now.Before(rec.restsUntil) {
+			count++
+		}
+	}
+	return count
+}
+
+// leave records that the runner leaves, and reports whether that is a change.
+func (r *record) leave(now time.Time, duration time.Duration) bool {
+	changed := !r.leaves(now, duration)
+	r.leavingAt, r.heardLeavingAt = now, now
+	return changed
+}
+
+// rest records a rest, and reports whether the runner was not resting before. The latest end
+// applies: a shorter rest requested later does not shorten one that an earlier answer asked for.
+func (r *record) rest(now time.Time, duration time.Duration) bool {
+	changed := !now.Before(r.restsUntil)
+	r.window = initialWindow
+	if end := now.Add(duration); end.After(r.restsUntil) {
+		r.restsUntil = end
+	}
+	return changed
+}
+
+// recovering reports whether the runner has rested and its window is still bounded.
+func (r *record) recovering(now time.Time) bool {
+	return r.window > 0 && !now.Before(r.restsUntil) && now.Sub(r.restsUntil) < recoveryTimeout
+}
+
+// widen enlarges the window if the runner is recovering, and reports whether it did so.
+func (r *record) widen(now time.Time) bool {
+	if !r.recovering(now) {
+		return false
+	}
+	r.window++
+	if r.window >= maxWindow {
+		r.window = 0
+	}
+	return true
+}
+
+// sweep removes records with nothing in force. mutex is held.
+func (b *Book) sweep(now time.Time) {
+	duration := b.options.Limits().LeavingFor
+	for id, rec := range b.runners {
+		if !rec.leaves(now, duration) && !rec.limited(now, b.options.Limits().LimitFor) && !within(rec.liftedAt, now, b.options.Limits().LimitFor) && !now.Before(rec.restsUntil) && !rec.recovering(now) && !within(rec.problemLoggedAt, now, problemLogInterval) {
+			delete(b.runners, id)
+		}
+	}
+}
+
+// leaves reports whether the runner said within the given duration that it leaves.
+func (r *record) leaves(now time.Time, duration time.Duration) bool {
+	return within(r.leavingAt, now, duration)
+}
+
+// within reports whether at lies within the given duration before now. A zero at means never.
+func within(at, now time.Time, duration time.Duration) bool {
+	return !at.IsZero() && now.Sub(at) < duration
+}
--- a/internal/statement/book_test.go
+++ b/internal/statement/registry_test.go
@@ -11,30 +11,31 @@
 	"gotest.tools/v3/assert"
 )
 
-// testBook is a book with a clock that the test moves, and its news.
-func testBook() (book *Book, now *time.Time, news *[]Statement) {
-	now, news = new(time.Time), new([]Statement)
+// testBook returns a registry with a clock that the test advances, and the changes it announces.
+func testBook() (book *Book, now *time.Time, changes *[]Statement) {
+	now, changes = new(time.Time), new([]Statement)
 	*now = time.Unix(1000, 0)
 	book = NewBook(Options{
 		Headers: Headers{Leaving: testHeader, Limit: testLimitHeader}, Now: func() time.Time { return *now }, Log: logr.Discard(),
 		Limits: func() Limits { return testLimits },
-		News:   func(_ Source, made Statement) { *news = append(*news, made) },
+		News:   func(_ Source, statement Statement) { *changes = append(*changes, statement) },
 	})
-	return book, now, news
+	return book, now, changes
 }
 
 var (
-	leavingHead = http.Header{testHeader: {leaves}}
+	leavingHead = http.Header{testHeader: {valueLeaving}}
 	plainHead   = http.Header{}
 )
 
-// restHead is the head of a refusal that asks for a rest of some seconds.
+// restHead is the header of a rejection that asks for a rest of some seconds.
 func restHead(seconds string) http.Header { return http.Header{headerRest: {seconds}} }
 
-// TestLeavingIsBelievedUntilItWasNotSaidForLong: answers under way when it was said may come
-// after it; one wrong answer does not take a runner out for good.
+// TestLeavingIsBelievedUntilItWasNotSaidForLong: answers that were in flight when a runner said
+// that it leaves may arrive later and do not end it; a single wrong answer does not take a
+// runner out of use for good.
 func TestLeavingIsBelievedUntilItWasNotSaidForLong(t *testing.T) {
-	book, now, news := testBook()
+	book, now, changes := testBook()
 	runner := Source{Runner: "r1"}
 	book.Hear(runner, http.StatusOK, leavingHead)
 	book.Hear(runner, http.StatusOK, plainHead)
@@ -44,17 +45,18 @@
 	book.Hear(runner, http.StatusInternalServerError, leavingHead)
 	*now = now.Add(testLimits.LeavingFor - time.Second)
 	assert.Assert(t, book.Of("r1").Leaving)
-	assert.Equal(t, len(*news), 1)
+	assert.Equal(t, len(*changes), 1)
 	*now = now.Add(time.Second)
 	assert.Assert(t, !book.Of("r1").Leaving)
 	book.Hear(runner, http.StatusOK, leavingHead)
 	assert.Assert(t, book.Of("r1").Leaving)
-	assert.Equal(t, len(*news), 2)
+	assert.Equal(t, len(*changes), 2)
 }
 
-// TestRestLastsUntilItsLatestEnd: a shorter rest asked for later takes nothing back.
+// TestRestLastsUntilItsLatestEnd: a shorter rest requested later does not shorten an earlier
+// one.
 func TestRestLastsUntilItsLatestEnd(t *testing.T) {
-	book, now, news := testBook()
+	book, now, changes := testBook()
 	runner := Source{Runner: "r1", Request: "q"}
 	book.Hear(runner, http.StatusServiceUnavailable, restHead("3"))
 	*now = now.Add(time.Second)
@@ -63,14 +65,14 @@
 	book.Hear(runner, http.StatusServiceUnavailable, restHead("2.5"))
 	assert.Equal(t, book.Of("r1").Rest, 2500*time.Millisecond)
 	assert.Equal(t, book.CountResting(), 1)
-	assert.Equal(t, len(*news), 1)
+	assert.Equal(t, len(*changes), 1)
 	*now = now.Add(3 * time.Second)
 	assert.Equal(t, book.Of("r1").Rest, time.Duration(0))
 	book.Hear(runner, http.StatusServiceUnavailable, restHead("1"))
-	assert.Equal(t, len(*news), 2)
+	assert.Equal(t, len(*changes), 2)
 }
 
-// TestDoubtIsLoggedOnceAWhile: a runner that garbles each answer does not fill the log.
+// TestDoubtIsLoggedOnceAWhile: a runner whose headers are all malformed does not flood the log.
 func TestDoubtIsLoggedOnceAWhile(t *testing.T) {
 	lines := 0
 	book, now, _ := testBook()
@@ -80,13 +82,13 @@
 	}
 	assert.Equal(t, lines, 1)
 	assert.Equal(t, book.Of("r1"), State{})
-	*now = now.Add(doubtPause)
+	*now = now.Add(problemLogInterval)
 	book.Hear(Source{Runner: "r1"}, http.StatusOK, http.Header{testHeader: {"maybe"}})
 	assert.Equal(t, lines, 2)
 }
 
-// TestNotEveryAnswerIsHeard: another runner at the address, or none that is known, says nothing
-// of the one that was meant.
+// TestNotEveryAnswerIsHeard: an answer from another runner at the same address, or from an
+// unknown one, says nothing about the runner that was meant.
 func TestNotEveryAnswerIsHeard(t *testing.T) {
 	book, _, _ := testBook()
 	book.Hear(Source{Runner: "r1"}, http.StatusMisdirectedRequest, leavingHead)
@@ -98,7 +100,7 @@
 	assert.Equal(t, none.Of("r1"), State{})
 }
 
-// TestBookForgets: what is over is not kept.
+// TestBookForgets: expired records are removed.
 func TestBookForgets(t *testing.T) {
 	book, now, _ := testBook()
 	for _, id := range []string{"r1", "r2", "r3"} {
@@ -106,15 +108,15 @@
 	}
 	*now = now.Add(testLimits.LeavingFor)
 	book.Hear(Source{Runner: "r4"}, http.StatusOK, leavingHead)
-	assert.Equal(t, book.known.Load(), int64(1))
+	assert.Equal(t, book.recordCount.Load(), int64(1))
 }
 
-// TestManyHearAtOnce is for the race detector.
+// TestManyHearAtOnce reads headers concurrently, for the race detector.
 func TestManyHearAtOnce(t *testing.T) {
 	book := NewBook(Options{Headers: Headers{Leaving: testHeader, Limit: testLimitHeader}, Now: time.Now, Log: logr.Discard(), Limits: func() Limits { return testLimits }})
-	var hearing sync.WaitGroup
+	var readers sync.WaitGroup
 	for range 8 {
-		hearing.Go(func() {
+		readers.Go(func() {
 			for range 200 {
 				book.Hear(Source{Runner: "r1"}, http.StatusServiceUnavailable, restHead("2"))
 				book.Hear(Source{Runner: "r1"}, http.StatusOK, leavingHead)
@@ -122,11 +124,11 @@
 			}
 		})
 	}
-	hearing.Wait()
+	readers.Wait()
 	assert.Assert(t, book.Of("r1").Leaving && book.Of("r1").Rest > 0)
 }
 
-// BenchmarkOf asks for a runner that stated nothing, beside one that did.
+// BenchmarkOf measures the lookup of a runner that stated nothing, next to one that did.
 func BenchmarkOf(b *testing.B) {
 	book := NewBook(Options{Headers: Headers{Leaving: testHeader, Limit: testLimitHeader}, Now: time.Now, Log: logr.Discard(), Limits: func() Limits { return testLimits }})
 	book.Hear(Source{Runner: "r1"}, http.StatusOK, leavingHead)
