--- a/internal/crash/detector.go
+++ b/internal/crash/detector.go
@@ -1,5 +1,5 @@
-// Package crash tells runners that ended under their requests from connections that broke:
-// it asks a runner whose answer broke off whether it is still the process that it was.
+// Package crash distinguishes runners that crashed while running requests from mere connection
+// failures: when an answer breaks off, it probes whether the runner is still the same process.
 package crash
 
 import (
@@ -17,82 +17,83 @@
 )
 
 const (
-	// firstPause lies between the first two questions to a runner that neither answers nor
-	// refuses connections; each further pause is twice as long, up to longestPause.
-	firstPause   = 50 * time.Millisecond
-	longestPause = 800 * time.Millisecond
-	// questionTimeout bounds one question: a runner answers within some ms in its region.
-	questionTimeout = 400 * time.Millisecond
-	// inquiryLimit is how long it is asked: one that is restarted is back within some
+	// minProbePause is the pause after the first probe of a runner that neither answers nor
+	// refuses connections. Each further pause is twice as long, up to maxProbePause.
+	minProbePause = 50 * time.Millisecond
+	maxProbePause = 800 * time.Millisecond
+	// probeTimeout bounds one probe. A runner answers within a few milliseconds in its region.
+	probeTimeout = 400 * time.Millisecond
+	// inquiryTimeout is how long a runner is probed. A restarted runner is back within some
 	// seconds, and the platform's list drops one that is gone within about as many.
-	inquiryLimit = 10 * time.Second
-	// remembered is how long an ended runner is known, for answers that break off later.
-	remembered = 30 * time.Second
-	// mostPending bounds the requests kept for one runner: more than a runner's slots and
-	// queue hold.
-	mostPending = 512
+	inquiryTimeout = 10 * time.Second
+	// endedRetention is how long an ended runner is remembered, for answers that break off
+	// later.
+	endedRetention = 30 * time.Second
+	// maxPendingRequests bounds the requests kept per runner: more than the slots and the queue
+	// of a runner hold.
+	maxPendingRequests = 512
 )
 
-// Crash is a runner that ended, and the requests of this node that were there.
+// Crash describes a runner that ended, with the requests of this node that it was running.
 type Crash struct {
 	// Runner identifies the incarnation that ended.
 	Runner string
-	// How is the sign by which it was known.
+	// How describes how the end was detected.
 	How      string
 	Requests []poison.Identity
 }
 
-// Ask are the ways to ask a runner whether it is there.
+// Prober holds the functions that check whether a runner is still there.
 type Ask struct {
-	// Report reads its report.
+	// Report fetches the runner's report.
 	Report func(ctx context.Context, runner backend.Runner) (backend.Report, error)
-	// Connect makes a connection to an address and closes it.
+	// Connect opens a connection to an address and closes it.
 	Connect func(ctx context.Context, address string) error
-	// Leaves reports whether a runner said in an answer that it leaves; not set where only
-	// the platform's list tells.
+	// Leaves, if set, reports whether a runner said in an answer that it leaves. Otherwise only
+	// the platform's list is used.
 	Leaves func(runner string) bool
 }
 
-// leaves reports whether a runner said that it leaves: it ends by plan then.
+// leaves reports whether a runner announced that it leaves, so that its end is planned.
 func (a Ask) leaves(runner backend.Runner) bool {
 	return runner.Draining || (a.Leaves != nil && a.Leaves(runner.ID))
 }
 
-// Detector finds out which runners ended. Its methods may be called concurrently.
+// Detector determines which runners crashed. Its methods may be called concurrently.
 type Detector struct {
-	asking Ask
-	ended  func(Crash)
-	log    logr.Logger
+	prober  Ask
+	onCrash func(Crash)
+	log     logr.Logger
 
-	ctx  context.Context
-	end  context.CancelFunc
-	work sync.WaitGroup
+	ctx    context.Context
+	cancel context.CancelFunc
+	wg     sync.WaitGroup
 
 	mutex sync.Mutex
-	// pending and known are by runner; known are those that ended lately.
+	// pending holds the open inquiries, ended the runners that ended recently, both by runner.
 	pending map[string]*inquiry
-	known   map[string]pastRunner
+	ended   map[string]endedRunner
 }
 
-// Way is how to find out whether a runner ended.
+// ProbeMethod is a method to find out whether a runner ended.
 type Way uint8
 
-// The ways, each tells more than the one before.
+// The methods, each more conclusive than the one before.
 const (
-	// Wait leaves it to the platform's list: the answer only took too long.
+	// ProbeNone leaves the decision to the platform's list: the answer only took too long.
 	Wait Way = iota
-	// Connect tries whether the runner accepts connections.
+	// ProbeConnect checks whether the runner accepts connections.
 	Connect
-	// Report asks for its report.
+	// ProbeReport requests the runner's report.
 	Report
 )
 
-// inquiry is a runner of which it is not known yet whether it ended. Detector.mutex guards it.
+// inquiry is about a runner of which it is unknown whether it ended. Detector.mutex guards it.
 type inquiry struct {
 	runner   backend.Runner
 	requests []brokenRequest
-	way      Way
-	// due is set while the runner is to be asked, wake is signalled as it becomes so.
+	method   Way
+	// due is set if the runner is to be probed; wake is signalled when due is set.
 	due  bool
 	wake chan struct{}
 }
@@ -103,245 +104,249 @@
 	at      time.Time
 }
 
-// last is when the last answer broke off.
-func (i *inquiry) last() time.Time { return i.requests[len(i.requests)-1].at }
+// lastBroken is when the last answer broke off.
+func (i *inquiry) lastBroken() time.Time { return i.requests[len(i.requests)-1].at }
 
-// fresh are the requests whose answers broke off within inquiryLimit: what broke off earlier
-// has no part in an end now.
-func (i *inquiry) fresh() []poison.Identity {
+// recentRequests returns the requests whose answers broke off within inquiryTimeout. Earlier
+// ones are not connected with an end now.
+func (i *inquiry) recentRequests() []poison.Identity {
 	var requests []poison.Identity
 	for _, broken := range i.requests {
-		if time.Since(broken.at) <= inquiryLimit {
+		if time.Since(broken.at) <= inquiryTimeout {
 			requests = append(requests, broken.request)
 		}
 	}
 	return requests
 }
 
-type pastRunner struct {
+type endedRunner struct {
 	how string
 	at  time.Time
 }
 
-// NewDetector returns a detector. ended is told each crash under requests of this node,
-// possibly several times for one runner, each request once.
-func NewDetector(asking Ask, ended func(Crash), log logr.Logger) *Detector {
-	d := &Detector{asking: asking, ended: ended, log: log, pending: make(map[string]*inquiry), known: make(map[string]pastRunner)}
-	d.ctx, d.end = context.WithCancel(context.Background())
+// NewDetector returns a detector. onCrash is called for each crash with requests of this node,
+// possibly several times for one runner, but once for each request.
+func NewDetector(prober Ask, onCrash func(Crash), log logr.Logger) *Detector {
+	d := &Detector{prober: prober, onCrash: onCrash, log: log, pending: make(map[string]*inquiry), ended: make(map[string]endedRunner)}
+	d.ctx, d.cancel = context.WithCancel(context.Background())
 	return d
 }
 
-// Close ends all inquiries and waits for them.
+// Close cancels all inquiries and waits for them.
 func (d *Detector) Close() {
-	d.end()
-	d.work.Wait()
+	d.cancel()
+	d.wg.Wait()
 }
 
-// Broke notes that the answer to a request broke off, or never came, at a runner, and how to
-// find out whether that ended. One that leaves ends by plan, which is no crash.
-func (d *Detector) Broke(runner backend.Runner, request poison.Identity, way Way) {
-	if d.asking.leaves(runner) {
+// Interrupted records that the answer to a request from a runner broke off, or never came, and
+// by which method to find out whether the runner ended. The end of a runner that leaves is
+// planned and is not a crash.
+func (d *Detector) Broke(runner backend.Runner, request poison.Identity, method Way) {
+	if d.prober.leaves(runner) {
 		return
 	}
 	d.mutex.Lock()
-	d.forget()
-	if past, ended := d.known[runner.ID]; ended {
+	d.dropExpired()
+	if past, ended := d.ended[runner.ID]; ended {
 		d.mutex.Unlock()
-		d.ended(Crash{Runner: runner.ID, How: past.how, Requests: []poison.Identity{request}})
+		d.onCrash(Crash{Runner: runner.ID, How: past.how, Requests: []poison.Identity{request}})
 		return
 	}
 	defer d.mutex.Unlock()
 	if d.ctx.Err() != nil {
 		return
 	}
-	open := d.pending[runner.ID]
-	if open == nil {
-		open = &inquiry{runner: runner, wake: make(chan struct{}, 1)}
-		d.pending[runner.ID] = open
-		d.work.Go(func() { d.inquire(open) })
+	inq := d.pending[runner.ID]
+	if inq == nil {
+		inq = &inquiry{runner: runner, wake: make(chan struct{}, 1)}
+		d.pending[runner.ID] = inq
+		d.wg.Go(func() { d.inquire(inq) })
 	}
-	if len(open.requests) == mostPending {
-		open.requests = open.requests[1:]
+	if len(inq.requests) == maxPendingRequests {
+		inq.requests = inq.requests[1:]
 	}
-	open.requests = append(open.requests, brokenRequest{request: request, at: time.Now()})
-	open.way = max(open.way, way)
-	if way != Wait {
-		open.due = true
+	inq.requests = append(inq.requests, brokenRequest{request: request, at: time.Now()})
+	inq.method = max(inq.method, method)
+	if method != Wait {
+		inq.due = true
 		select {
-		case open.wake <- struct{}{}:
+		case inq.wake <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// inquire asks a runner until it is known whether it ended, or for inquiryLimit after the
-// last answer that broke off.
-func (d *Detector) inquire(open *inquiry) {
-	pause := firstPause
+// inquire probes a runner until it is known whether it ended, or until inquiryTimeout has passed
+// since the last answer broke off.
+func (d *Detector) inquire(inq *inquiry) {
+	pause := minProbePause
 	for d.ctx.Err() == nil {
-		way, due, ok := d.next(open)
+		method, due, ok := d.next(inq)
 		if !ok {
 			return
 		}
 		if !due {
-			// Only a further answer that breaks off, or the platform's list, tells more.
-			pause = firstPause
-			d.rest(open, longestPause)
+			// Only another answer that breaks off, or the platform's list, can give more
+			// information.
+			pause = minProbePause
+			d.sleep(inq, maxProbePause)
 			continue
 		}
-		asked := time.Now()
-		answered, how := d.ask(d.ctx, open.runner, way)
+		probedAt := time.Now()
+		result, how := d.probe(d.ctx, inq.runner, method)
 		switch {
-		case answered == ended:
-			d.noteEnd(open.runner.ID, how)
+		case result == verdictEnded:
+			d.recordEnd(inq.runner.ID, how)
 			return
-		case answered == lives && d.lives(open, asked):
+		case result == verdictAlive && d.confirmAlive(inq, probedAt):
 			return
-		case answered == unclear:
-			d.askAgain(open)
-			d.rest(open, pause)
-			pause = min(2*pause, longestPause)
+		case result == verdictUnclear:
+			d.markDue(inq)
+			d.sleep(inq, pause)
+			pause = min(2*pause, maxProbePause)
 		}
 	}
 }
 
-// next returns what to do about an inquiry; false when it is over.
-func (d *Detector) next(open *inquiry) (way Way, due, ok bool) {
+// next returns the next probe of an inquiry; ok is false if the inquiry is over.
+func (d *Detector) next(inq *inquiry) (method Way, due, ok bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.pending[open.runner.ID] != open {
+	if d.pending[inq.runner.ID] != inq {
 		return Wait, false, false
 	}
-	if time.Since(open.last()) > inquiryLimit {
-		delete(d.pending, open.runner.ID)
-		d.log.V(1).Info("not known whether a runner ended", "runner", open.runner.ID, "requests", len(open.requests))
+	if time.Since(inq.lastBroken()) > inquiryTimeout {
+		delete(d.pending, inq.runner.ID)
+		d.log.V(1).Info("cannot determine whether a runner ended", "runner", inq.runner.ID, "requests", len(inq.requests))
 		return Wait, false, false
 	}
-	due = open.due
-	open.due = false
-	return open.way, due, true
+	due = inq.due
+	inq.due = false
+	return inq.method, due, true
 }
 
-func (d *Detector) askAgain(open *inquiry) {
+func (d *Detector) markDue(inq *inquiry) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	open.due = true
+	inq.due = true
 }
 
-// rest waits for a pause, or until another answer breaks off.
-func (d *Detector) rest(open *inquiry, pause time.Duration) {
+// sleep waits for the pause, or until another answer breaks off.
+func (d *Detector) sleep(inq *inquiry, pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
 	case <-d.ctx.Done():
-	case <-open.wake:
+	case <-inq.wake:
 	case <-timer.C:
 	}
 }
 
-// The signs of a runner that ended.
+// The ways in which an end is detected.
 const (
 	howRefused = "its address refuses connections"
 	howOther   = "another runner, or a later incarnation of it, has its address"
-	// HowBorn is that of a runner that is listed with a later start.
+	// HowRestarted means that the runner is listed with a later start time.
 	HowBorn = "it started anew"
-	// HowGone is that of a runner that left the platform's list without a word.
+	// HowUnlisted means that the runner disappeared from the platform's list without announcing
+	// it.
 	HowGone = "it is not listed any more"
 )
 
-// verdict is what an answer of a runner tells.
+// verdict is the result of a probe.
 type verdict uint8
 
 const (
-	unclear verdict = iota
-	ended
-	lives
-	// accepts is a connection to a runner that tells no reports: it lives, or started anew
-	// already, which only the platform's list tells.
-	accepts
+	verdictUnclear verdict = iota
+	verdictEnded
+	verdictAlive
+	// verdictAccepts means that a runner that gives no reports accepted a connection. It either
+	// lives or has already restarted, which only the platform's list shows.
+	verdictAccepts
 )
 
-// ask asks a runner once. how is the sign that it ended.
-func (d *Detector) ask(ctx context.Context, runner backend.Runner, way Way) (answered verdict, how string) {
-	ctx, cancel := context.WithTimeout(ctx, questionTimeout)
+// probe probes a runner once. how describes how an end was detected.
+func (d *Detector) probe(ctx context.Context, runner backend.Runner, method Way) (result verdict, how string) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var err error
-	if way == Report {
-		_, err = d.asking.Report(ctx, runner)
+	if method == Report {
+		_, err = d.prober.Report(ctx, runner)
 	} else {
-		err = d.asking.Connect(ctx, runner.Address)
+		err = d.prober.Connect(ctx, runner.Address)
 	}
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return ended, howRefused
+		return verdictEnded, howRefused
 	case fault.IsCode(err, fault.CodeNotFound):
-		return ended, howOther
+		return verdictEnded, howOther
 	case err != nil:
-		return unclear, ""
-	case way == Connect:
-		return accepts, ""
+		return verdictUnclear, ""
+	case method == Connect:
+		return verdictAccepts, ""
 	default:
-		return lives, ""
+		return verdictAlive, ""
 	}
 }
 
-// lives notes that a runner answered a question sent then; false when another answer broke
-// off since.
-func (d *Detector) lives(open *inquiry, asked time.Time) bool {
+// confirmAlive closes an inquiry after the runner answered a probe sent at probedAt. It returns
+// false if another answer broke off since.
+func (d *Detector) confirmAlive(inq *inquiry, probedAt time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if open.last().After(asked) {
+	if inq.lastBroken().After(probedAt) {
 		return false
 	}
-	delete(d.pending, open.runner.ID)
+	delete(d.pending, inq.runner.ID)
 	return true
 }
 
-// Refused notes that a runner's address refused a connection: it ended, if an answer of it
-// broke off before. Alone it may only have too many connections.
+// Refused records that a runner's address refused a connection. That means an end only if an
+// answer of the runner broke off before; otherwise the runner may just have too many
+// connections.
 func (d *Detector) Refused(id string) {
 	d.mutex.Lock()
-	open := d.pending[id] != nil
+	pending := d.pending[id] != nil
 	d.mutex.Unlock()
-	if open {
-		d.noteEnd(id, howRefused)
+	if pending {
+		d.recordEnd(id, howRefused)
 	}
 }
 
-// Gone notes that the platform's list does not tell of a runner any more: it was dropped, or
-// a later incarnation is listed. One that said that it leaves ended by plan.
+// Gone records that a runner is no longer in the platform's list: it was dropped, or a later
+// incarnation is listed. The end of a runner that announced that it leaves is planned.
 func (d *Detector) Gone(runner backend.Runner, how string) {
-	if !d.asking.leaves(runner) {
-		d.noteEnd(runner.ID, how)
+	if !d.prober.leaves(runner) {
+		d.recordEnd(runner.ID, how)
 	}
 }
 
-// noteEnd notes that a runner ended, and tells of the requests that were there.
-func (d *Detector) noteEnd(id, how string) {
+// recordEnd records that a runner ended, and reports the requests that it was running.
+func (d *Detector) recordEnd(id, how string) {
 	d.mutex.Lock()
-	d.forget()
-	open := d.pending[id]
+	d.dropExpired()
+	inq := d.pending[id]
 	delete(d.pending, id)
-	if _, known := d.known[id]; !known {
-		d.known[id] = pastRunner{how: how, at: time.Now()}
+	if _, known := d.ended[id]; !known {
+		d.ended[id] = endedRunner{how: how, at: time.Now()}
 	}
 	d.mutex.Unlock()
-	if open == nil {
+	if inq == nil {
 		return
 	}
-	requests := open.fresh()
+	requests := inq.recentRequests()
 	if len(requests) == 0 {
 		return
 	}
 	d.log.Info("runner ended under requests", "runner", id, "how", how, "requests", len(requests))
-	d.ended(Crash{Runner: id, How: how, Requests: requests})
+	d.onCrash(Crash{Runner: id, How: how, Requests: requests})
 }
 
-// forget drops runners that ended long ago. mutex is held.
-func (d *Detector) forget() {
-	for id, past := range d.known {
-		if time.Since(past.at) > remembered {
-			delete(d.known, id)
+// dropExpired removes runners that ended longer than endedRetention ago. mutex is held.
+func (d *Detector) dropExpired() {
+	for id, past := range d.ended {
+		if time.Since(past.at) > endedRetention {
+			delete(d.ended, id)
 		}
 	}
 }
--- a/internal/crash/detector_test.go
+++ b/internal/crash/detector_test.go
@@ -25,7 +25,8 @@
 	errReset = fault.At(fault.CodeInterrupted, "read report", "r", fault.Unknown, errors.New("reset"))
 )
 
-// answers is a runner that answers questions in turn, the last answer again and again.
+// answers simulates a runner that answers probes with the listed answers in turn, repeating the
+// last one.
 type answers struct {
 	list  []answer
 	asked int
@@ -42,7 +43,8 @@
 	return given.report, given.err
 }
 
-// detect lets a request break off at a runner that answers so, and returns the crashes told.
+// detect lets a request break off at a runner with the given answers, and returns the reported
+// crashes.
 func detect(t *testing.T, a *answers, then func(*Detector)) []Crash {
 	t.Helper()
 	var crashes []Crash
@@ -52,13 +54,14 @@
 		if then != nil {
 			then(d)
 		}
-		time.Sleep(2 * inquiryLimit)
+		time.Sleep(2 * inquiryTimeout)
 		d.Close()
 	})
 	return crashes
 }
 
-// TestEndOfARunnerIsToldFromABrokenConnection: by what the runner answers, at once or later.
+// TestEndOfARunnerIsToldFromABrokenConnection: the runner's answers to probes, immediate or
+// later, distinguish its end from a broken connection.
 func TestEndOfARunnerIsToldFromABrokenConnection(t *testing.T) {
 	lives := answer{}
 	for name, test := range map[string]struct {
@@ -83,8 +86,8 @@
 	}
 }
 
-// TestEndThatTheListTellsCounts: of a silent runner the platform's list tells, also when an
-// answer breaks off after that.
+// TestEndThatTheListTellsCounts: the platform's list shows the end of a silent runner, also for
+// an answer that breaks off afterwards.
 func TestEndThatTheListTellsCounts(t *testing.T) {
 	later := poison.Identity{2}
 	crashes := detect(t, &answers{list: []answer{{err: errReset}}}, func(d *Detector) {
@@ -99,11 +102,11 @@
 	})
 }
 
-// noConnection is a connection that comes to nothing.
+// noConnection fails to connect.
 func noConnection(context.Context, string) error { return errReset }
 
-// TestRunnerWithoutReportsIsConnectedTo: one that refuses connections has ended; of one that
-// accepts them the list may tell yet that it did.
+// TestRunnerWithoutReportsIsConnectedTo: a runner that refuses connections has ended. For one
+// that accepts them, the list may still show that it ended.
 func TestRunnerWithoutReportsIsConnectedTo(t *testing.T) {
 	for _, gone := range []bool{true, false} {
 		var crashes []Crash
@@ -127,8 +130,8 @@
 	}
 }
 
-// TestLaterAnswerThatBreaksOffIsAskedFor: a runner that was only slow, or accepted a
-// connection, is asked again at once when an answer of it breaks off.
+// TestLaterAnswerThatBreaksOffIsAskedFor: a runner that was only slow, or accepted a connection,
+// is probed again immediately when another of its answers breaks off.
 func TestLaterAnswerThatBreaksOffIsAskedFor(t *testing.T) {
 	for _, first := range []Way{Wait, Connect} {
 		var crashes []Crash
@@ -142,7 +145,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			d := NewDetector(Ask{Connect: connect}, func(c Crash) { crashes = append(crashes, c) }, logr.Discard())
 			d.Broke(runner, poison.Identity{9}, first)
-			time.Sleep(inquiryLimit - time.Second)
+			time.Sleep(inquiryTimeout - time.Second)
 			synctest.Wait()
 			gone = true
 			start := time.Now()
@@ -156,14 +159,15 @@
 	}
 }
 
-// TestWhatBrokeOffLongAgoHasNoPart: in the end of a runner that goes on breaking off.
+// TestWhatBrokeOffLongAgoHasNoPart: when answers of a runner break off over a long time, only
+// the recent ones are reported with its end.
 func TestWhatBrokeOffLongAgoHasNoPart(t *testing.T) {
 	var crashes []Crash
 	synctest.Test(t, func(t *testing.T) {
 		d := NewDetector(Ask{Connect: func(context.Context, string) error { return nil }}, func(c Crash) { crashes = append(crashes, c) }, logr.Discard())
 		for number := range 8 {
 			d.Broke(runner, poison.Identity{byte(number)}, Wait)
-			time.Sleep(inquiryLimit / 4)
+			time.Sleep(inquiryTimeout / 4)
 		}
 		d.Gone(runner, HowGone)
 		d.Close()
@@ -172,7 +176,8 @@
 	assert.DeepEqual(t, crashes[0].Requests, []poison.Identity{{4}, {5}, {6}, {7}})
 }
 
-// TestRefusedConnectionOfARequestTells: but not without an answer that broke off.
+// TestRefusedConnectionTellsOfARunnerThatIsNotAsked: a refused connection of a request shows the
+// end of a runner, but only if an answer broke off before.
 func TestRefusedConnectionTellsOfARunnerThatIsNotAsked(t *testing.T) {
 	var crashes []Crash
 	synctest.Test(t, func(*testing.T) {
@@ -187,10 +192,10 @@
 	assert.DeepEqual(t, crashes, []Crash{{Runner: runner.ID, How: howRefused, Requests: []poison.Identity{request}}})
 }
 
-// TestEndByPlanIsNoCrash: of a runner that said that it leaves.
+// TestEndByPlanIsNoCrash: the end of a runner that announced that it leaves is not reported.
 func TestEndByPlanIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := NewDetector(Ask{Connect: noConnection}, func(c Crash) { t.Errorf("told %+v", c) }, logr.Discard())
+		d := NewDetector(Ask{Connect: noConnection}, func(c Crash) { t.Errorf("unexpected crash: %+v", c) }, logr.Discard())
 		leaving := runner
 		leaving.Draining = true
 		d.Broke(leaving, request, Connect)
@@ -200,8 +205,8 @@
 	})
 }
 
-// TestAnswerThatBrokeAfterTheQuestionIsAskedFor: a runner that answered just before it ended
-// is asked again for the request that broke off after that.
+// TestAnswerThatBrokeAfterTheQuestionIsAskedFor: a runner that answered a probe just before it
+// ended is probed again for a request that broke off after that.
 func TestAnswerThatBrokeAfterTheQuestionIsAskedFor(t *testing.T) {
 	var crashes []Crash
 	synctest.Test(t, func(t *testing.T) {
@@ -225,14 +230,14 @@
 	assert.Equal(t, len(crashes[0].Requests), 2)
 }
 
-// TestPendingRequestsAreBounded: a silent runner keeps so many and not more.
+// TestPendingRequestsAreBounded: the number of requests kept for a silent runner is bounded.
 func TestPendingRequestsAreBounded(t *testing.T) {
 	crashes := detect(t, &answers{list: []answer{{err: errReset}}}, func(d *Detector) {
-		for number := range 2 * mostPending {
+		for number := range 2 * maxPendingRequests {
 			d.Broke(runner, poison.Identity{byte(number), byte(number >> 8), 1}, Report)
 		}
 		d.Gone(runner, HowGone)
 	})
 	assert.Equal(t, len(crashes), 1)
-	assert.Equal(t, len(crashes[0].Requests), mostPending)
+	assert.Equal(t, len(crashes[0].Requests), maxPendingRequests)
 }
