--- a/internal/poison/identity.go
+++ b/internal/poison/identity.go
@@ -1,6 +1,7 @@
-// Package poison recognizes requests that end the runners that run them: it knows the tries
-// of one request by their content, counts the runners that ended under it, and keeps which
-// contents are not run any more. It is pure: time is passed in, and nothing is sent from here.
+// Package poison detects requests that crash the runners that run them. It identifies all
+// attempts of one request by their content, counts the runners that ended while running it, and
+// keeps the set of contents that are no longer run. It does no I/O: the caller passes in the
+// time, and nothing is sent from here.
 package poison
 
 import (
@@ -12,24 +13,26 @@
 	"lilacvane/internal/fault"
 )
 
-// Identity stands for the content of a request: all tries of one have the same, at every
-// node. It is a cryptographic digest, so that nobody can give a request that of another.
+// Identity identifies the content of a request: all attempts of one request have the same
+// identity, at every node. It is a cryptographic digest, so that nobody can craft a request with
+// the identity of another.
 type Identity [sha256.Size]byte
 
-// Content is what makes two tries the same request. Headers are left out but for the caller,
-// as clients may set others anew for each try.
+// Content is what two attempts of the same request have in common. Headers are left out, except
+// for the caller's identity, because clients may set others anew for each attempt.
 type Content struct {
 	Method string
 	Host   string
-	// Path is without the query.
+	// Path is the path without the query.
 	Path string
-	// Query counts only where there is no body: with one, clients may use it to tell their
-	// tries apart.
+	// Query only counts if there is no body: with one, clients may use the query to distinguish
+	// attempts.
 	Query string
-	// Caller is the tenant, or else the key that came with the request; empty for none.
+	// Caller is the tenant, or else the key that came with the request; empty if there is
+	// neither.
 	Caller string
-	// Unit is what runs it, where the node and not the client chose that: a new version of a
-	// model may bear what the last one did not.
+	// Unit is what runs the request, if the node and not the client chose it: a new version of a
+	// model may handle what the previous one did not.
 	Unit backend.Unit
 	Body []byte
 }
@@ -42,7 +45,7 @@
 	}
 	digest := sha256.New()
 	for _, part := range []string{c.Method, c.Host, c.Path, query, c.Caller, c.Unit.Model, c.Unit.Adapter} {
-		// The length keeps parts from running into each other.
+		// The length prefix keeps adjacent parts unambiguous.
 		var length [8]byte
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 		digest.Write(length[:])
@@ -52,7 +55,7 @@
 	return Identity(digest.Sum(nil))
 }
 
-// ParseIdentity reads an identity in hexadecimal digits.
+// ParseIdentity parses an identity from hexadecimal digits.
 func ParseIdentity(text string) (Identity, error) {
 	var identity Identity
 	content, err := hex.DecodeString(text)
@@ -66,7 +69,7 @@
 // String returns the identity in hexadecimal digits.
 func (i Identity) String() string { return hex.EncodeToString(i[:]) }
 
-// shortBytes is how much of an identity tells requests apart in logs.
+// shortBytes is how many bytes of an identity are enough to distinguish requests in logs.
 const shortBytes = 8
 
 // Short returns the beginning of the identity in hexadecimal digits, for logs.
--- a/internal/poison/identity_test.go
+++ b/internal/poison/identity_test.go
@@ -9,8 +9,8 @@
 	"lilacvane/internal/backend"
 )
 
-// TestTriesOfARequestAreTheSame: what clients change from try to try does not count, and no
-// part of a content can be moved into another part.
+// TestTriesOfARequestAreTheSame: what clients change between attempts does not count, and
+// content moved from one part into another changes the identity.
 func TestTriesOfARequestAreTheSame(t *testing.T) {
 	first := Content{Method: "POST", Host: "a.example", Path: "/x/y", Query: "try=1", Caller: "c", Unit: backend.Unit{Model: "m"}, Body: []byte("b")}
 	again := first
@@ -48,7 +48,8 @@
 	}
 }
 
-// BenchmarkIdentity is what it costs to know a request: 22 us for a body of 30 kB on an Intel Xeon.
+// BenchmarkIdentity measures the digest of a request: 22 us for a body of 30 kB on an Intel
+// Xeon.
 func BenchmarkIdentity(b *testing.B) {
 	content := Content{Method: "POST", Host: "a.example", Path: "/x/y", Body: make([]byte, 30_000)}
 	for b.Loop() {
--- a/internal/poison/marks.go
+++ b/internal/poison/marks.go
@@ -9,59 +9,60 @@
 )
 
 const (
-	// MarkLifetime is how long a mark stands: a request that was marked falsely, or that a
-	// repaired runner would bear, may run again after that.
+	// MarkLifetime is how long a mark lasts. After that, a request that was marked falsely, or
+	// that a repaired runner would handle, may run again.
 	MarkLifetime = 30 * time.Minute
-	// Provisional is how long a request that is refused is told to come back: tries that
-	// are running elsewhere end well in that time if it is innocent, which lifts the mark.
+	// ProvisionalPeriod is after how long a client whose request is refused is told to retry. If
+	// the request is innocent, attempts running elsewhere succeed well within that time, which
+	// lifts the mark.
 	Provisional = 2 * time.Second
-	// MostMarks bounds the marks of all nodes together.
-	MostMarks = 256
+	// MaxMarks bounds the marks of all nodes together.
+	MaxMarks = 256
 )
 
-// Mark is what a node knows of a request that is suspected or refused.
+// Mark is what a node knows about a request that is suspected or refused.
 type Mark struct {
 	Finding
-	// Since is when this node first heard that it is refused; zero for one that is only
+	// Since is when this node first learned that the request is refused; zero if it is only
 	// suspected.
 	Since time.Time
-	// first is when this node first heard of it at all.
+	// first is when this node first learned of the request.
 	first time.Time
 }
 
-// Refused reports whether the request is not to be run.
-func (m Mark) Refused() bool { return len(m.Runners) >= Refused }
+// Refused reports whether the request must not run.
+func (m Mark) Refused() bool { return len(m.Runners) >= RefuseThreshold }
 
-// Provisional reports whether the mark may still be lifted by tries that are running.
+// Provisional reports whether running attempts may still lift the mark.
 func (m Mark) Provisional(now time.Time) bool { return now.Sub(m.Since) < Provisional }
 
-// Expired reports whether the mark has stood long enough.
+// Expired reports whether the mark has outlived MarkLifetime.
 func (m Mark) Expired(now time.Time) bool { return now.Sub(m.first) > MarkLifetime }
 
-// Marks are the requests that a node watches or refuses. Its methods may be called
-// concurrently; reading takes no lock, as each request reads.
+// Marks holds the requests that a node watches or refuses. Its methods may be called
+// concurrently. Reads take no lock, because every request reads it.
 type Marks struct {
 	mutex   sync.Mutex
 	current atomic.Pointer[map[Identity]Mark]
 }
 
-// NewMarks returns no marks.
+// NewMarks returns an empty set of marks.
 func NewMarks() *Marks {
 	m := &Marks{}
 	m.current.Store(&map[Identity]Mark{})
 	return m
 }
 
-// Empty reports whether there is no mark, so that no request needs to be known.
+// Empty reports whether there are no marks, in which case no request needs to be identified.
 func (m *Marks) Empty() bool { return len(*m.current.Load()) == 0 }
 
-// Find returns the mark of a request; false when it has none.
+// Find returns the mark of a request; false if it has none.
 func (m *Marks) Find(request Identity) (Mark, bool) {
 	mark, known := (*m.current.Load())[request]
 	return mark, known
 }
 
-// All returns the marks, those with the most ends first.
+// All returns the marks, those with the most crashes first.
 func (m *Marks) All() []Mark {
 	return slices.SortedFunc(maps.Values(*m.current.Load()), func(a, b Mark) int {
 		if len(a.Runners) != len(b.Runners) {
@@ -71,17 +72,17 @@
 	})
 }
 
-// Put adds findings to the marks and returns those that are suspected, or refused, from now
-// on.
+// Put adds findings to the marks and returns the marks of requests that thereby became suspected
+// or refused.
 func (m *Marks) Put(findings []Finding, now time.Time) []Mark {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	changed := maps.Clone(*m.current.Load())
-	var news []Mark
+	var updated []Mark
 	for _, finding := range findings {
 		before, known := changed[finding.Request]
 		if known && before.Expired(now) {
-			// The ends after it count anew.
+			// Crashes after the expiry are counted from zero.
 			before, known = Mark{}, false
 		}
 		after := merge(before, finding, known, now)
@@ -89,12 +90,12 @@
 			after.Since = now
 		}
 		if !known || after.Refused() != before.Refused() {
-			news = append(news, after)
+			updated = append(updated, after)
 		}
 		changed[finding.Request] = after
 	}
 	m.current.Store(&changed)
-	return news
+	return updated
 }
 
 func merge(before Mark, finding Finding, known bool, now time.Time) Mark {
@@ -103,14 +104,14 @@
 	}
 	before.Runners = slices.Clone(before.Runners)
 	for _, runner := range finding.Runners {
-		if !slices.Contains(before.Runners, runner) && len(before.Runners) < mostRunners {
+		if !slices.Contains(before.Runners, runner) && len(before.Runners) < maxRunners {
 			before.Runners = append(before.Runners, runner)
 		}
 	}
 	return before
 }
 
-// Drop lifts the mark of a request.
+// Drop removes the mark of a request.
 func (m *Marks) Drop(request Identity) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -119,17 +120,17 @@
 	m.current.Store(&changed)
 }
 
-// Spare returns the marks that are to go: those that have expired and, beyond MostMarks,
-// those with the fewest ends.
+// Evictable returns the requests whose marks should be dropped: expired ones and, beyond
+// MaxMarks, those with the fewest crashes.
 func (m *Marks) Spare(now time.Time) []Identity {
-	var spare []Identity
+	var evictable []Identity
 	kept := 0
 	for _, mark := range m.All() {
-		if mark.Expired(now) || kept >= MostMarks {
-			spare = append(spare, mark.Request)
+		if mark.Expired(now) || kept >= MaxMarks {
+			evictable = append(evictable, mark.Request)
 			continue
 		}
 		kept++
 	}
-	return spare
+	return evictable
 }
--- a/internal/poison/marks_test.go
+++ b/internal/poison/marks_test.go
@@ -8,43 +8,44 @@
 	"gotest.tools/v3/assert"
 )
 
-func finding(number, ends int) Finding {
-	f := Finding{Request: numbered(number)}
-	for end := range ends {
-		f.Runners = append(f.Runners, fmt.Sprint("r", end))
+func finding(number, crashes int) Finding {
+	f := Finding{Request: testIdentity(number)}
+	for crash := range crashes {
+		f.Runners = append(f.Runners, fmt.Sprint("r", crash))
 	}
 	return f
 }
 
-// TestMarksGrowAndAreLifted: a suspected request is refused from its third end on, at first
+// TestMarksGrowAndAreLifted: a suspected request is refused from its third crash on, at first
 // provisionally.
 func TestMarksGrowAndAreLifted(t *testing.T) {
 	marks := NewMarks()
 	assert.Assert(t, marks.Empty())
-	assert.Equal(t, len(marks.Put([]Finding{finding(0, Suspected)}, start)), 1)
-	assert.Equal(t, len(marks.Put([]Finding{finding(0, Suspected)}, start)), 0, "no news")
-	mark, known := marks.Find(numbered(0))
+	assert.Equal(t, len(marks.Put([]Finding{finding(0, SuspectThreshold)}, start)), 1)
+	assert.Equal(t, len(marks.Put([]Finding{finding(0, SuspectThreshold)}, start)), 0, "already known")
+	mark, known := marks.Find(testIdentity(0))
 	assert.Assert(t, known && !mark.Refused())
 	later := start.Add(time.Minute)
-	assert.Equal(t, len(marks.Put([]Finding{{Request: numbered(0), Runners: []string{"r0", "other"}}}, later)), 1)
-	assert.Equal(t, len(marks.Put([]Finding{finding(0, 3)}, later)), 0, "no news")
-	mark, _ = marks.Find(numbered(0))
+	assert.Equal(t, len(marks.Put([]Finding{{Request: testIdentity(0), Runners: []string{"r0", "other"}}}, later)), 1)
+	assert.Equal(t, len(marks.Put([]Finding{finding(0, 3)}, later)), 0, "already known")
+	mark, _ = marks.Find(testIdentity(0))
 	assert.Assert(t, mark.Refused() && mark.Provisional(later) && !mark.Provisional(later.Add(Provisional)))
-	marks.Drop(numbered(0))
+	marks.Drop(testIdentity(0))
 	assert.Assert(t, marks.Empty())
 
 	marks.Put([]Finding{finding(0, 3)}, start)
 	expired := start.Add(MarkLifetime + time.Millisecond)
 	assert.Equal(t, len(marks.Put([]Finding{finding(0, 3)}, expired)), 1, "an expired mark is a new one")
-	mark, _ = marks.Find(numbered(0))
+	mark, _ = marks.Find(testIdentity(0))
 	assert.Assert(t, !mark.Expired(expired))
 }
 
-// TestSpareMarks: what has expired goes, and what has the fewest ends beyond the bound.
+// TestSpareMarks: expired marks are evictable, and beyond the bound those with the fewest
+// crashes.
 func TestSpareMarks(t *testing.T) {
 	marks := NewMarks()
 	marks.Put([]Finding{finding(0, 5)}, start)
-	for number := range MostMarks + 2 {
+	for number := range MaxMarks + 2 {
 		marks.Put([]Finding{finding(1+number, 2)}, start.Add(time.Second))
 	}
 	marks.Put([]Finding{finding(10_000, 3)}, start.Add(time.Second))
@@ -54,25 +55,25 @@
 		assert.Equal(t, len(mark.Runners), 2)
 	}
 	assert.Equal(t, len(marks.Spare(start.Add(MarkLifetime+time.Millisecond))), 4, "one has expired, three are too many")
-	assert.Equal(t, len(marks.Spare(start.Add(2*MarkLifetime))), MostMarks+4)
+	assert.Equal(t, len(marks.Spare(start.Add(2*MarkLifetime))), MaxMarks+4)
 	for _, request := range marks.Spare(start.Add(2 * MarkLifetime)) {
 		marks.Drop(request)
 	}
 	assert.Assert(t, marks.Empty())
 }
 
-// BenchmarkFind is what a request pays while anything is marked, beside its digest.
+// BenchmarkFind measures the cost per request, besides its digest, while there are marks.
 func BenchmarkFind(b *testing.B) {
 	marks := NewMarks()
-	for number := range MostMarks {
+	for number := range MaxMarks {
 		marks.Put([]Finding{finding(number, 3)}, start)
 	}
 	for b.Loop() {
-		marks.Find(numbered(7))
+		marks.Find(testIdentity(7))
 	}
 }
 
-// BenchmarkEmpty is what a request pays while nothing is marked.
+// BenchmarkEmpty measures the cost per request while there are no marks.
 func BenchmarkEmpty(b *testing.B) {
 	marks := NewMarks()
 	for b.Loop() {
--- a/internal/poison/tally.go
+++ b/internal/poison/tally.go
@@ -10,54 +10,57 @@
 )
 
 const (
-	// Suspected is how many runners end under a request until all nodes watch it, so that a
-	// try that ends well anywhere clears it. Of 80 requests that were running at the ends of
-	// 24 runners, 78 were at one end and the two that caused them at five and nine.
-	Suspected = 2
-	// Refused is how many runners end under a request until it is not run any more: the
-	// third is the last that may be lost to it.
-	Refused = 3
-	// evidenceLifetime is how long an end counts without another one.
+	// SuspectThreshold is how many runners must end while running a request before all nodes
+	// watch it, so that an attempt that succeeds anywhere clears it. Of 80 requests that were
+	// running when 24 runners ended, 78 were involved in one end, and the two that caused the
+	// ends in five and nine.
+	SuspectThreshold = 2
+	// RefuseThreshold is how many runners must end while running a request before it is refused:
+	// the third is the last one that may be lost to it.
+	RefuseThreshold = 3
+	// evidenceLifetime is how long crashes count if no further one follows.
 	evidenceLifetime = 30 * time.Minute
-	// mostRunners bounds the runners kept for a request.
-	mostRunners = 16
-	// mostEntries bounds the requests of a tally: those at the ends of 64 runners with 64
-	// requests each. Those at the fewest ends make room first, then the oldest.
-	mostEntries = 4096
+	// maxRunners bounds the runners kept per request.
+	maxRunners = 16
+	// maxEntries bounds the requests in a tally: 64 crashes with 64 requests each. Requests with
+	// the fewest crashes are evicted first, the oldest of them before the others.
+	maxEntries = 4096
 )
 
-// Finding is a request under which runners ended.
+// Finding is a request that was running on runners when these ended.
 type Finding struct {
 	Request Identity
-	// Runners are the incarnations of runners that ended under it, in order.
+	// Runners are the incarnations that ended while running the request, in order.
 	Runners []string
 }
 
-// String describes the finding to operators and callers.
+// String describes the finding for operators and callers.
 func (f Finding) String() string {
 	return fmt.Sprintf("%d runners ended under requests with this content (%s): %s", len(f.Runners), f.Request.Short(), strings.Join(f.Runners, ", "))
 }
 
-// Tally counts the runners that ended under requests. It is not safe for concurrent use.
+// Tally counts, by request, the runners that ended while running it. It is not safe for
+// concurrent use.
 type Tally struct {
 	entries map[Identity]*entry
 }
 
 type entry struct {
-	runners []string
-	last    time.Time
+	runners   []string
+	lastCrash time.Time
 }
 
 // NewTally returns an empty tally.
 func NewTally() *Tally { return &Tally{entries: make(map[Identity]*entry)} }
 
-// Crashed notes a runner that ended and requests that were there, and returns those of them
-// that are suspected at least, if it is news. What ran at one end counts once, however many
-// nodes tell of it and however many tries of it were there.
+// RecordCrash records a runner that ended and the requests that it was running, and returns
+// those that are at least suspected, if the crash was not known before. Each crash counts once
+// per request, however many nodes report it and however many attempts of the request were
+// running there.
 func (t *Tally) Crashed(runner string, requests []Identity, now time.Time) []Finding {
 	var findings []Finding
 	for _, request := range requests {
-		if t.add(request, runner, now) && len(t.entries[request].runners) >= Suspected {
+		if t.add(request, runner, now) && len(t.entries[request].runners) >= SuspectThreshold {
 			findings = append(findings, Finding{Request: request, Runners: slices.Clone(t.entries[request].runners)})
 		}
 	}
@@ -65,22 +68,22 @@
 	return findings
 }
 
-// add notes one end under a request and reports whether it is news.
+// add records one crash for a request and reports whether it was not known before.
 func (t *Tally) add(request Identity, runner string, now time.Time) bool {
 	known := t.entries[request]
 	if known == nil || known.expired(now) {
 		known = &entry{}
 		t.entries[request] = known
 	}
-	if slices.Contains(known.runners, runner) || len(known.runners) >= mostRunners {
+	if slices.Contains(known.runners, runner) || len(known.runners) >= maxRunners {
 		return false
 	}
 	known.runners = append(known.runners, runner)
-	known.last = now
+	known.lastCrash = now
 	return true
 }
 
-// Learn takes over what another tally found, and returns it with what this one knew.
+// Merge adds another tally's finding, and returns it combined with what this tally knew.
 func (t *Tally) Learn(finding Finding, now time.Time) Finding {
 	for _, runner := range finding.Runners {
 		t.add(finding.Request, runner, now)
@@ -92,18 +95,18 @@
 	return Finding{Request: finding.Request, Runners: slices.Clone(known.runners)}
 }
 
-// Clear forgets a request, as a try of it ended well or an operator says so. It returns
-// whether anything was known of it.
+// Clear removes a request, because an attempt of it succeeded or an operator asked for it. It
+// reports whether the request was known.
 func (t *Tally) Clear(request Identity) bool {
 	_, known := t.entries[request]
 	delete(t.entries, request)
 	return known
 }
 
-// Knows reports whether a runner ended under the request.
+// Knows reports whether a crash is recorded for the request.
 func (t *Tally) Knows(request Identity) bool { return t.entries[request] != nil }
 
-// Crashes returns all that is known, by runner, for another tally.
+// Crashes returns all recorded crashes by runner, for transfer to another tally.
 func (t *Tally) Crashes() map[string][]Identity {
 	crashes := make(map[string][]Identity)
 	for request, known := range t.entries {
@@ -114,24 +117,24 @@
 	return crashes
 }
 
-// Expire forgets ends that are long past, and returns how many requests are left.
+// Expire removes expired entries and returns how many are left.
 func (t *Tally) Expire(now time.Time) int {
 	maps.DeleteFunc(t.entries, func(_ Identity, known *entry) bool { return known.expired(now) })
 	return len(t.entries)
 }
 
-func (e *entry) expired(now time.Time) bool { return now.Sub(e.last) > evidenceLifetime }
+func (e *entry) expired(now time.Time) bool { return now.Sub(e.lastCrash) > evidenceLifetime }
 
-// trim makes room, a quarter of it at once as it looks at all entries.
+// trim enforces maxEntries. It removes a quarter of them at once, because it scans all entries.
 func (t *Tally) trim(now time.Time) {
-	if len(t.entries) <= mostEntries || t.Expire(now) <= mostEntries {
+	if len(t.entries) <= maxEntries || t.Expire(now) <= maxEntries {
 		return
 	}
 	requests := slices.SortedFunc(maps.Keys(t.entries), func(a, b Identity) int {
 		left, right := t.entries[a], t.entries[b]
-		return cmp.Or(cmp.Compare(len(left.runners), len(right.runners)), left.last.Compare(right.last))
+		return cmp.Or(cmp.Compare(len(left.runners), len(right.runners)), left.lastCrash.Compare(right.lastCrash))
 	})
-	for _, request := range requests[:len(requests)-mostEntries*3/4] {
+	for _, request := range requests[:len(requests)-maxEntries*3/4] {
 		delete(t.entries, request)
 	}
 }
