--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,8 +1,9 @@
-// Package quarantine is a node's part in keeping requests from runners that end under them. Each
-// node counts the ends under its own requests and tells a few others, the holder of one
-// service's control lease among them, which count those of all nodes. Whoever finds a request at
-// several ends writes it to a table that all nodes follow, so that it outlives holders, restarts
-// and losses of power, and reaches nodes that the holder does not.
+// Package quarantine implements a node's part in protecting runners from requests that crash
+// them. Each node records the crashes under its own requests and reports them to a few other
+// nodes, among them the holder of one service's control lease. These aggregate the reports of
+// all nodes. Whichever node finds a request involved in several crashes writes it to a table
+// that all nodes follow, so that the entry outlives holders, restarts and power failures, and
+// reaches nodes that the holder does not.
 package quarantine
 
 import (
@@ -22,133 +23,135 @@
 	"lilacvane/internal/wire"
 )
 
-// Options are what a quarantine needs of its node.
+// Options holds a quarantine's dependencies.
 type Options struct {
-	// Rows is the table of requests that are not run.
+	// Rows is the table of quarantined requests.
 	Rows table.Table
 	// Self returns the address at which other nodes reach this one.
 	Self func() string
-	// Tell tells the node at an address what the holder is told.
+	// SendReport sends the node at an address the report that the holder also gets.
 	Tell func(ctx context.Context, address string, report wire.PoisonReport) error
-	// Nudge lets the demand of a service be reported to its holder at once.
+	// ReportNow causes the demand of a service to be reported to its holder immediately.
 	Nudge func(service string)
 	// Holds reports whether this node holds the control lease of a service.
 	Holds func(service string) bool
-	// Wake lets what waits for a runner look again.
+	// Wake makes requests that wait for a runner check again.
 	Wake func()
-	// Decide notes a decision about a subject for operators' questions.
+	// Decide records a decision about a subject, for operators' queries.
 	Decide func(subject, step, reason string)
 	Log    logr.Logger
 }
 
-// Quarantine is a node's part. Its methods may be called concurrently.
+// Quarantine tracks suspected and refused requests at one node. Its methods may be called
+// concurrently.
 type Quarantine struct {
 	Options
-	// marks are the requests in the table, and those about to be written.
+	// marks are the requests in the table, and those about to be written to it.
 	marks *poison.Marks
-	// service is the one whose holder counts; empty where there is none, and each node
-	// counts for itself.
+	// service is the service whose holder aggregates; empty if there is none, in which case each
+	// node only counts for itself.
 	service atomic.Pointer[string]
-	// counters are addresses of other nodes that count besides the holder, which may stand
-	// still or be on its way out.
-	counters atomic.Pointer[[]string]
-	// watches is set while anything is marked or counted.
-	watches atomic.Bool
+	// aggregators are the addresses of other nodes that aggregate in addition to the holder,
+	// which may be stalled or about to leave.
+	aggregators atomic.Pointer[[]string]
+	// tracking is set while any request is marked or counted.
+	tracking atomic.Bool
 
 	mutex sync.Mutex
-	// tally counts what this node knows of: that of all nodes if it counts for them.
+	// tally counts the crashes known to this node: those of all nodes if it aggregates.
 	tally *poison.Tally
-	// untold is what the holder was not told yet, told the token of the one that was told
-	// all before.
-	untold wire.PoisonReport
-	told   uint64
-	// writes are the rows to be written, nil for those to be removed; written are those
-	// in the table.
-	writes  map[poison.Identity][]string
-	written map[poison.Identity]bool
+	// unreported is what the holder was not told yet. reportedToken is the token of the holder
+	// that got a full report.
+	unreported    wire.PoisonReport
+	reportedToken uint64
+	// pendingWrites are the rows to write, with nil for those to remove. written are the rows in
+	// the table.
+	pendingWrites map[poison.Identity][]string
+	written       map[poison.Identity]bool
 	// due is signalled when there is something to write.
 	due chan struct{}
 
-	// calls are those under way to other nodes, which end with ctx.
-	calls sync.WaitGroup
-	ctx   context.Context
-	end   context.CancelFunc
+	// calls are the calls to other nodes in progress. They end with ctx.
+	calls  sync.WaitGroup
+	ctx    context.Context
+	cancel context.CancelFunc
 }
 
-// New returns the quarantine of a node that knows of no ends.
+// New returns a quarantine without any crashes.
 func New(options Options) *Quarantine {
 	q := &Quarantine{
 		Options: options, marks: poison.NewMarks(), tally: poison.NewTally(),
-		writes: make(map[poison.Identity][]string), written: make(map[poison.Identity]bool), due: make(chan struct{}, 1),
+		pendingWrites: make(map[poison.Identity][]string), written: make(map[poison.Identity]bool), due: make(chan struct{}, 1),
 	}
-	q.ctx, q.end = context.WithCancel(context.Background())
+	q.ctx, q.cancel = context.WithCancel(context.Background())
 	none := ""
 	q.service.Store(&none)
-	q.counters.Store(&[]string{})
+	q.aggregators.Store(&[]string{})
 	return q
 }
 
-// counterCount is how many nodes count besides the holder: one of them is there when
-// another one is lost together with the holder.
-const counterCount = 3
+// maxAggregators is how many nodes aggregate in addition to the holder. One of them is still
+// there if another one is lost together with the holder.
+const maxAggregators = 3
 
-// SetCounters tells the nodes that count besides the holder, alike at all nodes.
+// SetAggregators sets the nodes that aggregate in addition to the holder. All nodes set the same
+// ones.
 func (q *Quarantine) SetCounters(addresses []string) {
 	if len(addresses) > 0 {
-		counters := slices.Clone(addresses[:min(counterCount, len(addresses))])
-		q.counters.Store(&counters)
+		aggregators := slices.Clone(addresses[:min(maxAggregators, len(addresses))])
+		q.aggregators.Store(&aggregators)
 	}
 }
 
-// tellCounters tells those that count besides the holder. What one of them does not get, the
-// holder does, or the next one. mutex is held.
-func (q *Quarantine) tellCounters(report wire.PoisonReport) {
+// reportToAggregators sends a report to the nodes that aggregate in addition to the holder. A
+// report that one of them misses reaches the holder or another one. mutex is held.
+func (q *Quarantine) reportToAggregators(report wire.PoisonReport) {
 	if q.ctx.Err() != nil {
 		return
 	}
 	self := q.Self()
-	for _, address := range *q.counters.Load() {
+	for _, address := range *q.aggregators.Load() {
 		if address == self {
 			continue
 		}
 		q.calls.Go(func() {
-			ctx, cancel := context.WithTimeout(q.ctx, tellTimeout)
+			ctx, cancel := context.WithTimeout(q.ctx, reportTimeout)
 			defer cancel()
 			if err := q.Tell(ctx, address, report); err != nil {
-				q.Log.V(1).Info("ends of runners not told", "peer", address, "error", err.Error())
+				q.Log.V(1).Info("crash report not delivered", "peer", address, "error", err.Error())
 			}
 		})
 	}
 }
 
-// close ends the calls to other nodes and waits for them.
+// close cancels the calls to other nodes and waits for them.
 func (q *Quarantine) close() {
 	q.mutex.Lock()
-	q.end()
+	q.cancel()
 	q.mutex.Unlock()
 	q.calls.Wait()
 }
 
-// tellTimeout bounds the telling: a node in reach answers within some ms, in another region
-// within some ten.
-const tellTimeout = 500 * time.Millisecond
+// reportTimeout bounds the sending of a report: a reachable node answers within a few
+// milliseconds, one in another region within some tens of milliseconds.
+const reportTimeout = 500 * time.Millisecond
 
-// Follow takes over a configuration: it names the service whose holder counts.
+// Follow applies a configuration, which determines the service whose holder aggregates.
 func (q *Quarantine) Follow(configuration *config.Configuration) {
 	first := configuration.FirstEngines()
 	q.service.Store(&first)
 }
 
-// Idle reports that no runner is known to have ended under any request.
-func (q *Quarantine) Idle() bool { return !q.watches.Load() }
+// Idle reports whether no crash is known for any request.
+func (q *Quarantine) Idle() bool { return !q.tracking.Load() }
 
-// Refused returns the mark of a request that is not to be run.
+// Refused returns the mark of a request that must not run.
 func (q *Quarantine) Refused(request poison.Identity) (poison.Mark, bool) {
 	mark, known := q.marks.Find(request)
 	return mark, known && mark.Refused() && !mark.Expired(time.Now())
 }
 
-// CountRefused is how many requests are not run.
+// CountRefused returns the number of refused requests.
 func (q *Quarantine) CountRefused() int {
 	count := 0
 	for _, mark := range q.marks.All() {
@@ -159,7 +162,8 @@
 	return count
 }
 
-// Ran notes that a try of a request ended well: it does not end its runners.
+// Succeeded records that an attempt of a request succeeded, which shows that it does not crash
+// runners.
 func (q *Quarantine) Ran(request poison.Identity) {
 	_, marked := q.marks.Find(request)
 	q.mutex.Lock()
@@ -167,27 +171,27 @@
 	if !q.tally.Clear(request) && !marked {
 		return
 	}
-	q.untold.Cleared = newest(append(q.untold.Cleared, request))
-	q.tellCounters(wire.PoisonReport{Cleared: []poison.Identity{request}})
+	q.unreported.Cleared = newest(append(q.unreported.Cleared, request))
+	q.reportToAggregators(wire.PoisonReport{Cleared: []poison.Identity{request}})
 	if marked {
-		q.Log.Info("request no longer suspected of ending runners", "content", request.Short(), "reason", "a try of it ended well")
+		q.Log.Info("request no longer suspected of ending runners", "content", request.Short(), "reason", "an attempt of it succeeded")
 		q.lift(request)
 	}
 	q.Nudge(*q.service.Load())
 }
 
-// Crashed takes a runner that ended under requests of this node.
+// Crashed records a runner that crashed while running requests of this node.
 func (q *Quarantine) Crashed(c crash.Crash) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	ended := wire.CrashReport{Runner: c.Runner, Requests: c.Requests}
-	q.untold.Crashes = newest(append(q.untold.Crashes, ended))
+	report := wire.CrashReport{Runner: c.Runner, Requests: c.Requests}
+	q.unreported.Crashes = newest(append(q.unreported.Crashes, report))
 	q.add(c.Runner, c.Requests)
-	q.tellCounters(wire.PoisonReport{Crashes: []wire.CrashReport{ended}})
+	q.reportToAggregators(wire.PoisonReport{Crashes: []wire.CrashReport{report}})
 	q.Nudge(*q.service.Load())
 }
 
-// Count takes the report of a node.
+// AddReport adds the report of another node.
 func (q *Quarantine) Count(report wire.PoisonReport) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -199,34 +203,35 @@
 	}
 }
 
-// add counts a runner that ended, with what is known of the requests from the table, and
-// marks those that are suspected of it. mutex is held.
+// add counts a crash, together with what the table says about the requests, and marks those that
+// are suspected. mutex is held.
 func (q *Quarantine) add(runner string, requests []poison.Identity) {
 	now := time.Now()
-	q.watches.Store(true)
+	q.tracking.Store(true)
 	for _, request := range requests {
 		if mark, known := q.marks.Find(request); known {
 			q.tally.Learn(mark.Finding, now)
 		}
 	}
-	q.find(q.tally.Crashed(runner, requests, now))
+	q.publish(q.tally.Crashed(runner, requests, now))
 }
 
-// find puts findings into force and lets them be written. mutex is held.
-func (q *Quarantine) find(findings []poison.Finding) {
+// publish applies findings and queues them to be written. mutex is held.
+func (q *Quarantine) publish(findings []poison.Finding) {
 	if len(findings) == 0 {
 		return
 	}
-	q.take(findings)
+	q.apply(findings)
 	for _, finding := range findings {
-		q.writes[finding.Request] = finding.Runners
+		q.pendingWrites[finding.Request] = finding.Runners
 	}
 	q.signal()
 }
 
-// take puts findings into force. What waits for a runner looks again. mutex is held.
-func (q *Quarantine) take(findings []poison.Finding) {
-	q.watches.Store(true)
+// apply marks the requests of findings. If one of them becomes refused, requests that wait for a
+// runner check again. mutex is held.
+func (q *Quarantine) apply(findings []poison.Finding) {
+	q.tracking.Store(true)
 	wake := false
 	for _, mark := range q.marks.Put(findings, time.Now()) {
 		if !mark.Refused() {
@@ -242,18 +247,18 @@
 	}
 }
 
-// lift forgets a request everywhere. mutex is held.
+// lift removes a request at all nodes. mutex is held.
 func (q *Quarantine) lift(request poison.Identity) {
 	q.forget(request)
-	q.writes[request] = nil
+	q.pendingWrites[request] = nil
 	q.signal()
 }
 
-// forget forgets a request at this node. mutex is held.
+// forget removes a request at this node. mutex is held.
 func (q *Quarantine) forget(request poison.Identity) {
 	q.marks.Drop(request)
 	q.tally.Clear(request)
-	delete(q.writes, request)
+	delete(q.pendingWrites, request)
 }
 
 func (q *Quarantine) signal() {
@@ -263,19 +268,20 @@
 	}
 }
 
-// Of returns the reports that travel with the demand of a service.
+// ReportsFor returns the reports that are sent along with the demand of a service.
 func (q *Quarantine) Of(service string) Reports {
 	return Reports{quarantine: q, service: service}
 }
 
-// Reports are a node's reports to the holder of one service.
+// Reports produces a node's reports to the holder of one service.
 type Reports struct {
 	quarantine *Quarantine
 	service    string
 }
 
-// Report returns what to tell the holder; nil for nothing, and when another service's
-// holder counts. A holder that was not told before is told all that is known.
+// Report returns the report to send to the holder; nil if there is nothing to report or if
+// another service's holder aggregates. A holder that has not been sent a full report yet, as
+// told by its token, gets all that is known.
 func (s Reports) Report(token uint64) *wire.PoisonReport {
 	q := s.quarantine
 	if *q.service.Load() != s.service || q.Idle() {
@@ -283,10 +289,10 @@
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	report := q.untold
-	q.untold = wire.PoisonReport{}
-	if token != q.told {
-		q.told = token
+	report := q.unreported
+	q.unreported = wire.PoisonReport{}
+	if token != q.reportedToken {
+		q.reportedToken = token
 		report.Crashes = allCrashes(q.tally)
 	}
 	if len(report.Crashes) == 0 && len(report.Cleared) == 0 {
@@ -295,21 +301,21 @@
 	return &report
 }
 
-// Undelivered takes back a report that got no answer.
+// Undelivered requeues a report that was not answered.
 func (s Reports) Undelivered(report *wire.PoisonReport) {
 	q := s.quarantine
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.untold.Crashes = newest(append(report.Crashes, q.untold.Crashes...))
-	q.untold.Cleared = newest(append(report.Cleared, q.untold.Cleared...))
+	q.unreported.Crashes = newest(append(report.Crashes, q.unreported.Crashes...))
+	q.unreported.Cleared = newest(append(report.Cleared, q.unreported.Cleared...))
 }
 
-// mostUntold bounds what is kept for a holder that is not there: the next one is told all that
-// is known.
-const mostUntold = 1024
+// maxUnreported bounds what is kept while there is no holder: the next holder gets a full report
+// anyway.
+const maxUnreported = 1024
 
-// newest keeps the newest mostUntold of a list.
-func newest[T any](list []T) []T { return list[max(len(list)-mostUntold, 0):] }
+// newest returns the last maxUnreported elements of a list.
+func newest[T any](list []T) []T { return list[max(len(list)-maxUnreported, 0):] }
 
 func allCrashes(tally *poison.Tally) []wire.CrashReport {
 	crashes := tally.Crashes()
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -14,14 +14,14 @@
 	"lilacvane/internal/wire"
 )
 
-// written is a table that keeps what is committed, and refuses while it is down.
-type written struct {
+// tableStub is a table that keeps what is committed, and rejects commits while it is down.
+type tableStub struct {
 	table.Table
 	down bool
 	rows map[string]bool
 }
 
-func (w *written) Commit(_ context.Context, transaction table.Transaction) (uint64, error) {
+func (w *tableStub) Commit(_ context.Context, transaction table.Transaction) (uint64, error) {
 	if w.down {
 		return 0, fmt.Errorf("down")
 	}
@@ -31,22 +31,23 @@
 	return 1, nil
 }
 
-func testQuarantine(rows *written) *Quarantine {
+func testQuarantine(rows *tableStub) *Quarantine {
 	return New(Options{
 		Rows: rows, Self: func() string { return "self" }, Nudge: func(string) {}, Wake: func() {}, Decide: func(_, _, _ string) {},
 		Tell: func(context.Context, string, wire.PoisonReport) error { return nil }, Holds: func(string) bool { return true }, Log: logr.Discard(),
 	})
 }
 
-// TestThirdEndIsWritten: a request at three ends is refused, and written once the table can be; an
-// operator's lift takes both back.
+// TestThirdEndIsWritten: a request involved in three crashes is refused at once, and written as
+// soon as the table is available. When an operator lifts it, the request runs again and its row
+// is removed.
 func TestThirdEndIsWritten(t *testing.T) {
-	rows := &written{rows: make(map[string]bool), down: true}
+	rows := &tableStub{rows: make(map[string]bool), down: true}
 	q := testQuarantine(rows)
 	request := poison.Content{Path: "/x"}.Identity()
 	for number := range 3 {
 		_, refused := q.Refused(request)
-		assert.Assert(t, !refused, "after %d ends", number)
+		assert.Assert(t, !refused, "after %d crashes", number)
 		q.Crashed(crash.Crash{Runner: fmt.Sprint("r", number), Requests: []poison.Identity{request}})
 	}
 	_, refused := q.Refused(request)
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -13,28 +13,27 @@
 )
 
 const (
-	// writeTimeout bounds a write to the table, writeRetry follows one that
-	// failed: it is soon enough for a store that is back to be told within the platform's
-	// bound on news.
+	// writeTimeout bounds a write to the table. writeRetry is the pause after a failed write. It
+	// is short enough that a store that is back is updated within the platform's bound on news.
 	writeTimeout = 800 * time.Millisecond
 	writeRetry   = 300 * time.Millisecond
-	// sweepEvery is how often the holder looks for marks that have expired.
-	sweepEvery = time.Minute
-	// batch bounds the rows of one transaction: the store takes a hundred.
-	batch = 100
+	// sweepInterval is how often the holder looks for expired marks.
+	sweepInterval = time.Minute
+	// batchSize bounds the rows of one transaction: the store accepts a hundred.
+	batchSize = 100
 )
 
-// Handler takes over the table of requests that are not run.
+// Handler applies the rows of the table of quarantined requests.
 type Handler Quarantine
 
-// Whole takes the whole table: what it does not hold any more was lifted.
+// Whole applies the whole table. Requests that it no longer contains were lifted.
 func (h *Handler) Whole(rows []feed.Row, _ time.Duration) {
 	q := (*Quarantine)(h)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	lifted := q.written
 	q.written = make(map[poison.Identity]bool)
-	for _, request := range q.takeRows(rows) {
+	for _, request := range q.applyRows(rows) {
 		delete(lifted, request)
 	}
 	for request := range lifted {
@@ -42,23 +41,23 @@
 	}
 }
 
-// Changed takes changed rows.
+// Changed applies changed rows.
 func (h *Handler) Changed(rows []feed.Row) {
 	q := (*Quarantine)(h)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.takeRows(rows)
+	q.applyRows(rows)
 }
 
-// takeRows takes rows over and returns the requests that they name. A row that cannot be
-// read names none. mutex is held.
-func (q *Quarantine) takeRows(rows []feed.Row) []poison.Identity {
+// applyRows applies rows and returns the requests they contain. Unreadable rows are skipped.
+// mutex is held.
+func (q *Quarantine) applyRows(rows []feed.Row) []poison.Identity {
 	var findings []poison.Finding
 	var named []poison.Identity
 	for _, row := range rows {
 		request, err := poison.ParseIdentity(row.Key)
 		if err == nil && row.Deleted {
-			q.removed(request)
+			q.removeRow(request)
 			continue
 		}
 		var record wire.PoisonRecord
@@ -74,17 +73,17 @@
 		findings = append(findings, poison.Finding{Request: request, Runners: record.Runners})
 	}
 	if len(findings) > 0 {
-		q.take(findings)
-		q.find(q.merge(findings))
+		q.apply(findings)
+		q.publish(q.merge(findings))
 	}
 	return named
 }
 
-// merge adds what this node knows of requests to what rows tell of them, and returns what is
-// news: nodes that reach the table but not each other find together what none finds alone.
-// mutex is held.
+// merge combines findings from rows with what this node knows of these requests, and returns the
+// findings that gained runners. Nodes that reach the table but not each other thereby detect
+// together what none detects alone. mutex is held.
 func (q *Quarantine) merge(findings []poison.Finding) []poison.Finding {
-	var news []poison.Finding
+	var updated []poison.Finding
 	for _, finding := range findings {
 		if !q.tally.Knows(finding.Request) {
 			continue
@@ -92,14 +91,14 @@
 		before := len(finding.Runners)
 		merged := q.tally.Learn(finding, time.Now())
 		if len(merged.Runners) > before {
-			news = append(news, merged)
+			updated = append(updated, merged)
 		}
 	}
-	return news
+	return updated
 }
 
-// removed takes over that a row was removed. mutex is held.
-func (q *Quarantine) removed(request poison.Identity) {
+// removeRow handles the removal of a row. mutex is held.
+func (q *Quarantine) removeRow(request poison.Identity) {
 	if mark, known := q.marks.Find(request); known && mark.Refused() {
 		q.Log.Info("request no longer refused", "content", request.Short())
 	}
@@ -107,9 +106,9 @@
 	q.forget(request)
 }
 
-// Run writes what is found, and lets marks expire, until ctx ends.
+// Run writes findings to the table and lets marks expire, until ctx ends.
 func (q *Quarantine) Run(ctx context.Context) {
-	sweep := time.NewTicker(sweepEvery)
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	defer q.close()
 	for {
@@ -123,7 +122,7 @@
 		for ctx.Err() == nil {
 			again, err := q.write(ctx)
 			if err != nil {
-				q.Log.Info("requests that end runners not written", "error", err.Error())
+				q.Log.Info("quarantine not written", "error", err.Error())
 				wait.For(ctx, writeRetry)
 			} else if !again {
 				break
@@ -132,8 +131,8 @@
 	}
 }
 
-// sweep forgets ends that are long past. The holder lifts marks that have expired, or that
-// are too many.
+// sweep removes expired crashes. The holder also lifts marks that have expired or that exceed
+// their maximum number.
 func (q *Quarantine) sweep() {
 	q.expire()
 	if !q.Holds(*q.service.Load()) {
@@ -147,16 +146,16 @@
 	}
 }
 
-// expire forgets ends that are long past, so that requests need not be known any more.
+// expire removes expired crashes, so that requests need not be identified once none are left.
 func (q *Quarantine) expire() {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	left := q.tally.Expire(time.Now())
-	q.watches.Store(left > 0 || !q.marks.Empty())
+	q.tracking.Store(left > 0 || !q.marks.Empty())
 }
 
-// write writes what is due, and reports whether something is left. Rows are written without
-// a condition: what several nodes found of a request is equally true.
+// write writes pending rows, and reports whether to call it again. Rows are written
+// unconditionally: what several nodes found about a request is equally valid.
 func (q *Quarantine) write(ctx context.Context) (again bool, err error) {
 	writes := q.takeWrites()
 	if len(writes) == 0 {
@@ -175,7 +174,7 @@
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	if _, err := q.Rows.Commit(ctx, transaction); err != nil {
-		q.putBack(writes)
+		q.requeue(writes)
 		return true, fault.From(err, "write quarantine")
 	}
 	return true, nil
@@ -185,28 +184,28 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	writes := make(map[poison.Identity][]string)
-	for request, runners := range q.writes {
-		if len(writes) == batch {
+	for request, runners := range q.pendingWrites {
+		if len(writes) == batchSize {
 			break
 		}
 		writes[request] = runners
-		delete(q.writes, request)
+		delete(q.pendingWrites, request)
 	}
 	return writes
 }
 
-// putBack lets writes that failed be made again, unless newer ones are due.
-func (q *Quarantine) putBack(writes map[poison.Identity][]string) {
+// requeue queues failed writes again, unless newer ones for the same request are pending.
+func (q *Quarantine) requeue(writes map[poison.Identity][]string) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	for request, runners := range writes {
-		if _, newer := q.writes[request]; !newer {
-			q.writes[request] = runners
+		if _, newer := q.pendingWrites[request]; !newer {
+			q.pendingWrites[request] = runners
 		}
 	}
 }
 
-// List returns the requests under which runners ended.
+// List returns the suspected and refused requests.
 func (q *Quarantine) List() []wire.PoisonStatus {
 	requests := []wire.PoisonStatus{}
 	for _, mark := range q.marks.All() {
