--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -1,6 +1,6 @@
-// Package tenant tells who a caller is: tenants, the keys by which their requests
-// are recognized, and the limits that operators gave them. It is pure. Keys are kept
-// as digests only, so that neither a log line nor a copy of memory's tables shows one.
+// Package tenant identifies callers: it holds tenants, the keys by which their requests are
+// recognized, and the limits that operators set for them. It does no I/O. Keys are kept only as
+// digests, so that neither a log line nor a copy of the tables in memory reveals one.
 package tenant
 
 import (
@@ -19,18 +19,18 @@
 // Name identifies a tenant.
 type Name string
 
-// Digest stands for a key.
+// Digest is the SHA-256 digest of a key.
 type Digest [sha256.Size]byte
 
 // DigestOf returns the digest of a key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// ParseDigest reads a digest in hexadecimal digits.
+// ParseDigest parses a digest from hexadecimal digits.
 func ParseDigest(text string) (Digest, error) {
 	var digest Digest
 	content, err := hex.DecodeString(text)
 	if err != nil || len(content) != len(digest) {
-		return digest, fault.New(fault.CodeInvalid, stepDirectory, "digest: not %d hexadecimal digits", 2*len(digest))
+		return digest, fault.New(fault.CodeInvalid, stepRead, "digest: not %d hexadecimal digits", 2*len(digest))
 	}
 	copy(digest[:], content)
 	return digest, nil
@@ -46,7 +46,8 @@
 const (
 	// Requests counts each request as one.
 	Requests Unit = iota
-	// Tokens counts the tokens of a request's prompt and, at most, of its answer.
+	// Tokens counts the tokens of a request's prompt plus the maximum number of tokens of its
+	// answer.
 	Tokens
 )
 
@@ -58,22 +59,22 @@
 	return "requests"
 }
 
-// Limit is what a tenant may use over all nodes together, in units of Unit.
+// Limit is what a tenant may use across all nodes, in units of Unit.
 type Limit struct {
 	Unit Unit
-	// Rate is units a second; zero is no limit.
+	// Rate is in units per second; zero means no limit.
 	Rate float64
-	// Burst is what may be used on top at once.
+	// Burst is what may be used at once in addition.
 	Burst float64
-	// PlainCost is what a request without token counts costs when Unit is Tokens.
+	// PlainCost is the cost of a request without token counts if Unit is Tokens.
 	PlainCost float64
 }
 
-// Limited reports whether there is a limit at all.
+// Limited reports whether there is a limit.
 func (l Limit) Limited() bool { return l.Rate > 0 }
 
-// Cost is what a request costs, given its token counts; counted is false for a
-// request that has none.
+// Cost returns the cost of a request with the given number of tokens; counted is false for a
+// request without token counts.
 func (l Limit) Cost(tokens int, counted bool) float64 {
 	switch {
 	case l.Unit == Requests:
@@ -85,82 +86,82 @@
 	}
 }
 
-// Tolerance is by how much the use counted over all nodes may pass a limit, and over
-// which sliding window it is counted.
+// Tolerance is by how much the usage across all nodes may exceed a limit, and the sliding window
+// over which usage is measured.
 type Tolerance struct {
 	Window time.Duration
-	// Share is the part of the limit, Slack the units beyond that.
+	// Share is the tolerated fraction of the limit, Slack the units beyond that.
 	Share float64
 	Slack float64
 }
 
 const (
-	// reserveShare is the part of what may be used in a window that nodes have in reserve
-	// for when they reach nobody.
+	// reserveShare is the fraction of a window's total that nodes keep in reserve for when they
+	// cannot reach any other node.
 	reserveShare = 0.1
-	// startShare is the part that is there at once when all nodes are started again: about
-	// what a tenant uses in a second in which all its clients come back.
-	startShare = 0.08
-	// bucketRate is the rate of the bucket against the limit's. Together with the reserve
-	// that is more than the limit's.
-	bucketRate = 0.9
-	// leastBurst is the least part of a bucket that may be used at once: one without would
-	// admit nothing.
-	leastBurst = 0.1
+	// startupShare is the fraction that is available immediately after all nodes restart: about
+	// what a tenant uses in one second in which all its clients reconnect.
+	startupShare = 0.08
+	// bucketRateShare is the bucket's rate relative to the limit's. Together with the reserve it
+	// exceeds the limit's rate.
+	bucketRateShare = 0.9
+	// minBurstShare is the minimum fraction of a bucket that may be used at once: a bucket
+	// without any capacity would admit nothing.
+	minBurstShare = 0.1
 )
 
-// Bucket is a token bucket: what is used in any window is at most Capacity plus Rate
-// times the window.
+// Bucket is a token bucket: usage in any window is at most Capacity plus Rate times the window.
 type Bucket struct {
-	// Rate is units a second, Capacity units.
+	// Rate is in units per second, Capacity in units.
 	Rate     float64
 	Capacity float64
 }
 
-// Budget is what a limit lets through in any window, its tolerance included, divided by
-// how it is used. Reserve and Start are units.
+// Budget splits what a limit admits in any window, including its tolerance, by how it is used.
+// Reserve and Start are in units.
 type Budget struct {
 	Bucket Bucket
-	// Reserve is so much in any window.
+	// Reserve is admitted in any window in addition to the bucket.
 	Reserve float64
-	// Start is what a bucket that begins empty may be given, at most once in a window.
+	// Start is the number of initial tokens that an empty bucket may get, at most once per
+	// window.
 	Start float64
 }
 
-// Budget divides what the limit lets through.
+// Budget computes the budget of the limit under a tolerance.
 func (l Limit) Budget(t Tolerance) Budget {
 	window := t.Window.Seconds()
 	total := (l.Rate*window+l.Burst)*(1+t.Share) + t.Slack
-	rest := (1 - reserveShare - startShare) * total
-	capacity := max(rest-bucketRate*l.Rate*window, leastBurst*rest)
+	rest := (1 - reserveShare - startupShare) * total
+	capacity := max(rest-bucketRateShare*l.Rate*window, minBurstShare*rest)
 	return Budget{
-		Bucket: Bucket{Rate: (rest - capacity) / window, Capacity: capacity}, Reserve: reserveShare * total, Start: startShare * total,
+		Bucket: Bucket{Rate: (rest - capacity) / window, Capacity: capacity}, Reserve: reserveShare * total, Start: startupShare * total,
 	}
 }
 
-// Tenant is one tenant.
+// Tenant is a tenant with its keys, limit and priority.
 type Tenant struct {
 	Name Name
-	// Priority goes before that of routes; 0 is served first.
+	// Priority overrides that of routes; 0 is served first.
 	Priority int
 	Limit    Limit
-	// Homes are the regions in which alone its requests are served.
+	// Homes are the only regions in which the tenant's requests are served.
 	Homes place.Homes
-	// Keys are the digests of its keys.
+	// Keys are the digests of the tenant's keys.
 	Keys []Digest
 }
 
-// Directory finds the tenant that holds a key, in a time that does not grow with
-// their number. It is not changed once it is shared.
+// Directory looks up tenants by key, in a time that does not depend on their number. It must not
+// be modified once it is shared.
 type Directory struct {
 	byKey  map[Digest]*Tenant
 	byName map[Name]*Tenant
 }
 
-const stepDirectory = "read tenants"
+const stepRead = "read tenants"
 
-// NewDirectory returns a directory of tenants. The error names the first tenant that
-// cannot be used and its field.
+// NewDirectory returns a directory of tenants. The error names the first invalid tenant and the
+// field at fault.
 func NewDirectory(tenants []Tenant) (*Directory, error) {
 	d := &Directory{byKey: make(map[Digest]*Tenant), byName: make(map[Name]*Tenant, len(tenants))}
 	for _, t := range tenants {
@@ -171,7 +172,7 @@
 	return d, nil
 }
 
-// Clone returns a copy that can be added to; that of nil is empty.
+// Clone returns a copy that can be extended. The clone of a nil Directory is empty.
 func (d *Directory) Clone() *Directory {
 	if d == nil {
 		return &Directory{byKey: make(map[Digest]*Tenant), byName: make(map[Name]*Tenant)}
@@ -179,9 +180,9 @@
 	return &Directory{byKey: maps.Clone(d.byKey), byName: maps.Clone(d.byName)}
 }
 
-// Add adds a tenant. The directory is as before when it cannot be added.
+// Add adds a tenant. If it is invalid, the directory is left unchanged.
 func (d *Directory) Add(t Tenant) error {
-	if problem := t.problem(); problem != "" {
+	if problem := t.validate(); problem != "" {
 		return invalid(t.Name, problem)
 	}
 	if d.byName[t.Name] != nil {
@@ -203,32 +204,32 @@
 }
 
 func invalid(name Name, problem string) error {
-	return fault.New(fault.CodeInvalid, stepDirectory, "tenant %q: %s", name, problem)
+	return fault.New(fault.CodeInvalid, stepRead, "tenant %q: %s", name, problem)
 }
 
-// MaximumName is the longest name of a tenant, in bytes: it travels in a header.
+// MaximumName is the maximum length of a tenant's name in bytes, as it is sent in a header.
 const MaximumName = 128
 
-func (t *Tenant) problem() string {
+func (t *Tenant) validate() string {
 	switch {
 	case t.Name == "" || len(t.Name) > MaximumName:
 		return fmt.Sprintf("name: must have 1 to %d bytes", MaximumName)
-	case !printable(string(t.Name)):
+	case !isPrintableASCII(string(t.Name)):
 		return "name: must be printable ASCII, as it travels in a header"
 	case t.Priority < 0:
 		return "priority: must not be negative"
-	case !finite(t.Limit.Rate):
+	case !isFiniteNonNegative(t.Limit.Rate):
 		return "limit.rate: must be a finite number, not negative"
-	case !finite(t.Limit.Burst):
+	case !isFiniteNonNegative(t.Limit.Burst):
 		return "limit.burst: must be a finite number, not negative"
-	case !finite(t.Limit.PlainCost):
+	case !isFiniteNonNegative(t.Limit.PlainCost):
 		return "limit.plainCost: must be a finite number, not negative"
 	default:
 		return ""
 	}
 }
 
-func printable(text string) bool {
+func isPrintableASCII(text string) bool {
 	for i := range len(text) {
 		if text[i] <= ' ' || text[i] > '~' {
 			return false
@@ -237,7 +238,7 @@
 	return true
 }
 
-func finite(value float64) bool { return value >= 0 && !math.IsInf(value, 0) }
+func isFiniteNonNegative(value float64) bool { return value >= 0 && !math.IsInf(value, 0) }
 
 // Resolve returns the tenant that holds a key.
 func (d *Directory) Resolve(key string) (*Tenant, bool) {
@@ -254,7 +255,7 @@
 	return found, found != nil
 }
 
-// Names lists the tenants' names in order.
+// Names lists the names of all tenants in sorted order.
 func (d *Directory) Names() []Name {
 	if d == nil {
 		return nil
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -19,7 +19,8 @@
 	return digests
 }
 
-// TestKeysFindTheirTenant: each of a tenant's keys finds it; others find nobody.
+// TestKeysFindTheirTenant: each of a tenant's keys resolves to that tenant; other keys resolve
+// to none.
 func TestKeysFindTheirTenant(t *testing.T) {
 	directory, err := NewDirectory([]Tenant{{Name: "a", Keys: keys("one", "two")}, {Name: "b", Keys: keys("\x00\xff", "three")}})
 	assert.NilError(t, err)
@@ -32,7 +33,7 @@
 	}
 }
 
-// TestBadTenantsAreNamed: what cannot be used is refused with the tenant and field.
+// TestBadTenantsAreNamed: the error for an invalid tenant names the tenant and the field.
 func TestBadTenantsAreNamed(t *testing.T) {
 	for text, tenants := range map[string][]Tenant{
 		`tenant "a": name: used twice`:                            {{Name: "a"}, {Name: "a"}},
@@ -52,8 +53,8 @@
 	}
 }
 
-// TestBudgetKeepsWithinTolerance: what the parts of a budget let through in a window is
-// the limit with its tolerance, and a limit without a burst still admits something.
+// TestBudgetKeepsWithinTolerance: the parts of a budget add up to the limit with its tolerance,
+// and a limit without a burst still admits requests.
 func TestBudgetKeepsWithinTolerance(t *testing.T) {
 	tolerance := Tolerance{Window: 8 * time.Second, Share: 0.1, Slack: 1000}
 	for _, limit := range []Limit{{Rate: 100, Burst: 100}, {Rate: 100}, {Rate: 1, Burst: 1e6}, {Rate: 1e6, Burst: 1}} {
@@ -64,17 +65,17 @@
 	}
 	limit := Limit{Rate: 100, Burst: 100}
 	budget := limit.Budget(tolerance)
-	assert.Assert(t, 8*budget.Bucket.Rate+budget.Reserve > 8*limit.Rate, "less than the limit goes on for ever")
+	assert.Assert(t, 8*budget.Bucket.Rate+budget.Reserve > 8*limit.Rate, "the sustained rate is below the limit")
 }
 
-// TestCosts: what a request costs by the unit of its tenant's limit.
+// TestCosts: the cost of a request depends on the unit of its tenant's limit.
 func TestCosts(t *testing.T) {
 	assert.Equal(t, Limit{PlainCost: 200}.Cost(5000, true), 1.0)
 	assert.Equal(t, Limit{Unit: Tokens, PlainCost: 200}.Cost(5000, true), 5000.0)
 	assert.Equal(t, Limit{Unit: Tokens, PlainCost: 200}.Cost(0, false), 200.0)
 }
 
-// BenchmarkResolve shows that finding a tenant takes the same time among many.
+// BenchmarkResolve shows that the lookup time does not depend on the number of tenants.
 func BenchmarkResolve(b *testing.B) {
 	for _, count := range []int{16, 16_000} {
 		tenants := make([]Tenant, count)
