--- a/internal/limit/divider_test.go
+++ b/internal/limit/divider_test.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestOddNearIsBounded: an out-of-range count of near lenders does no harm.
-func TestOddNearIsBounded(t *testing.T) {
+// TestNearCountOutOfRange: an out-of-range count of near lenders does no harm.
+func TestNearCountOutOfRange(t *testing.T) {
 	limited := &tenant.Tenant{Name: "t", Limit: tenant.Limit{Rate: 10, Burst: 10}}
 	for _, near := range []int{-3, 9} {
 		keeper := NewKeeper(tenant.Tolerance{Window: time.Second}, time.Now)
--- a/internal/limit/grants.go
+++ b/internal/limit/grants.go
@@ -42,7 +42,6 @@
 	defer k.mutex.Unlock()
 	k.expire()
 	if grant.Version < k.version {
-		// The shares expired while the divider answered.
 		return
 	}
 	switch {
@@ -50,7 +49,7 @@
 		k.setShares(grant.Shares, grant.FillInitially)
 		k.reserve = grant.Reserve
 	case k.version == 0:
-		// They expired while the divider answered.
+		// The shares expired while the divider answered.
 		return
 	}
 	k.version = grant.Version
