--- a/internal/crash/detector.go
+++ b/internal/crash/detector.go
@@ -138,9 +138,9 @@
 	d.wg.Wait()
 }
 
-// Interrupted records that the answer to a request from a runner broke off, or never came, and
-// by which method to find out whether the runner ended. The end of a runner that leaves is
-// planned and is not a crash.
+// Broke records that the answer to a request from a runner broke off, or never came, and by
+// which method to find out whether the runner ended. The end of a runner that leaves is planned
+// and is not a crash.
 func (d *Detector) Broke(runner backend.Runner, request poison.Identity, method Way) {
 	if d.prober.leaves(runner) {
 		return
--- a/internal/crash/detector_test.go
+++ b/internal/crash/detector_test.go
@@ -60,20 +60,20 @@
 	return crashes
 }
 
-// TestEndOfARunnerIsToldFromABrokenConnection: the runner's answers to probes, immediate or
+// TestCrashIsDistinguishedFromBrokenConnection: the runner's answers to probes, immediate or
 // later, distinguish its end from a broken connection.
-func TestEndOfARunnerIsToldFromABrokenConnection(t *testing.T) {
+func TestCrashIsDistinguishedFromBrokenConnection(t *testing.T) {
 	lives := answer{}
 	for name, test := range map[string]struct {
 		answers []answer
 		how     string
 	}{
-		"refuses connections":    {[]answer{{err: errGone}}, howRefused},
-		"another one is there":   {[]answer{{err: errOther}}, howOther},
-		"silent, then another":   {[]answer{{err: errReset}, {err: errReset}, {err: errOther}}, howOther},
-		"only a connection":      {[]answer{lives}, ""},
-		"silent, then there":     {[]answer{{err: errReset}, lives}, ""},
-		"silent for all of time": {[]answer{{err: errReset}}, ""},
+		"refuses connections":         {[]answer{{err: errGone}}, howRefused},
+		"another runner answers":      {[]answer{{err: errOther}}, howOther},
+		"silent, then another runner": {[]answer{{err: errReset}, {err: errReset}, {err: errOther}}, howOther},
+		"only the connection broke":   {[]answer{lives}, ""},
+		"silent, then alive":          {[]answer{{err: errReset}, lives}, ""},
+		"never answers":               {[]answer{{err: errReset}}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			crashes := detect(t, &answers{list: test.answers}, nil)
@@ -86,9 +86,9 @@
 	}
 }
 
-// TestEndThatTheListTellsCounts: the platform's list shows the end of a silent runner, also for
+// TestUnlistedRunnerHasEnded: the platform's list shows the end of a silent runner, also for
 // an answer that breaks off afterwards.
-func TestEndThatTheListTellsCounts(t *testing.T) {
+func TestUnlistedRunnerHasEnded(t *testing.T) {
 	later := poison.Identity{2}
 	crashes := detect(t, &answers{list: []answer{{err: errReset}}}, func(d *Detector) {
 		time.Sleep(3 * time.Second)
@@ -105,9 +105,9 @@
 // noConnection fails to connect.
 func noConnection(context.Context, string) error { return errReset }
 
-// TestRunnerWithoutReportsIsConnectedTo: a runner that refuses connections has ended. For one
+// TestRunnerWithoutReports: a runner that refuses connections has ended. For one
 // that accepts them, the list may still show that it ended.
-func TestRunnerWithoutReportsIsConnectedTo(t *testing.T) {
+func TestRunnerWithoutReports(t *testing.T) {
 	for _, gone := range []bool{true, false} {
 		var crashes []Crash
 		connect := func(_ context.Context, address string) error {
@@ -159,9 +159,9 @@
 	}
 }
 
-// TestWhatBrokeOffLongAgoHasNoPart: when answers of a runner break off over a long time, only
+// TestOldRequestsAreNotReported: when answers of a runner break off over a long time, only
 // the recent ones are reported with its end.
-func TestWhatBrokeOffLongAgoHasNoPart(t *testing.T) {
+func TestOldRequestsAreNotReported(t *testing.T) {
 	var crashes []Crash
 	synctest.Test(t, func(t *testing.T) {
 		d := NewDetector(Ask{Connect: func(context.Context, string) error { return nil }}, func(c Crash) { crashes = append(crashes, c) }, logr.Discard())
@@ -176,9 +176,9 @@
 	assert.DeepEqual(t, crashes[0].Requests, []poison.Identity{{4}, {5}, {6}, {7}})
 }
 
-// TestRefusedConnectionTellsOfARunnerThatIsNotAsked: a refused connection of a request shows the
+// TestRefusedConnection: a refused connection of a request shows the
 // end of a runner, but only if an answer broke off before.
-func TestRefusedConnectionTellsOfARunnerThatIsNotAsked(t *testing.T) {
+func TestRefusedConnection(t *testing.T) {
 	var crashes []Crash
 	synctest.Test(t, func(*testing.T) {
 		d := NewDetector(Ask{Connect: noConnection}, func(c Crash) { crashes = append(crashes, c) }, logr.Discard())
@@ -192,8 +192,8 @@
 	assert.DeepEqual(t, crashes, []Crash{{Runner: runner.ID, How: howRefused, Requests: []poison.Identity{request}}})
 }
 
-// TestEndByPlanIsNoCrash: the end of a runner that announced that it leaves is not reported.
-func TestEndByPlanIsNoCrash(t *testing.T) {
+// TestPlannedEndIsNoCrash: the end of a runner that announced that it leaves is not reported.
+func TestPlannedEndIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := NewDetector(Ask{Connect: noConnection}, func(c Crash) { t.Errorf("unexpected crash: %+v", c) }, logr.Discard())
 		leaving := runner
@@ -205,9 +205,9 @@
 	})
 }
 
-// TestAnswerThatBrokeAfterTheQuestionIsAskedFor: a runner that answered a probe just before it
+// TestInterruptionDuringProbe: a runner that answered a probe just before it
 // ended is probed again for a request that broke off after that.
-func TestAnswerThatBrokeAfterTheQuestionIsAskedFor(t *testing.T) {
+func TestInterruptionDuringProbe(t *testing.T) {
 	var crashes []Crash
 	synctest.Test(t, func(t *testing.T) {
 		var d *Detector
