--- a/internal/poison/identity_test.go
+++ b/internal/poison/identity_test.go
@@ -9,9 +9,9 @@
 	"lilacvane/internal/backend"
 )
 
-// TestTriesOfARequestAreTheSame: what clients change between attempts does not count, and
+// TestAttemptsHaveTheSameIdentity: what clients change between attempts does not count, and
 // content moved from one part into another changes the identity.
-func TestTriesOfARequestAreTheSame(t *testing.T) {
+func TestAttemptsHaveTheSameIdentity(t *testing.T) {
 	first := Content{Method: "POST", Host: "a.example", Path: "/x/y", Query: "try=1", Caller: "c", Unit: backend.Unit{Model: "m"}, Body: []byte("b")}
 	again := first
 	again.Query, again.Body = "try=2", slices.Clone(first.Body)
@@ -37,7 +37,7 @@
 	assert.Assert(t, plain.Identity() != asked.Identity(), "without a body the query is the content")
 }
 
-func TestIdentityIsReadBack(t *testing.T) {
+func TestIdentityRoundTrip(t *testing.T) {
 	identity := Content{Path: "/p"}.Identity()
 	read, err := ParseIdentity(identity.String())
 	assert.NilError(t, err)
--- a/internal/poison/marks_test.go
+++ b/internal/poison/marks_test.go
@@ -16,9 +16,9 @@
 	return f
 }
 
-// TestMarksGrowAndAreLifted: a suspected request is refused from its third crash on, at first
+// TestMarkLifecycle: a suspected request is refused from its third crash on, at first
 // provisionally.
-func TestMarksGrowAndAreLifted(t *testing.T) {
+func TestMarkLifecycle(t *testing.T) {
 	marks := NewMarks()
 	assert.Assert(t, marks.Empty())
 	assert.Equal(t, len(marks.Put([]Finding{finding(0, SuspectThreshold)}, start)), 1)
@@ -40,9 +40,9 @@
 	assert.Assert(t, !mark.Expired(expired))
 }
 
-// TestSpareMarks: expired marks are evictable, and beyond the bound those with the fewest
+// TestEvictableMarks: expired marks are evictable, and beyond the bound those with the fewest
 // crashes.
-func TestSpareMarks(t *testing.T) {
+func TestEvictableMarks(t *testing.T) {
 	marks := NewMarks()
 	marks.Put([]Finding{finding(0, 5)}, start)
 	for number := range MaxMarks + 2 {
--- a/internal/poison/tally_test.go
+++ b/internal/poison/tally_test.go
@@ -15,9 +15,9 @@
 	return Identity{byte(number), byte(number >> 8), byte(number >> 16), byte(number >> 24), 1}
 }
 
-// TestRequestAtSeveralEndsIsFound: each crash counts once, and a request involved in a single
+// TestRepeatedCrashesAreFound: each crash counts once, and a request involved in a single
 // crash is not suspected.
-func TestRequestAtSeveralEndsIsFound(t *testing.T) {
+func TestRepeatedCrashesAreFound(t *testing.T) {
 	tally := NewTally()
 	culprit := testIdentity(0)
 	assert.Equal(t, len(tally.Crashed("r1", []Identity{culprit, culprit, testIdentity(1)}, start)), 0)
@@ -38,8 +38,8 @@
 	assert.Equal(t, len(tally.Crashed("r3", []Identity{testIdentity(0)}, start)), 0)
 }
 
-// TestTallyIsToldToTheNext: a tally that gets the crashes of another one knows the same.
-func TestTallyIsToldToTheNext(t *testing.T) {
+// TestTallyTransfer: a tally that gets the crashes of another one knows the same.
+func TestTallyTransfer(t *testing.T) {
 	first, next := NewTally(), NewTally()
 	first.Crashed("r1", []Identity{testIdentity(0)}, start)
 	first.Crashed("r2", []Identity{testIdentity(0), testIdentity(1)}, start)
@@ -49,8 +49,8 @@
 	assert.Equal(t, len(next.Crashed("r3", []Identity{testIdentity(0)}, start)[0].Runners), RefuseThreshold)
 }
 
-// TestOldEndsAreForgotten: crashes count for a bounded time.
-func TestOldEndsAreForgotten(t *testing.T) {
+// TestOldCrashesExpire: crashes count for a bounded time.
+func TestOldCrashesExpire(t *testing.T) {
 	tally := NewTally()
 	tally.Crashed("r1", []Identity{testIdentity(0)}, start)
 	assert.Equal(t, len(tally.Crashed("r2", []Identity{testIdentity(0)}, start.Add(evidenceLifetime+1))), 0)
