--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -162,7 +162,7 @@
 	return count
 }
 
-// Succeeded records that an attempt of a request succeeded, which shows that it does not crash
+// Ran records that an attempt of a request succeeded, which shows that it does not crash
 // runners.
 func (q *Quarantine) Ran(request poison.Identity) {
 	_, marked := q.marks.Find(request)
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -38,10 +38,10 @@
 	})
 }
 
-// TestThirdEndIsWritten: a request involved in three crashes is refused at once, and written as
+// TestThirdCrashIsWritten: a request involved in three crashes is refused at once, and written as
 // soon as the table is available. When an operator lifts it, the request runs again and its row
 // is removed.
-func TestThirdEndIsWritten(t *testing.T) {
+func TestThirdCrashIsWritten(t *testing.T) {
 	rows := &tableStub{rows: make(map[string]bool), down: true}
 	q := testQuarantine(rows)
 	request := poison.Content{Path: "/x"}.Identity()
