--- a/internal/poison/identity_test.go
+++ b/internal/poison/identity_test.go
@@ -9,9 +9,9 @@
 	"lilacvane/internal/backend"
 )
 
-// TestTriesOfARequestAreTheSame: what clients change from try to try does not count, and no
-// part of a content can be moved into another part.
-func TestTriesOfARequestAreTheSame(t *testing.T) {
+// TestAttemptsHaveTheSameIdentity: what clients change between attempts does not count, and
+// content moved from one part into another changes the identity.
+func TestAttemptsHaveTheSameIdentity(t *testing.T) {
 	first := Content{Method: "POST", Host: "a.example", Path: "/x/y", Query: "try=1", Caller: "c", Unit: backend.Unit{Model: "m"}, Body: []byte("b")}
 	again := first
 	again.Query, again.Body = "try=2", slices.Clone(first.Body)
@@ -37,7 +37,7 @@
 	assert.Assert(t, plain.Identity() != asked.Identity(), "without a body the query is the content")
 }
 
-func TestIdentityIsReadBack(t *testing.T) {
+func TestIdentityRoundTrip(t *testing.T) {
 	identity := Content{Path: "/p"}.Identity()
 	read, err := ParseIdentity(identity.String())
 	assert.NilError(t, err)
@@ -48,7 +48,8 @@
 	}
 }
 
-// BenchmarkIdentity is what it costs to know a request: 22 us for a body of 30 kB on an Intel Xeon.
+// BenchmarkIdentity measures the digest of a request: 22 us for a body of 30 kB on an Intel
+// Xeon.
 func BenchmarkIdentity(b *testing.B) {
 	content := Content{Method: "POST", Host: "a.example", Path: "/x/y", Body: make([]byte, 30_000)}
 	for b.Loop() {
