--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -1,6 +1,6 @@
-// Package commit is the one way to change the configuration: a transaction in
-// the platform's table that appends to the revision log and updates the objects
-// if their generations are the ones the author saw.
+// Package commit changes the configuration. Every change is one transaction in
+// the platform's table: it appends to the revision log and updates the objects,
+// provided that their generations are those the author saw.
 package commit
 
 import (
@@ -16,7 +16,7 @@
 	"lilacvane/internal/wire"
 )
 
-// The keys of the table.
+// Row keys and key prefixes in the table.
 const (
 	keyHead         = "log-head"
 	prefixLog       = "log/"
@@ -25,16 +25,16 @@
 )
 
 const (
-	step          = "commit operation"
-	retryPause    = 50 * time.Millisecond
-	resolveWindow = 5 * time.Second
-	// callTimeout bounds one call of the table: a connection that went silent answers none,
+	step              = "commit operation"
+	defaultRetryDelay = 50 * time.Millisecond
+	applyTimeout      = 5 * time.Second
+	// callTimeout bounds one call of the table. A silent connection never answers;
 	// a slow table takes a second or more.
 	callTimeout = 2 * time.Second
 )
 
-// Change writes or deletes one object. Expected is the generation its author
-// saw, zero when the object must not exist yet.
+// Change writes or deletes one object. Expected is the generation that its author
+// saw, or zero if the object must not exist yet.
 type Change struct {
 	Key      api.Key
 	Expected uint64
@@ -42,15 +42,15 @@
 	Delete   bool
 }
 
-// Requirement demands that an object that is not changed still has a generation
-// when the operation commits.
+// Requirement is a condition on an object that the operation does not change: it
+// must still have the given generation when the operation commits.
 type Requirement struct {
 	Key        api.Key
 	Generation uint64
 }
 
-// Operation is a set of changes that commits whole or not at all. The same ID
-// asked again gives the first result.
+// Operation is a set of changes that commits atomically. Submitting the same ID
+// again returns the result of the first commit.
 type Operation struct {
 	ID       string
 	Author   string
@@ -58,38 +58,39 @@
 	Requires []Requirement
 }
 
-// Result tells the revision at which an operation committed.
+// Result is the outcome of a committed operation: its ID and its revision.
 type Result struct {
 	Operation string `json:"operation"`
 	Revision  uint64 `json:"revision"`
-	// Entry is the log entry, when this call wrote it.
+	// Entry is the log entry if this call wrote it, else nil.
 	Entry *wire.Entry `json:"-"`
 }
 
-// Known is this node's copy of the configuration.
-type Known interface {
-	// GenerationAt returns an object's generation, zero if there is none, if the
-	// copy is at exactly that revision.
+// LocalCopy is this node's copy of the configuration, used to avoid reads.
+type LocalCopy interface {
+	// GenerationAt returns the generation of an object, or zero if it does not
+	// exist. It reports false unless the copy is at exactly that revision.
 	GenerationAt(revision uint64, key api.Key) (uint64, bool)
 }
 
-// Committer writes operations. It holds no state besides the table.
+// Committer commits operations. All of its state is in the table.
 type Committer struct {
 	table table.Table
-	known Known
-	// patience bounds the attempts of one operation, pause is the time between
-	// two of them.
-	patience time.Duration
-	pause    time.Duration
+	local LocalCopy
+	// timeout bounds all attempts of one operation together; retryDelay is the mean
+	// time between two attempts.
+	timeout    time.Duration
+	retryDelay time.Duration
 }
 
-// New returns a committer on the table, which saves reads with what is known.
-func New(t table.Table, known Known) *Committer {
-	return &Committer{table: table.WithTimeout(t, callTimeout), known: known, patience: resolveWindow, pause: retryPause}
+// New returns a committer for a table. It skips reads of rows where the node's own
+// copy of the configuration is up to date.
+func New(t table.Table, local LocalCopy) *Committer {
+	return &Committer{table: table.WithTimeout(t, callTimeout), local: local, timeout: applyTimeout, retryDelay: defaultRetryDelay}
 }
 
-// Find returns the result of an operation. It reports false when the operation
-// is not in the table, which does not prove that it never will be.
+// Find returns the result of an operation. It reports false if the operation is
+// not in the table; a transaction under way may still commit it later.
 func (c *Committer) Find(ctx context.Context, id string) (Result, bool, error) {
 	row, err := c.table.Get(ctx, prefixOperation+id)
 	if err != nil || row.Revision == 0 {
@@ -102,12 +103,12 @@
 	return result, true, nil
 }
 
-// Apply commits an operation. Its error is definite (outcome not done) or says
-// that the outcome is unknown, in which case the operation may be asked again
-// under the same ID.
+// Apply commits an operation, with retries. The outcome of its error is either
+// fault.NotDone, which is definite, or fault.Unknown; in the second case the caller
+// may submit the operation again under the same ID.
 func (c *Committer) Apply(ctx context.Context, operation Operation) (Result, error) {
 	unresolved := false
-	ctx, cancel := context.WithTimeout(ctx, c.patience)
+	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	for {
 		result, err := c.attempt(ctx, operation)
@@ -119,58 +120,61 @@
 		if isFinal(err) {
 			return Result{}, err
 		}
-		if !c.rest(ctx) {
-			return Result{}, lastError(err, operation.ID, unresolved)
+		if !c.waitToRetry(ctx) {
+			return Result{}, timeoutError(err, operation.ID, unresolved)
 		}
 	}
 }
 
-// isFinal tells errors that a later attempt cannot change.
+// isFinal reports whether a retry could not change the error.
 func isFinal(err error) bool {
 	return fault.IsCode(err, fault.CodeConflict) || fault.IsCode(err, fault.CodeInvalid)
 }
 
-func (c *Committer) rest(ctx context.Context) bool {
+// waitToRetry sleeps for a random time around retryDelay. It reports false if ctx ended.
+func (c *Committer) waitToRetry(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(c.pause/2 + rand.N(c.pause)):
+	case <-time.After(c.retryDelay/2 + rand.N(c.retryDelay)):
 		return true
 	}
 }
 
-func lastError(err error, id string, unresolved bool) error {
-	failed := *fault.From(err, step)
-	failed.Code = fault.CodeStoreUnavailable
-	failed.RetryAfter = resolveWindow
-	failed.Ran = fault.NotDone
-	failed.Message = "not accepted"
+// timeoutError is returned when time has run out. Its outcome is unknown if that of any
+// attempt was.
+func timeoutError(err error, id string, unresolved bool) error {
+	failure := *fault.From(err, step)
+	failure.Code = fault.CodeStoreUnavailable
+	failure.RetryAfter = applyTimeout
+	failure.Ran = fault.NotDone
+	failure.Message = "not accepted"
 	if unresolved {
-		failed.Ran = fault.Unknown
-		failed.Message = "outcome unknown, ask for operation " + id
+		failure.Ran = fault.Unknown
+		failure.Message = "outcome unknown, ask for operation " + id
 	}
-	return &failed
+	return &failure
 }
 
-// attempt reads the head, then the operation's row, then the objects, and
-// commits on condition that none of them changed.
+// attempt reads the log head, then the operation's row, then the objects, and
+// commits on the condition that none of them has changed.
 func (c *Committer) attempt(ctx context.Context, operation Operation) (Result, error) {
 	head, err := c.table.Get(ctx, keyHead)
 	if err != nil {
 		return Result{}, notDone(err)
 	}
-	first, found, err := c.Find(ctx, operation.ID)
+	earlier, found, err := c.Find(ctx, operation.ID)
 	if err != nil {
 		return Result{}, notDone(err)
 	}
 	if found {
-		return first, nil
+		return earlier, nil
 	}
 	revision, err := headRevision(head)
 	if err != nil {
 		return Result{}, err
 	}
-	transaction, result, err := c.build(ctx, operation, head, revision+1)
+	transaction, result, err := c.buildTransaction(ctx, operation, head, revision+1)
 	if fault.IsCode(err, fault.CodeConflict) {
 		return c.confirmConflict(ctx, operation.ID, transaction.Conditions, err)
 	}
@@ -179,8 +183,8 @@
 	}
 	_, err = c.table.Commit(ctx, transaction)
 	if fault.IsCode(err, fault.CodeConflict) {
-		// Another operation, or an earlier attempt of this one, committed in
-		// between: read again.
+		// Another operation, or an earlier attempt of this one, committed after
+		// the reads. The next attempt reads again.
 		return Result{}, &fault.Error{Code: fault.CodeStoreUnavailable, Step: step, Peer: fault.Self, Ran: fault.NotDone, Cause: err}
 	}
 	if err != nil {
@@ -189,19 +193,21 @@
 	return result, nil
 }
 
-// confirmConflict decides what a generation conflict means. What was read may
-// have been old: a transaction that only demands what was read tells. And an
-// earlier attempt of the same operation may have been under way: if it committed
-// before the object was read, its operation row exists by now; if the row is
-// absent, somebody else changed the object, so the log head moved on and the
-// earlier attempt, which is conditional on the old head, can never commit.
+// confirmConflict checks whether a generation conflict is real. There are two
+// other explanations:
+//   - The read was stale. A transaction that consists only of conditions on the
+//     rows read fails in that case.
+//   - An earlier attempt of the same operation was still under way and committed
+//     before the object was read. Its operation row then exists by now. If the row
+//     is absent, another operation changed the object; this moved the log head, and
+//     the earlier attempt, which is conditional on the old head, can never commit.
 func (c *Committer) confirmConflict(ctx context.Context, id string, read []table.Condition, conflict error) (Result, error) {
-	first, found, err := c.Find(ctx, id)
+	earlier, found, err := c.Find(ctx, id)
 	if err != nil {
 		return Result{}, notDone(err)
 	}
 	if found {
-		return first, nil
+		return earlier, nil
 	}
 	if _, err := c.table.Commit(ctx, table.Transaction{Conditions: read}); err != nil {
 		stale := notDone(err).(*fault.Error)
@@ -211,11 +217,11 @@
 	return Result{}, conflict
 }
 
-// notDone marks a failed read: this attempt had no effect.
+// notDone marks an error of a read: the attempt had no effect.
 func notDone(err error) error {
-	failed := *fault.From(err, step)
-	failed.Ran = fault.NotDone
-	return &failed
+	failure := *fault.From(err, step)
+	failure.Ran = fault.NotDone
+	return &failure
 }
 
 func headRevision(head table.Row) (uint64, error) {
@@ -229,7 +235,7 @@
 	return revision, nil
 }
 
-func (c *Committer) build(ctx context.Context, operation Operation, head table.Row, revision uint64) (table.Transaction, Result, error) {
+func (c *Committer) buildTransaction(ctx context.Context, operation Operation, head table.Row, revision uint64) (table.Transaction, Result, error) {
 	entry := wire.Entry{Revision: revision, Operation: operation.ID, Author: operation.Author, Time: time.Now().UTC()}
 	result := Result{Operation: operation.ID, Revision: revision}
 	transaction := table.Transaction{Conditions: []table.Condition{
@@ -237,7 +243,7 @@
 		{Key: prefixOperation + operation.ID},
 	}}
 	for _, change := range operation.Changes {
-		if err := c.require(ctx, &transaction, revision-1, change.Key, change.Expected); err != nil {
+		if err := c.checkCurrent(ctx, &transaction, revision-1, change.Key, change.Expected); err != nil {
 			return transaction, result, err
 		}
 		object := api.Object{Kind: change.Key.Kind, Name: change.Key.Name, Generation: revision, Spec: change.Spec}
@@ -245,7 +251,7 @@
 		transaction.Writes = append(transaction.Writes, objectWrite(prefixObject+change.Key.String(), object, change.Delete))
 	}
 	for _, requirement := range operation.Requires {
-		if err := c.require(ctx, &transaction, revision-1, requirement.Key, requirement.Generation); err != nil {
+		if err := c.checkCurrent(ctx, &transaction, revision-1, requirement.Key, requirement.Generation); err != nil {
 			return transaction, result, err
 		}
 	}
@@ -265,12 +271,12 @@
 	return table.Write{Key: key, Value: mustJSON(object)}
 }
 
-// require checks that an object has the generation its author saw. While this
-// node's copy of the configuration is at the log head, that copy is exact and the
-// condition on the head makes the transaction safe; else the object's row is read
-// and the transaction is conditional on it.
-func (c *Committer) require(ctx context.Context, transaction *table.Transaction, head uint64, key api.Key, expected uint64) error {
-	if generation, exact := c.known.GenerationAt(head, key); exact {
+// checkCurrent checks that an object has the generation that its author saw. If this
+// node's copy of the configuration is at the log head, the copy is exact and the
+// condition on the head protects the transaction. Otherwise it reads the object's
+// row and adds a condition on it.
+func (c *Committer) checkCurrent(ctx context.Context, transaction *table.Transaction, head uint64, key api.Key, expected uint64) error {
+	if generation, exact := c.local.GenerationAt(head, key); exact {
 		return checkGeneration(key, expected, generation)
 	}
 	row, err := c.table.Get(ctx, prefixObject+key.String())
@@ -302,7 +308,7 @@
 
 func logKey(revision uint64) string { return fmt.Sprintf("%s%020d", prefixLog, revision) }
 
-// mustJSON encodes values of this package's own types, which always encode.
+// mustJSON encodes types of this module, for which encoding cannot fail.
 func mustJSON(value any) []byte {
 	content, err := json.Marshal(value)
 	if err != nil {
--- a/internal/commit/commit_test.go
+++ b/internal/commit/commit_test.go
@@ -16,16 +16,16 @@
 	"lilacvane/internal/table"
 )
 
-// faultyTable is a table in memory whose transactions fail by a script: done,
-// refused before the effect, answer lost after it, or carried out later.
+// faultyTable is an in-memory table whose calls fail as scripted: done, refused
+// without effect, carried out with the answer lost, or carried out later.
 type faultyTable struct {
 	rows     map[string]table.Row
 	revision uint64
 	script   []string
 	delayed  []table.Transaction
-	// stale, if set, is what reads answer.
+	// stale, if not nil, is what reads return.
 	stale map[string]table.Row
-	// known is the newest revision the node's catalog has.
+	// known is the newest revision in the node's catalog.
 	known uint64
 }
 
@@ -86,7 +86,7 @@
 	return true
 }
 
-// GenerationAt makes the table its own catalog: exact, or lagging.
+// GenerationAt makes the table serve as the node's catalog, current or lagging.
 func (f *faultyTable) GenerationAt(revision uint64, key api.Key) (uint64, bool) {
 	if f.known != revision {
 		return 0, false
@@ -100,10 +100,10 @@
 	return generation, true
 }
 
-// TestAnswersAreTrue: through refusals, lost answers and transactions carried out
-// late, an operation called not accepted never takes effect, one called accepted
-// has, and none takes effect twice.
-func TestAnswersAreTrue(t *testing.T) {
+// TestReportedOutcomeIsTrue checks the reported outcome despite refusals, lost answers
+// and delayed transactions: an operation reported as not accepted never takes
+// effect, one reported as accepted has, and none takes effect twice.
+func TestReportedOutcomeIsTrue(t *testing.T) {
 	key := api.Key{Kind: api.KindPolicy, Name: "p"}
 	rapid.Check(t, func(t *rapid.T) {
 		steps := rapid.SliceOfN(rapid.SampledFrom([]string{"done", "done", "refused", "lost", "later"}), 0, 12).Draw(t, "script")
@@ -114,7 +114,7 @@
 		}
 		f := &faultyTable{rows: make(map[string]table.Row), script: steps}
 		c := New(f, f)
-		c.patience, c.pause = 5*time.Millisecond, time.Millisecond
+		c.timeout, c.retryDelay = 5*time.Millisecond, time.Millisecond
 		operations := []Operation{
 			{ID: "a", Changes: []Change{{Key: key, Spec: []byte("1")}}},
 			{ID: "b", Changes: []Change{{Key: api.Key{Kind: api.KindPolicy, Name: "q"}, Spec: []byte("2")}}},
@@ -131,22 +131,22 @@
 			id := operations[index].ID
 			_, effective := f.rows[prefixOperation+id]
 			if err == nil && !effective {
-				t.Fatalf("%s was called accepted", id)
+				t.Fatalf("%s was reported as accepted but is not in the table", id)
 			}
 			if err != nil && fault.OutcomeOf(err) == fault.NotDone && effective {
-				t.Fatalf("%s was called not accepted: %v", id, err)
+				t.Fatalf("%s was reported as not accepted but is in the table: %v", id, err)
 			}
 		}
 	})
 }
 
-// TestStaleReadIsNoConflict: a generation that was read too old is no conflict.
-// It failed first: an operator's change was refused with a generation that was
-// not the object's any more.
+// TestStaleReadIsNoConflict checks that a stale read is not reported as a conflict.
+// An operator's change was once refused because of a generation that the object no
+// longer had.
 func TestStaleReadIsNoConflict(t *testing.T) {
 	f := &faultyTable{rows: make(map[string]table.Row)}
 	c := New(f, f)
-	c.patience, c.pause = 20*time.Millisecond, time.Millisecond
+	c.timeout, c.retryDelay = 20*time.Millisecond, time.Millisecond
 	key := api.Key{Kind: api.KindPolicy, Name: "p"}
 	first, err := c.Apply(context.Background(), Operation{ID: "a", Changes: []Change{{Key: key, Spec: []byte("1")}}})
 	assert.NilError(t, err)
@@ -159,7 +159,7 @@
 	assert.NilError(t, err)
 }
 
-// silentTable answers its first calls never.
+// silentTable never answers its first Get calls.
 type silentTable struct {
 	*faultyTable
 	silent int
@@ -174,8 +174,9 @@
 	return s.faultyTable.Get(ctx, key)
 }
 
-// TestSilentCallLeavesTimeForAnother: one call without an answer took the whole patience of an
-// operator's change, which was refused though the table answered others.
+// TestSilentCallLeavesTimeForAnother guards against one unanswered call using up the
+// whole timeout of an operator's change, which was then refused although the table
+// answered other calls.
 func TestSilentCallLeavesTimeForAnother(t *testing.T) {
 	f := &faultyTable{rows: make(map[string]table.Row)}
 	c := New(&silentTable{faultyTable: f, silent: 2}, f)
--- a/internal/commit/read.go
+++ b/internal/commit/read.go
@@ -18,30 +18,32 @@
 )
 
 const (
-	// trimRows is how many log entries are trimmed at once; each has two rows.
-	trimRows = 40
-	// KeptLog is how many log entries stay in the table.
-	KeptLog = 10000
-	// trimEvery is how often, in revisions, the log is trimmed.
-	trimEvery = trimRows
+	// trimBatch is the number of log entries deleted in one transaction; each entry
+	// has two rows.
+	trimBatch = 40
+	// MaxLogEntries is the number of log entries that stay in the table.
+	MaxLogEntries = 10000
+	// trimInterval is the number of revisions between two trims of the log.
+	trimInterval = trimBatch
 )
 
-// Copy is a node's copy of the configuration, which the Follower keeps up.
+// Copy is a node's copy of the configuration, which a Follower keeps up to date.
 type Copy interface {
-	// Apply takes entries in the order of their revisions.
+	// Apply applies entries in revision order and returns how many were new.
 	Apply(entries []wire.Entry) int
-	// ApplySnapshot replaces the content by a newer one.
+	// ApplySnapshot replaces the content with a snapshot and reports whether the
+	// snapshot was newer.
 	ApplySnapshot(revision uint64, objects []api.Object) bool
 }
 
-// Follower brings a copy of the configuration up to the table's rows. It is a
-// feed.Handler.
+// Follower is a feed.Handler that updates a copy of the configuration from the
+// rows of the table.
 type Follower struct {
 	Copy Copy
 	Log  logr.Logger
 }
 
-// Whole takes all rows: the objects, and the log entries as history.
+// Whole processes all rows of the table: objects, and log entries as history.
 func (f *Follower) Whole(rows []feed.Row, _ time.Duration) {
 	var objects []api.Object
 	var head uint64
@@ -61,14 +63,15 @@
 		}
 	}
 	entries := f.entries(rows)
-	// The log alone is enough where it is kept from the start.
+	// If the log is complete from its first revision, no snapshot is needed.
 	if len(entries) == 0 || f.Copy.Apply(entries) == 0 {
 		f.Copy.ApplySnapshot(head, objects)
 	}
 	f.Copy.Apply(entries)
 }
 
-// Changed takes changed rows: each operation writes one log entry.
+// Changed processes changed rows. Only log entries matter, as every operation
+// writes one.
 func (f *Follower) Changed(rows []feed.Row) { f.Copy.Apply(f.entries(rows)) }
 
 func (f *Follower) entries(rows []feed.Row) []wire.Entry {
@@ -88,19 +91,20 @@
 	return entries
 }
 
-// Trim deletes the oldest log entries beyond KeptLog with their operation rows.
-// The node that committed a revision calls it; deleting twice is harmless.
+// Trim deletes the oldest log entries beyond MaxLogEntries and their operation
+// rows. It is called by the node that committed a revision; deleting a row twice
+// is harmless.
 func (c *Committer) Trim(ctx context.Context, head uint64) error {
-	if head <= KeptLog || head%trimEvery != 0 {
+	if head <= MaxLogEntries || head%trimInterval != 0 {
 		return nil
 	}
-	rows, err := c.table.List(ctx, prefixLog, "", trimRows)
+	rows, err := c.table.List(ctx, prefixLog, "", trimBatch)
 	if err != nil {
 		return err
 	}
 	var transaction table.Transaction
 	for _, row := range rows {
-		if row.Key > logKey(head-KeptLog) {
+		if row.Key > logKey(head-MaxLogEntries) {
 			break
 		}
 		var entry wire.Entry
