--- a/internal/config/compose.go
+++ b/internal/config/compose.go
@@ -11,31 +11,33 @@
 )
 
 const (
-	// megabytesPerMiB converts the objects' sizes.
+	// megabytesPerMiB converts the sizes in objects.
 	megabytesPerMiB = 1.048576
-	// assumedSpeed is the speed of a load whose time is not known, in MB/s.
-	assumedSpeed = 1024 * megabytesPerMiB
-	// diskFactor is how much faster a load from a runner's disk is taken to be.
-	diskFactor = 4
-	// Unlimited is the MaximumReplicas of a model without a bound.
+	// defaultLoadRate is assumed for loads whose time is not known, in MB/s.
+	defaultLoadRate = 1024 * megabytesPerMiB
+	// defaultDiskSpeedup is how much faster than a load from the weight store a load from
+	// a runner's disk is assumed to be, if its time is not known.
+	defaultDiskSpeedup = 4
+	// Unlimited is the MaximumReplicas of a model without a bound on its replicas.
 	Unlimited = -1
 )
 
-// Name is what callers of the chat and completion calls may ask for.
+// ModelTarget is what a model name stands for that callers of the chat and completion
+// calls may use.
 type Name struct {
-	// Service and Unit are what serves it.
+	// Service and Unit are what serves the name.
 	Service string
 	Unit    backend.Unit
-	// Replicas is the operators' bound; zero forbids the model.
+	// Replicas is the operators' bound on replicas; zero forbids the name's use.
 	Replicas int
 }
 
-// Objects lists the operators' objects of a kind.
+// Objects returns the operators' objects of a kind.
 type Objects func(kind api.Kind) []api.Object
 
-// Compose returns a configuration made of a base that an adapter provides, which
-// may be nil, and of the operators' objects. Objects that cannot be used are
-// left out and reported.
+// Compose merges a base configuration, which the platform's adapter provides and
+// which may be nil, with the operators' objects. Objects that cannot be used are
+// left out, with an error for each.
 func Compose(base *Configuration, revision uint64, objects Objects) (*Configuration, []error) {
 	c := &composer{
 		result: &Configuration{ObjectRevision: revision, Services: make(map[string]*Service), Names: make(map[string]Name), Drains: make(map[api.Drain]bool)},
@@ -47,26 +49,26 @@
 			c.result.Services[name] = service.clone()
 		}
 	}
-	each(c, objects(api.KindService), c.service)
-	each(c, objects(api.KindRoute), c.route)
+	decodeEach(c, objects(api.KindService), c.addService)
+	decodeEach(c, objects(api.KindRoute), c.addRoute)
 	if tenants := objects(api.KindTenant); len(tenants) > 0 {
 		c.result.Tenants = c.result.Tenants.Clone()
-		each(c, tenants, c.tenant)
+		decodeEach(c, tenants, c.addTenant)
 	}
-	c.listedModels()
+	c.addListedModels()
 	versions := make(map[string]api.Version)
-	each(c, objects(api.KindVersion), func(name string, version api.Version) error {
+	decodeEach(c, objects(api.KindVersion), func(name string, version api.Version) error {
 		versions[name] = version
 		return nil
 	})
 	models := make(map[string]api.Model)
-	each(c, objects(api.KindModel), func(name string, model api.Model) error {
+	decodeEach(c, objects(api.KindModel), func(name string, model api.Model) error {
 		models[name] = model
-		return c.model(name, model, versions)
+		return c.addModel(name, model, versions)
 	})
-	c.inactive(models, versions)
-	each(c, objects(api.KindAdapter), c.adapter)
-	each(c, objects(api.KindDrain), func(_ string, drain api.Drain) error {
+	c.addInactiveVersions(models, versions)
+	decodeEach(c, objects(api.KindAdapter), c.addAdapter)
+	decodeEach(c, objects(api.KindDrain), func(_ string, drain api.Drain) error {
 		c.result.Drains[drain] = true
 		return nil
 	})
@@ -74,17 +76,19 @@
 	return c.result, c.problems
 }
 
+// composer builds a Configuration and collects the errors of objects that it leaves out.
 type composer struct {
 	result   *Configuration
 	problems []error
 }
 
-// each decodes objects and hands them on; what fails is noted.
-func each[T any](c *composer, objects []api.Object, take func(name string, spec T) error) {
+// decodeEach decodes objects and calls add for each of them. Errors are appended to
+// the composer's problems.
+func decodeEach[T any](c *composer, objects []api.Object, add func(name string, spec T) error) {
 	for _, object := range objects {
 		spec, err := api.Decode[T](object)
 		if err == nil {
-			err = take(object.Name, spec)
+			err = add(object.Name, spec)
 		}
 		if err != nil {
 			c.problems = append(c.problems, err)
@@ -92,7 +96,7 @@
 	}
 }
 
-func (c *composer) service(name string, spec api.Service) error {
+func (c *composer) addService(name string, spec api.Service) error {
 	service := &Service{Name: name, HealthPath: spec.HealthPath, MaximumConnections: spec.MaximumConnections}
 	if spec.Engine != nil {
 		service.Engine = &Engine{
@@ -104,7 +108,7 @@
 	return nil
 }
 
-func (c *composer) route(name string, spec api.Route) error {
+func (c *composer) addRoute(name string, spec api.Route) error {
 	route := Route{
 		Name: name, Host: spec.Host, PathPrefix: spec.PathPrefix, Kind: Kind(spec.Kind), Resumable: spec.Resumable,
 		Timeout: seconds(spec.TimeoutSeconds), Objective: seconds(spec.ObjectiveSeconds), PauseObjective: seconds(spec.PauseObjectiveSeconds),
@@ -120,8 +124,9 @@
 	return nil
 }
 
-// tenant adds a tenant; one of the base's name or with a key of another one is left out.
-func (c *composer) tenant(name string, spec api.Tenant) error {
+// addTenant adds a tenant. It fails if the name is taken by a tenant of the base, or if
+// another tenant has one of its keys.
+func (c *composer) addTenant(name string, spec api.Tenant) error {
 	added := tenant.Tenant{Name: tenant.Name(name), Priority: spec.Priority, Homes: place.HomesOf(spec.Homes)}
 	if l := spec.Limit; l != nil {
 		added.Limit = tenant.Limit{Rate: l.Rate, Burst: l.Burst, PlainCost: l.PlainCost}
@@ -139,8 +144,8 @@
 	return c.result.Tenants.Add(added)
 }
 
-// listedModels lets callers name the models that the base lists.
-func (c *composer) listedModels() {
+// addListedModels adds names for the models that the base lists.
+func (c *composer) addListedModels() {
 	for name, service := range c.result.Services {
 		if service.Engine == nil {
 			continue
@@ -151,23 +156,23 @@
 	}
 }
 
-func (c *composer) model(name string, spec api.Model, versions map[string]api.Version) error {
+func (c *composer) addModel(name string, spec api.Model, versions map[string]api.Version) error {
 	version, known := versions[spec.ActiveVersion]
 	if !known || version.Model != name {
 		return fault.New(fault.CodeInvalid, stepValidate, "Model/%s: there is no Version %s of it", name, spec.ActiveVersion)
 	}
-	service, err := c.engines(name, spec.Service)
+	service, err := c.engineService(name, spec.Service)
 	if err != nil {
 		return err
 	}
-	service.Engine.Models[version.Checkpoint] = weightsOf(name, spec, version)
+	service.Engine.Models[version.Checkpoint] = newModel(name, spec, version)
 	c.result.Names[name] = Name{Service: service.Name, Unit: backend.Unit{Model: version.Checkpoint}, Replicas: spec.Replicas}
 	return nil
 }
 
-// engines returns the service of engines a model belongs to: the one it names,
-// or the only one.
-func (c *composer) engines(model, named string) (*Service, error) {
+// engineService returns the engine service of a model: the one that the model names, or
+// the only one.
+func (c *composer) engineService(model, named string) (*Service, error) {
 	var found *Service
 	for name, service := range c.result.Services {
 		if service.Engine == nil || (named != "" && name != named) {
@@ -184,40 +189,42 @@
 	return found, nil
 }
 
-func weightsOf(object string, spec api.Model, version api.Version) *Model {
+// newModel describes the weights of a version of a Model object. Load times that the
+// version leaves out are estimated.
+func newModel(object string, spec api.Model, version api.Version) *Model {
 	size := float64(version.MemoryMiB) * megabytesPerMiB
 	weights := &Model{
 		Name: version.Checkpoint, Object: object, Size: size, MaximumReplicas: spec.Replicas, Active: true,
 		LoadTime: seconds(version.LoadSeconds), DiskLoadTime: seconds(version.DiskLoadSeconds), HostLoadTime: seconds(version.HostLoadSeconds),
 	}
 	if weights.LoadTime == 0 {
-		weights.LoadTime = seconds(size / assumedSpeed)
+		weights.LoadTime = seconds(size / defaultLoadRate)
 	}
 	if weights.DiskLoadTime == 0 {
-		weights.DiskLoadTime = weights.LoadTime / diskFactor
+		weights.DiskLoadTime = weights.LoadTime / defaultDiskSpeedup
 	}
 	return weights
 }
 
-// inactive adds the versions that no longer serve: they may still be loaded, and
-// count among the replicas of their model until they are not.
-func (c *composer) inactive(models map[string]api.Model, versions map[string]api.Version) {
+// addInactiveVersions adds the versions that no longer serve. They may still be loaded, and
+// count as replicas of their model until they are unloaded.
+func (c *composer) addInactiveVersions(models map[string]api.Model, versions map[string]api.Version) {
 	for _, version := range versions {
 		model, known := models[version.Model]
 		if !known || versions[model.ActiveVersion].Checkpoint == version.Checkpoint {
 			continue
 		}
-		service, err := c.engines(version.Model, model.Service)
+		service, err := c.engineService(version.Model, model.Service)
 		if err != nil || service.Engine.Models[version.Checkpoint] != nil {
 			continue
 		}
-		weights := weightsOf(version.Model, model, version)
+		weights := newModel(version.Model, model, version)
 		weights.Active = false
 		service.Engine.Models[version.Checkpoint] = weights
 	}
 }
 
-func (c *composer) adapter(name string, spec api.Adapter) error {
+func (c *composer) addAdapter(name string, spec api.Adapter) error {
 	base, known := c.result.Names[spec.Model]
 	if !known {
 		return fault.New(fault.CodeInvalid, stepValidate, "Adapter/%s: there is no Model %s", name, spec.Model)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config holds the routing configuration in force: routes, services and
-// limits. A Configuration is immutable; the newest one replaces the last.
+// Package config holds the active configuration: routes, services, models, tenants
+// and limits. A Configuration is immutable; a change replaces it as a whole.
 package config
 
 import (
@@ -10,7 +10,7 @@
 	"lilacvane/internal/tenant"
 )
 
-// Kind says how often a route's requests may run.
+// Kind is the type of a route's requests; it determines how often they may run.
 type Kind string
 
 // The kinds of routes.
@@ -19,56 +19,58 @@
 	Safe Kind = "safe"
 	// Unsafe requests run at most once.
 	Unsafe Kind = "unsafe"
-	// Stream requests are answered with events. They run at most once unless
-	// the route is resumable.
+	// Stream requests are answered with a stream of events. They run at most
+	// once unless the route is resumable.
 	Stream Kind = "stream"
 )
 
-// Configuration is one revision of everything operators configure.
+// Configuration is one revision of all that operators configure.
 type Configuration struct {
-	// Revision grows with every change of the adapter's part, ObjectRevision
-	// with every change of the operators' objects.
+	// Revision increases with every change of the part that the platform's
+	// adapter provides, ObjectRevision with every change of operators' objects.
 	Revision       uint64
 	ObjectRevision uint64
 	Routes         []Route
 	Services       map[string]*Service
 	Limits         Limits
-	// Names are what callers of chat and completion calls may ask for.
+	// Names maps the model names that callers of the chat and completion calls
+	// may use.
 	Names map[string]Name
-	// Drains are the planned stops.
+	// Drains holds the planned stops.
 	Drains map[api.Drain]bool
-	// Tenants are those whose keys requests must carry; nil when everybody may call.
+	// Tenants lists the tenants. Requests must carry a key of one of them, unless
+	// it is nil: then no key is needed.
 	Tenants *tenant.Directory
 
 	byHost map[string]*hostRoutes
 }
 
-// Route sends the requests of a host and path prefix to services.
+// Route maps the requests for a host and path prefix to services.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       Kind
-	// Resumable streams may be continued at another runner after the last
-	// event that arrived.
+	// Resumable streams may be continued at another runner, from the last
+	// event received.
 	Resumable bool
-	// Timeout is the longest time a request is held; zero means no limit.
+	// Timeout bounds the time that a request is held; zero means no limit.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or a stream's first event,
-	// counts as prompt.
+	// Objective is the latency objective for an answer or for the first event
+	// of a stream.
 	Objective time.Duration
-	// PauseObjective is the longest pause between events of a prompt stream.
+	// PauseObjective is the latency objective between two events of a stream.
 	PauseObjective time.Duration
-	// Patience is how long clients of a stream wait for its next event, the
-	// first included, before they leave; zero when that is not known.
+	// Patience is the time after which clients of a stream disconnect if no
+	// event arrives, the first one included; zero if that is not known.
 	Patience time.Duration
-	// Priority is the route's rank; 0 is served first.
+	// Priority orders the routes; 0 is served first.
 	Priority int
-	// Attempts is the largest number of runners one request may run at.
+	// Attempts is the maximum number of runners that a request is sent to.
 	Attempts int
 	// Public routes need no key.
 	Public bool
-	// Homes are the regions in which alone its requests are served.
+	// Homes are the only regions in which the route's requests are served.
 	Homes place.Homes
 	// Backends share the requests by weight.
 	Backends []Backend
@@ -77,7 +79,7 @@
 // Backend is a service's share of a route.
 type Backend struct {
 	Service string
-	// Weight is relative to the other backends' of the route.
+	// Weight is relative to the weights of the route's other backends.
 	Weight int
 }
 
@@ -90,36 +92,39 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaximumConnections is how many connections a runner accepts from all
-	// nodes together; zero means no limit.
+	// MaximumConnections is the number of connections that a runner accepts
+	// from all nodes together; zero means no limit.
 	MaximumConnections int
-	// ColdStart is how long a runner is cold after its start, ColdRate how many requests a
-	// second it bears while it is cold; zero where runners are never cold.
+	// ColdStart is the time that a runner stays cold after it starts, ColdRate the number
+	// of requests per second that it can take while cold. Both are zero if the service's
+	// runners are never cold.
 	ColdStart time.Duration
 	ColdRate  float64
-	// Engine is set for services of model engines.
+	// Engine is set for services whose runners are model engines.
 	Engine *Engine
 }
 
 // Engine describes the runners of a model service.
 type Engine struct {
-	// Slots is how many requests a runner runs at once.
+	// Slots is the number of requests that a runner runs concurrently.
 	Slots int
-	// CacheTokens is a runner's memory for prompts and answers, in tokens.
+	// CacheTokens is a runner's memory for prompts and answers (the KV cache), in tokens.
 	CacheTokens int
 	// ModelMemory is a runner's memory for weights and adapters, in MB.
 	ModelMemory float64
-	// HostMemory and Disk keep copies of weights beside it, in MB.
+	// HostMemory and Disk are the sizes of the caches that hold further copies of
+	// weights, in MB.
 	HostMemory float64
 	Disk       float64
-	// AdapterSlots is how many adapters a runner holds.
+	// AdapterSlots is the number of adapters that a runner can hold.
 	AdapterSlots int
-	// LoadsPerSecond is what the weight store allows all runners together.
+	// LoadsPerSecond is the rate of loads that the weight store allows for all
+	// runners together.
 	LoadsPerSecond float64
 	Models         map[string]*Model
 }
 
-// Bounded reports whether the replicas of some model are bounded.
+// Bounded reports whether any model has a bound on its replicas.
 func (e *Engine) Bounded() bool {
 	for _, model := range e.Models {
 		if model.MaximumReplicas != Unlimited {
@@ -132,19 +137,18 @@
 // Model is one set of weights.
 type Model struct {
 	Name string
-	// Object is the name of the operators' Model object; empty when an adapter
-	// listed the model.
+	// Object is the name of the operators' Model object; empty if the model is
+	// listed by the platform's adapter.
 	Object string
-	// MaximumReplicas bounds the replicas of all weights of Object together;
-	// Unlimited for none.
+	// MaximumReplicas bounds the replicas of all weights of Object together, or
+	// is Unlimited.
 	MaximumReplicas int
-	// Active is set unless the weights belong to a version that no longer
-	// serves.
+	// Active is false if the weights belong to a version that no longer serves.
 	Active bool
 	// Size is the size of the weights in MB.
 	Size float64
-	// LoadTime, DiskLoadTime and HostLoadTime are the times of a load from the
-	// weight store, a runner's disk and its host memory.
+	// LoadTime, DiskLoadTime and HostLoadTime are the expected times of a load
+	// from the weight store, a runner's disk and a runner's host memory.
 	LoadTime     time.Duration
 	DiskLoadTime time.Duration
 	HostLoadTime time.Duration
@@ -152,18 +156,18 @@
 	AdapterSize float64
 }
 
-// Limits bound what a client may send.
+// Limits bounds what a client may send.
 type Limits struct {
 	MaximumHeaderBytes int
 	MaximumBodyBytes   int64
-	// HeaderTimeout bounds the time until a request's header is in, IdleTimeout
-	// the time between two requests of a connection.
+	// HeaderTimeout bounds the time to read a request's header, IdleTimeout the
+	// time between two requests on a connection.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
 
-// Finish builds the lookup tables. It is called once, before the configuration
-// is shared.
+// BuildIndex builds the lookup tables. It must be called once, before the
+// configuration is shared.
 func (c *Configuration) Finish() {
 	c.byHost = make(map[string]*hostRoutes, len(c.Routes))
 	for i := range c.Routes {
@@ -177,12 +181,13 @@
 	}
 }
 
-// Drained reports whether a planned stop of a runner or its zone is in force.
+// Drained reports whether the runner or its zone is under a planned stop.
 func (c *Configuration) Drained(runner, zone string) bool {
 	return c.Drains[api.Drain{Target: api.DrainRunner, Name: runner}] || c.Drains[api.Drain{Target: api.DrainZone, Name: zone}]
 }
 
-// Match returns the route of a host with the longest prefix of path, or nil.
+// Match returns the host's route whose prefix is the longest one that matches the
+// path, or nil if there is none.
 func (c *Configuration) Match(host, path string) *Route {
 	routes := c.byHost[host]
 	if routes == nil {
@@ -191,8 +196,8 @@
 	return routes.match(path)
 }
 
-// FirstEngines is the first service of engines, by name, whose holder does what one node does
-// for all services; empty where there is none.
+// FirstEngineService returns the first engine service by name, or "" if there is none.
+// The node that holds its lease does the work that one node does for all services.
 func (c *Configuration) FirstEngines() string {
 	first := ""
 	for name, service := range c.Services {
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// hostRoutes finds the routes of one host. A prefix that ends with a slash is looked up
-// as it stands, so that a lookup takes as long as the path has slashes, however many
-// routes there are.
+// hostRoutes finds the routes of one host. Prefixes that end with a slash are looked up
+// in a map, so that the time of a lookup depends on the number of slashes in the path
+// and not on the number of routes.
 type hostRoutes struct {
 	byPrefix map[string]*Route
-	// others are those whose prefix ends within a name, the longest first.
+	// others are the routes whose prefix does not end with a slash, longest first.
 	others []*Route
 }
 
-// add takes a route. Of routes with the same prefix the first one counts.
+// add adds a route. Of several routes with the same prefix, the first one is used.
 func (h *hostRoutes) add(route *Route) {
 	if !strings.HasSuffix(route.PathPrefix, "/") {
 		h.others = append(h.others, route)
@@ -27,9 +27,9 @@
 	}
 }
 
-// match returns the route with the longest prefix of path, or nil.
+// match returns the route with the longest prefix that matches the path, or nil.
 func (h *hostRoutes) match(path string) *Route {
-	found := h.matchWhole(path)
+	found := h.matchSegments(path)
 	for _, route := range h.others {
 		if found != nil && len(found.PathPrefix) >= len(route.PathPrefix) {
 			break
@@ -41,8 +41,8 @@
 	return found
 }
 
-// matchWhole looks only at prefixes that end with a slash.
-func (h *hostRoutes) matchWhole(path string) *Route {
+// matchSegments considers only prefixes that end with a slash.
+func (h *hostRoutes) matchSegments(path string) *Route {
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
 		if route := h.byPrefix[path[:end+1]]; route != nil {
 			return route
--- a/internal/config/routes_test.go
+++ b/internal/config/routes_test.go
@@ -18,8 +18,8 @@
 	return c
 }
 
-// TestLongestPrefixMatches: lookups agree with a search of all routes, for prefixes that
-// end with a slash and for others.
+// TestLongestPrefixMatches compares lookups with a linear search of all routes, for
+// prefixes that end with a slash and for others.
 func TestLongestPrefixMatches(t *testing.T) {
 	part := rapid.StringMatching(`[ab]{0,2}`)
 	text := rapid.Custom(func(t *rapid.T) string { return "/" + strings.Join(rapid.SliceOfN(part, 0, 4).Draw(t, "parts"), "/") })
@@ -42,12 +42,13 @@
 	})
 }
 
-// TestOtherHostsRoutesDoNotMatch: a host has its own routes only.
+// TestOtherHostsRoutesDoNotMatch checks that routes match only their own host.
 func TestOtherHostsRoutesDoNotMatch(t *testing.T) {
 	assert.Assert(t, withRoutes("/a/").Match("other", "/a/b") == nil)
 }
 
-// BenchmarkMatch shows that a lookup takes the same time among many routes of a host.
+// BenchmarkMatch measures lookups among few and many routes of a host. They should
+// take the same time.
 func BenchmarkMatch(b *testing.B) {
 	for _, count := range []int{10, 100, 1600, 16_000} {
 		var prefixes []string
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -9,7 +9,7 @@
 
 const stepValidate = "validate configuration"
 
-// Validate reports the first problem of a configuration, naming the field.
+// Validate returns an error for the first problem found; it names the field.
 func (c *Configuration) Validate() error {
 	if c.Revision == 0 {
 		return invalid("revision", "must not be zero")
