--- a/internal/catalog/bench_test.go
+++ b/internal/catalog/bench_test.go
@@ -8,7 +8,8 @@
 	"lilacvane/internal/wire"
 )
 
-// BenchmarkChange measures one change in a catalog of the target's size.
+// BenchmarkChange measures one change in a catalog of the size that the system is
+// designed for.
 func BenchmarkChange(b *testing.B) {
 	const adapters = 11000
 	c := New()
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog holds a node's copy of the committed configuration: every
-// object at the newest revision the node has applied. Revisions are applied in
-// order and never step back.
+// Package catalog holds a node's copy of the committed configuration: all objects
+// as of the newest revision that the node has applied. Revisions are applied in
+// order and never decrease.
 package catalog
 
 import (
@@ -12,22 +12,22 @@
 	"lilacvane/internal/wire"
 )
 
-// KeptEntries is how many of the newest log entries a node keeps for operators'
+// MaxEntries is the number of log entries, the newest ones, that a node keeps for
 // watches and histories.
-const KeptEntries = 4096
+const MaxEntries = 4096
 
-// keptBytes bounds the objects in the kept entries.
-const keptBytes = 1 << 20
+// maxTotalBytes bounds the total size of the objects in the kept log entries.
+const maxTotalBytes = 1 << 20
 
 // Catalog is safe for concurrent use. Its mutex guards every field; listeners
-// are called without it.
+// are called without holding it.
 type Catalog struct {
 	mutex    sync.RWMutex
 	revision uint64
-	// objects holds the objects by kind and name.
+	// objects maps kinds and names to objects.
 	objects map[api.Kind]map[string]api.Object
 	entries []wire.Entry
-	// entryBytes is the size of the objects in entries.
+	// entryBytes is the total size of the objects in entries.
 	entryBytes int
 	listeners  []func()
 	changed    chan struct{}
@@ -45,7 +45,7 @@
 	return c.revision
 }
 
-// OnChange registers a function that is called after revisions were applied.
+// OnChange registers a function that is called after new revisions were applied.
 func (c *Catalog) OnChange(listener func()) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -59,8 +59,8 @@
 	return c.changed
 }
 
-// Apply takes entries in the order of their revisions. Entries already applied
-// are passed over; at the first gap it stops. It returns how many were new.
+// Apply applies entries, which must be in revision order. It skips entries that were
+// applied before and stops at the first gap. It returns how many entries were new.
 func (c *Catalog) Apply(entries []wire.Entry) int {
 	c.mutex.Lock()
 	applied := 0
@@ -78,9 +78,9 @@
 	return applied
 }
 
-// ApplySnapshot replaces the content by a snapshot taken at revision, if that is
-// newer than what is held. Objects may be newer than the revision; the entries
-// that follow bring the rest in step.
+// ApplySnapshot replaces the content with a snapshot taken at revision, and reports
+// whether it did: it ignores snapshots that are not newer. Objects may be newer than
+// the revision; the log entries that follow update the others.
 func (c *Catalog) ApplySnapshot(revision uint64, objects []api.Object) bool {
 	c.mutex.Lock()
 	if revision <= c.revision {
@@ -110,24 +110,24 @@
 		}
 	}
 	c.revision = entry.Revision
-	c.keep(entry)
+	c.appendEntry(entry)
 }
 
-// keep adds an entry to those kept and drops the oldest ones over the
-// limits. It is called with the mutex held.
-func (c *Catalog) keep(entry wire.Entry) {
+// appendEntry appends a log entry and drops the oldest entries beyond the limits. The mutex
+// must be held.
+func (c *Catalog) appendEntry(entry wire.Entry) {
 	c.entries = append(c.entries, entry)
 	c.entryBytes += entry.Size()
-	drop := 0
-	for len(c.entries)-drop > KeptEntries || c.entryBytes > keptBytes && len(c.entries)-drop > 1 {
-		c.entryBytes -= c.entries[drop].Size()
-		c.entries[drop] = wire.Entry{}
-		drop++
+	dropped := 0
+	for len(c.entries)-dropped > MaxEntries || c.entryBytes > maxTotalBytes && len(c.entries)-dropped > 1 {
+		c.entryBytes -= c.entries[dropped].Size()
+		c.entries[dropped] = wire.Entry{}
+		dropped++
 	}
-	c.entries = c.entries[drop:]
+	c.entries = c.entries[dropped:]
 }
 
-// put is called with the mutex held.
+// put stores an object. The mutex must be held.
 func (c *Catalog) put(object api.Object) {
 	if c.objects[object.Kind] == nil {
 		c.objects[object.Kind] = make(map[string]api.Object)
@@ -135,8 +135,8 @@
 	c.objects[object.Kind][object.Name] = object
 }
 
-// unlockAndNotify releases the mutex and then calls the listeners, which may
-// read the catalog.
+// unlockAndNotify releases the mutex and, after a change, calls the listeners, which
+// may read the catalog.
 func (c *Catalog) unlockAndNotify(changed bool) {
 	var listeners []func()
 	if changed {
@@ -150,8 +150,8 @@
 	}
 }
 
-// Since returns up to limit entries after a revision. It reports false when they
-// are no longer kept.
+// Since returns up to limit entries after a revision. It reports false if they are no
+// longer kept.
 func (c *Catalog) Since(after uint64, limit int) ([]wire.Entry, bool) {
 	c.mutex.RLock()
 	defer c.mutex.RUnlock()
@@ -166,8 +166,8 @@
 	return append([]wire.Entry(nil), c.entries[start:end]...), true
 }
 
-// GenerationAt returns an object's generation, zero if there is none, if the
-// catalog is at exactly a revision.
+// GenerationAt returns the generation of an object, or zero if it does not exist. It
+// reports whether the catalog is at exactly the given revision.
 func (c *Catalog) GenerationAt(revision uint64, key api.Key) (uint64, bool) {
 	c.mutex.RLock()
 	defer c.mutex.RUnlock()
@@ -182,7 +182,7 @@
 	return object, ok
 }
 
-// List returns the objects of a kind in name order.
+// List returns the objects of a kind, sorted by name.
 func (c *Catalog) List(kind api.Kind) []api.Object {
 	c.mutex.RLock()
 	defer c.mutex.RUnlock()
@@ -194,21 +194,21 @@
 	return objects
 }
 
-// History returns the kept entries that changed an object, oldest first. An
+// History returns the kept log entries that changed an object, oldest first. An
 // empty name selects all objects of the kind.
 func (c *Catalog) History(kind api.Kind, name string) []wire.Entry {
 	c.mutex.RLock()
 	defer c.mutex.RUnlock()
 	var history []wire.Entry
 	for _, entry := range c.entries {
-		if touches(entry, kind, name) {
+		if changesObject(entry, kind, name) {
 			history = append(history, entry)
 		}
 	}
 	return history
 }
 
-func touches(entry wire.Entry, kind api.Kind, name string) bool {
+func changesObject(entry wire.Entry, kind api.Kind, name string) bool {
 	for _, change := range entry.Changes {
 		sameName := name == "" || strings.EqualFold(change.Object.Name, name)
 		if change.Object.Kind == kind && sameName {
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -16,9 +16,9 @@
 	return wire.Entry{Revision: revision, Changes: []wire.Change{{Object: object, Deleted: deleted}}}
 }
 
-// TestCatalogsConverge: whatever parts of the log arrive in whatever order, with
-// snapshots in between, a catalog never steps back, and in the end it is the same
-// as one that read the log in order.
+// TestCatalogsConverge applies parts of the log in any order, with snapshots in
+// between. The revision must never decrease, and in the end the catalog must equal
+// one that applied the log in order.
 func TestCatalogsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		length := rapid.IntRange(1, 40).Draw(t, "length")
@@ -41,12 +41,12 @@
 				c.Apply(log[from:rapid.IntRange(from, length).Draw(t, "to")])
 			}
 			if c.Revision() < before {
-				t.Fatalf("stepped back from %d to %d", before, c.Revision())
+				t.Fatalf("revision decreased from %d to %d", before, c.Revision())
 			}
 		}
 		c.Apply(log)
 		if fmt.Sprint(c.List(api.KindPolicy)) != fmt.Sprint(reference.List(api.KindPolicy)) {
-			t.Fatalf("%v, expected %v", c.List(api.KindPolicy), reference.List(api.KindPolicy))
+			t.Fatalf("catalog has objects %v, want %v", c.List(api.KindPolicy), reference.List(api.KindPolicy))
 		}
 	})
 }
