--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -8,8 +8,8 @@
 	"lilacvane/internal/fault"
 )
 
-// TestValidateRefusesBadObjects: each bad object gives a typed error that names
-// the object.
+// TestValidateRefusesBadObjects checks that each invalid object is refused with the
+// code fault.CodeInvalid.
 func TestValidateRefusesBadObjects(t *testing.T) {
 	good := NewObject(KindModel, "redactor", Model{ActiveVersion: "redactor-v1", Replicas: 2})
 	assert.NilError(t, Validate(good))
--- a/internal/api/objects.go
+++ b/internal/api/objects.go
@@ -1,5 +1,5 @@
-// Package api defines the objects operators declare, the records the system
-// commits beside them, and the headers callers use.
+// Package api defines the objects that operators declare, their validation, and the
+// headers and bodies of callers' requests.
 package api
 
 import (
@@ -10,7 +10,7 @@
 	"lilacvane/internal/fault"
 )
 
-// Kind names the type of an object.
+// Kind is the type of an object.
 type Kind string
 
 // The kinds of objects.
@@ -28,31 +28,31 @@
 // Kinds lists all kinds.
 var Kinds = []Kind{KindModel, KindVersion, KindAdapter, KindPolicy, KindDrain, KindService, KindRoute, KindTenant}
 
-// Model is a model that callers can name. Replicas is the number of replicas
-// decided for it: at most that many are ever loaded.
+// Model is a model that callers can name.
 type Model struct {
-	// ActiveVersion names the Version that serves callers.
+	// ActiveVersion is the name of the Version that serves callers.
 	ActiveVersion string `json:"activeVersion"`
-	// Replicas is the largest number of replicas, 0 to MaximumReplicas.
+	// Replicas is the maximum number of replicas, 0 to MaximumReplicas. More are
+	// never loaded.
 	Replicas int `json:"replicas"`
-	// Service names the Service whose runners hold the model. It may be left
-	// out when there is only one service of engines.
+	// Service is the name of the Service whose runners hold the model. It is
+	// optional if there is only one engine service.
 	Service string `json:"service,omitempty"`
 }
 
 // Version is one checkpoint of a model.
 type Version struct {
-	// Model is the name of the model this is a version of.
+	// Model is the name of the Model that this is a version of.
 	Model string `json:"model"`
 	// Checkpoint is the name of the weights in the weight store.
 	Checkpoint string `json:"checkpoint"`
-	// MemoryMiB is what a replica takes on a runner in MiB, its smallest KV
-	// cache included.
+	// MemoryMiB is the memory of a replica on a runner in MiB, including its
+	// minimum KV cache.
 	MemoryMiB int64 `json:"memoryMiB"`
 	// LoadSeconds, DiskLoadSeconds and HostLoadSeconds are the expected times of
 	// a load from the weight store, a runner's disk and its host memory. Zero
-	// means that it is not known; a load from the store is then taken to run at
-	// one GiB a second.
+	// means unknown; loads from the store are then assumed to run at one GiB per
+	// second.
 	LoadSeconds     float64 `json:"loadSeconds,omitempty"`
 	DiskLoadSeconds float64 `json:"diskLoadSeconds,omitempty"`
 	HostLoadSeconds float64 `json:"hostLoadSeconds,omitempty"`
@@ -60,18 +60,18 @@
 
 // Adapter is a small set of weights served on top of a model.
 type Adapter struct {
-	// Model is the base model.
+	// Model is the name of the base Model.
 	Model string `json:"model"`
 	// Checkpoint is the name of the weights in the weight store.
 	Checkpoint string `json:"checkpoint"`
-	// MemoryMiB is what a replica takes on a runner in MiB.
+	// MemoryMiB is the memory of a replica on a runner in MiB.
 	MemoryMiB int64 `json:"memoryMiB"`
-	// Replicas is the largest number of replicas; zero forbids the adapter.
+	// Replicas is the maximum number of replicas; zero forbids the adapter.
 	Replicas int `json:"replicas"`
 }
 
-// Policy is a program that states how many replicas of the models it selects are
-// to be kept ready at a time and place.
+// Policy is a program that returns how many replicas of the selected models to keep
+// ready, by time and region.
 type Policy struct {
 	// Models selects models by name; "*" selects all.
 	Models []string `json:"models"`
@@ -79,7 +79,7 @@
 	Ready string `json:"ready"`
 }
 
-// DrainTarget says what a Drain stops.
+// DrainTarget is the type of what a Drain stops.
 type DrainTarget string
 
 // The targets of a Drain.
@@ -95,49 +95,52 @@
 	Name   string      `json:"name"`
 }
 
-// Service is a set of runners of one kind.
+// Service is a set of similar runners.
 type Service struct {
-	// HealthPath answers whether a runner is healthy.
+	// HealthPath is the path of a runner's health check.
 	HealthPath string `json:"healthPath,omitempty"`
-	// MaximumConnections is how many connections a runner accepts; zero means no
-	// limit.
+	// MaximumConnections is the number of connections that a runner accepts; zero
+	// means no limit.
 	MaximumConnections int `json:"maximumConnections,omitempty"`
-	// Engine is set for runners that hold models.
+	// Engine is set if the runners hold models.
 	Engine *Engine `json:"engine,omitempty"`
 }
 
 // Engine describes the runners of a service of model engines.
 type Engine struct {
-	// Slots is how many requests a runner runs at once.
+	// Slots is the number of requests that a runner runs concurrently.
 	Slots int `json:"slots"`
 	// MemoryMiB is a runner's memory for weights and adapters in MiB.
 	MemoryMiB int64 `json:"memoryMiB"`
-	// AdapterSlots is how many adapters a runner holds.
+	// AdapterSlots is the number of adapters that a runner can hold.
 	AdapterSlots int `json:"adapterSlots,omitempty"`
-	// LoadsPerSecond is what the weight store allows all runners together.
+	// LoadsPerSecond is the rate of loads that the weight store allows for all
+	// runners together.
 	LoadsPerSecond float64 `json:"loadsPerSecond"`
 }
 
-// Route sends the requests of a host and path prefix to services.
+// Route maps the requests for a host and path prefix to services.
 type Route struct {
 	Host       string `json:"host"`
 	PathPrefix string `json:"pathPrefix"`
 	// Kind is safe, unsafe or stream.
 	Kind      string `json:"kind"`
 	Resumable bool   `json:"resumable,omitempty"`
-	// TimeoutSeconds is the longest time a request is held; zero means no limit.
+	// TimeoutSeconds bounds the time that a request is held; zero means no limit.
 	TimeoutSeconds float64 `json:"timeoutSeconds,omitempty"`
-	// ObjectiveSeconds is the time of a prompt answer or first event.
+	// ObjectiveSeconds is the latency objective for an answer or the first event of
+	// a stream.
 	ObjectiveSeconds float64 `json:"objectiveSeconds,omitempty"`
-	// PauseObjectiveSeconds is the longest pause of a prompt stream.
+	// PauseObjectiveSeconds is the latency objective between two events of a stream.
 	PauseObjectiveSeconds float64 `json:"pauseObjectiveSeconds,omitempty"`
-	// Priority is the route's rank; 0 is served first.
+	// Priority orders the routes; 0 is served first.
 	Priority int `json:"priority,omitempty"`
-	// Attempts is the largest number of runners a request may run at.
+	// Attempts is the maximum number of runners that a request is sent to.
 	Attempts int `json:"attempts"`
 	// Public routes need no key.
 	Public bool `json:"public,omitempty"`
-	// Homes are the regions in which alone its requests are served; left out for all.
+	// Homes are the only regions in which the route's requests are served. If left
+	// out, all regions serve them.
 	Homes []string `json:"homes,omitempty"`
 	// Backends share the requests by weight.
 	Backends []Backend `json:"backends"`
@@ -149,14 +152,16 @@
 	Weight  int    `json:"weight"`
 }
 
-// Tenant is a caller with keys of its own. Once there is one, requests need a key that a
-// tenant holds, but for those on public routes.
+// Tenant is a caller with its own keys. If there is any tenant, requests need a tenant's
+// key, except on public routes.
 type Tenant struct {
-	// Priority goes before that of routes; 0 is served first.
+	// Priority takes precedence over that of routes; 0 is served first.
 	Priority int `json:"priority,omitempty"`
-	// Limit is what it may use over all nodes together; without one there is none.
+	// Limit bounds what the tenant uses at all nodes together. If left out, there is
+	// no limit.
 	Limit *TenantLimit `json:"limit,omitempty"`
-	// Homes are the regions in which alone its requests are served; left out for all.
+	// Homes are the only regions in which the tenant's requests are served. If left
+	// out, all regions serve them.
 	Homes []string    `json:"homes,omitempty"`
 	Keys  []TenantKey `json:"keys,omitempty"`
 }
@@ -167,27 +172,28 @@
 	UnitTokens   = "tokens"
 )
 
-// TenantLimit bounds what a tenant uses.
+// TenantLimit is a rate limit for a tenant.
 type TenantLimit struct {
 	// Unit is requests or tokens.
 	Unit string `json:"unit"`
-	// Rate is units a second, Burst what may be used on top at once.
+	// Rate is in units per second; Burst is the amount on top of it that may be used
+	// at once.
 	Rate  float64 `json:"rate"`
 	Burst float64 `json:"burst,omitempty"`
-	// PlainCost is what a request without token counts costs, in tokens.
+	// PlainCost is the cost of a request without token counts, in tokens.
 	PlainCost float64 `json:"plainCost,omitempty"`
 }
 
-// TenantKey is a key, known by its digest only.
+// TenantKey is an API key of a tenant, stored only as a digest.
 type TenantKey struct {
-	// ID names the key to operators.
+	// ID is the operators' name for the key.
 	ID string `json:"id"`
 	// SHA256 is the digest of the key, in hexadecimal digits.
 	SHA256 string `json:"sha256"`
 }
 
-// Object is a named, versioned record of the configuration. Spec is the JSON of
-// the type its Kind names.
+// Object is a named, versioned record of the configuration. Spec is the JSON encoding
+// of the type that Kind names.
 type Object struct {
 	Kind       Kind            `json:"kind"`
 	Name       string          `json:"name"`
@@ -201,13 +207,13 @@
 	Name string
 }
 
-// Key returns the identity of the object.
+// Key returns the key of the object.
 func (o Object) Key() Key { return Key{Kind: o.Kind, Name: o.Name} }
 
-// String returns kind/name.
+// String returns the key as kind/name.
 func (k Key) String() string { return string(k.Kind) + "/" + k.Name }
 
-// Decode reads the Spec into a typed value.
+// Decode decodes the Spec of an object.
 func Decode[T any](object Object) (T, error) {
 	var value T
 	err := json.Unmarshal(object.Spec, &value)
@@ -217,7 +223,7 @@
 	return value, nil
 }
 
-// NewObject builds an object around a typed spec.
+// NewObject returns an object with the given spec, which must be encodable as JSON.
 func NewObject(kind Kind, name string, spec any) Object {
 	content, err := json.Marshal(spec)
 	if err != nil {
@@ -228,14 +234,14 @@
 
 // Limits of objects.
 const (
-	MaximumReplicas  = 1000
-	maximumMemoryMiB = 16 << 20
-	maximumName      = 128
+	MaximumReplicas   = 1000
+	maximumMemoryMiB  = 16 << 20
+	maximumNameLength = 128
 )
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9]([A-Za-z0-9._@-]*[A-Za-z0-9])?$`)
 
-// ValidName reports whether a name may be given to an object.
+// ValidName reports whether name is a valid object name.
 func ValidName(name string) bool {
-	return len(name) <= maximumName && namePattern.MatchString(name)
+	return len(name) <= maximumNameLength && namePattern.MatchString(name)
 }
--- a/internal/api/request.go
+++ b/internal/api/request.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Class orders waiting requests. A lower value is served first.
+// Class is the urgency class of a request. Lower values are served first.
 type Class uint8
 
-// The classes, most pressing first.
+// The classes, most urgent first.
 const (
 	ClassUrgent Class = iota
 	ClassInteractive
@@ -19,7 +19,7 @@
 
 var classNames = [ClassCount]string{"urgent", "interactive", "ordinary", "patient"}
 
-// String returns the class as callers write it.
+// String returns the name that callers use for the class.
 func (c Class) String() string {
 	if int(c) >= ClassCount {
 		return "invalid"
@@ -27,7 +27,7 @@
 	return classNames[c]
 }
 
-// ParseClass reads a class name; the empty string is ordinary.
+// ParseClass parses the name of a class; the empty string means ClassOrdinary.
 func ParseClass(text string) (Class, bool) {
 	if text == "" {
 		return ClassOrdinary, true
@@ -40,8 +40,8 @@
 	return ClassOrdinary, false
 }
 
-// The headers of the callers' interface. IdempotencyKey and RetryAfter are the
-// standard ones.
+// The headers of the callers' API. HeaderIdempotencyKey and HeaderRetryAfter are
+// standard headers.
 const (
 	HeaderClass          = "Lilacvane-Class"
 	HeaderDeadline       = "Lilacvane-Deadline"
@@ -51,7 +51,7 @@
 	HeaderRetryAfter     = "Retry-After"
 )
 
-// Limits of the callers' interface.
+// Limits of the callers' API.
 const (
 	DefaultDeadline       = 60 * time.Second
 	MaximumDeadline       = 4 * time.Hour
@@ -59,14 +59,14 @@
 	MaximumIdempotencyKey = 256
 )
 
-// Completion is the body of a chat or completion call: the fields that lilacvane
-// reads. The rest is passed to the runner as it came.
+// Completion holds those fields of the body of a chat or completion call that
+// lilacvane reads. The body is passed to the runner unchanged.
 type Completion struct {
 	Model    string    `json:"model"`
 	Stream   bool      `json:"stream"`
 	Messages []Message `json:"messages"`
 	Prompt   string    `json:"prompt"`
-	// MaxTokens is the longest answer in tokens.
+	// MaxTokens bounds the length of the answer, in tokens.
 	MaxTokens int `json:"max_tokens"`
 }
 
--- a/internal/api/validate.go
+++ b/internal/api/validate.go
@@ -13,14 +13,14 @@
 
 const stepValidate = "validate object"
 
-// Validate checks an object an operator submits: a known kind, a usable name, a
-// spec with no unknown field and values within limits.
+// Validate checks an object that an operator submits: its kind must be known, its name
+// valid, and its spec without unknown fields and with values within limits.
 func Validate(object Object) error {
 	if !slices.Contains(Kinds, object.Kind) {
 		return fault.New(fault.CodeInvalid, stepValidate, "unknown kind %q", object.Kind)
 	}
 	if !ValidName(object.Name) {
-		return fault.New(fault.CodeInvalid, stepValidate, "name %q: letters, digits, '.', '_', '-', '@', at most %d", object.Name, maximumName)
+		return fault.New(fault.CodeInvalid, stepValidate, "name %q: letters, digits, '.', '_', '-', '@', at most %d", object.Name, maximumNameLength)
 	}
 	switch object.Kind {
 	case KindModel:
@@ -42,6 +42,8 @@
 	}
 }
 
+// validateSpec decodes the spec of an object strictly and checks it. check returns the
+// problem found, or "".
 func validateSpec[T any](object Object, check func(T) string) error {
 	var spec T
 	decoder := json.NewDecoder(bytes.NewReader(object.Spec))
@@ -173,10 +175,10 @@
 	return ""
 }
 
-// digestPattern is that of a SHA-256 digest in hexadecimal digits.
+// digestPattern matches a SHA-256 digest in hexadecimal digits.
 var digestPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
-// maximumKeys bounds a tenant's keys.
+// maximumKeys bounds the number of keys of a tenant.
 const maximumKeys = 64
 
 func validateTenant(t Tenant) string {
@@ -203,7 +205,7 @@
 	return validateLimit(t.Limit)
 }
 
-// maximumHomes bounds the regions of a route's or tenant's homes.
+// maximumHomes bounds the number of home regions of a route or tenant.
 const maximumHomes = 64
 
 func validateHomes(homes []string) string {
