--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -15,12 +15,13 @@
 
 const (
 	stepCheck = "check submission"
-	// maximumChanges keeps an operation within one transaction of the table.
+	// maximumChanges bounds an operation so that it fits one transaction of the
+	// table.
 	maximumChanges = 40
 )
 
-// check turns a submission into an operation, or says what is wrong with it.
-func (s *Server) check(submission Submission) (commit.Operation, error) {
+// toOperation validates a submission and converts it to an operation.
+func (s *Server) toOperation(submission Submission) (commit.Operation, error) {
 	operation := commit.Operation{ID: submission.Operation, Author: submission.Author}
 	if !api.ValidName(submission.Operation) {
 		return operation, fault.New(fault.CodeInvalid, stepCheck, "operation must be a unique name")
@@ -66,16 +67,16 @@
 		return s.checkHomes(object.Key(), tenant.Homes)
 	case api.KindModel:
 		model, _ := api.Decode[api.Model](object)
-		if _, adapter := s.find(batch, api.Key{Kind: api.KindAdapter, Name: object.Name}); adapter {
+		if _, adapter := s.findObject(batch, api.Key{Kind: api.KindAdapter, Name: object.Name}); adapter {
 			return fault.New(fault.CodeInvalid, stepCheck, "an Adapter is named %s; callers could not tell them apart", object.Name)
 		}
 		return s.checkVersion(object.Name, model, batch)
 	case api.KindAdapter:
 		adapter, _ := api.Decode[api.Adapter](object)
-		if _, model := s.find(batch, api.Key{Kind: api.KindModel, Name: object.Name}); model {
+		if _, model := s.findObject(batch, api.Key{Kind: api.KindModel, Name: object.Name}); model {
 			return fault.New(fault.CodeInvalid, stepCheck, "a Model is named %s; callers could not tell them apart", object.Name)
 		}
-		if _, exists := s.find(batch, api.Key{Kind: api.KindModel, Name: adapter.Model}); !exists {
+		if _, exists := s.findObject(batch, api.Key{Kind: api.KindModel, Name: adapter.Model}); !exists {
 			return fault.New(fault.CodeInvalid, stepCheck, "%s: there is no Model %s", object.Key(), adapter.Model)
 		}
 	case api.KindPolicy:
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// checkHomes refuses homes that nothing could be served in.
+// checkHomes refuses regions that no zone lies in, as nothing could be served there.
 func (s *Server) checkHomes(key api.Key, homes []string) error {
 	zones := s.backend.Regions()
 	for i, region := range homes {
@@ -99,7 +100,7 @@
 }
 
 func (s *Server) checkVersion(name string, model api.Model, batch []api.Object) error {
-	object, exists := s.find(batch, api.Key{Kind: api.KindVersion, Name: model.ActiveVersion})
+	object, exists := s.findObject(batch, api.Key{Kind: api.KindVersion, Name: model.ActiveVersion})
 	if !exists {
 		return fault.New(fault.CodeInvalid, stepCheck, "Model/%s: there is no Version %s", name, model.ActiveVersion)
 	}
@@ -113,8 +114,8 @@
 	return nil
 }
 
-// find looks an object up among those submitted together, then in force.
-func (s *Server) find(batch []api.Object, key api.Key) (api.Object, bool) {
+// findObject looks up an object among those of the same submission, then in the catalog.
+func (s *Server) findObject(batch []api.Object, key api.Key) (api.Object, bool) {
 	for _, object := range batch {
 		if object.Key() == key {
 			return object, true
@@ -123,8 +124,8 @@
 	return s.catalog.Get(key.Kind, key.Name)
 }
 
-// Evaluation asks what a policy program would do at a time and place. Time is
-// RFC 3339 local time in TimeZone, without an offset; empty: now.
+// Evaluation is a request to evaluate a policy program for a model, a region and a
+// time. Time is a local time in TimeZone such as 2026-12-07T07:40; empty means now.
 type Evaluation struct {
 	Ready    string `json:"ready"`
 	Model    string `json:"model"`
@@ -133,7 +134,7 @@
 	Time     string `json:"time"`
 }
 
-// EvaluationResult is the number of ready replicas a program states.
+// EvaluationResult holds the number of ready replicas that a program returned.
 type EvaluationResult struct {
 	Ready int       `json:"ready"`
 	Time  time.Time `json:"time"`
@@ -143,18 +144,18 @@
 	const step = "evaluate policy"
 	var evaluation Evaluation
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maximumBody)).Decode(&evaluation); err != nil {
-		s.fail(w, fault.New(fault.CodeInvalid, step, "body: %v", err), step)
+		s.writeError(w, fault.New(fault.CodeInvalid, step, "body: %v", err), step)
 		return
 	}
 	result, err := Evaluate(evaluation)
 	if err != nil {
-		s.fail(w, err, step)
+		s.writeError(w, err, step)
 		return
 	}
-	s.write(w, result)
+	s.writeJSON(w, result)
 }
 
-// Evaluate runs a policy program for a time and place.
+// Evaluate runs a policy program for a model, a region and a time.
 func Evaluate(evaluation Evaluation) (EvaluationResult, error) {
 	const step = "evaluate policy"
 	zone, err := time.LoadLocation(evaluation.TimeZone)
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -19,26 +19,26 @@
 
 const clientTimeout = 15 * time.Second
 
-// Client calls the operators' interface of a node.
+// Client calls the operators' API of a node.
 type Client struct {
 	address string
 	http    *http.Client
 }
 
-// NewClient returns a client of the node whose operators' interface listens on
-// address (ip:port).
+// NewClient returns a client for the node whose operators' API listens on address
+// (ip:port).
 func NewClient(address string) *Client {
 	return &Client{address: address, http: &http.Client{Timeout: clientTimeout}}
 }
 
-// Submit applies and deletes objects in one operation.
+// Submit applies and deletes objects in one atomic operation.
 func (c *Client) Submit(ctx context.Context, submission Submission) (commit.Result, error) {
 	var result commit.Result
 	err := c.call(ctx, http.MethodPost, "/v1/operations", submission, &result, "submit")
 	return result, err
 }
 
-// Operation returns the result of an operation.
+// Operation returns the result of an operation by its ID.
 func (c *Client) Operation(ctx context.Context, id string) (commit.Result, error) {
 	var result commit.Result
 	err := c.call(ctx, http.MethodGet, "/v1/operations/"+url.PathEscape(id), nil, &result, "find operation")
@@ -59,8 +59,8 @@
 	return objects, err
 }
 
-// History returns the log entries that changed an object, or all objects of a
-// kind when name is empty.
+// History returns the log entries that changed an object, or any object of the kind
+// if name is empty.
 func (c *Client) History(ctx context.Context, kind api.Kind, name string) ([]wire.Entry, error) {
 	path := "/v1/history/" + string(kind)
 	if name != "" {
@@ -71,77 +71,78 @@
 	return entries, err
 }
 
-// Evaluate runs a policy program for a time and place.
+// Evaluate runs a policy program for a model, a region and a time.
 func (c *Client) Evaluate(ctx context.Context, evaluation Evaluation) (EvaluationResult, error) {
 	var result EvaluationResult
 	err := c.call(ctx, http.MethodPost, "/v1/policies/evaluate", evaluation, &result, "evaluate policy")
 	return result, err
 }
 
-// Explain returns decisions about a subject, newest first.
+// Explain returns the recorded decisions about a subject, newest first.
 func (c *Client) Explain(ctx context.Context, kind, name string) ([]wire.Decision, error) {
 	var decisions []wire.Decision
 	err := c.call(ctx, http.MethodGet, "/v1/explain/"+kind+"/"+url.PathEscape(name), nil, &decisions, "explain")
 	return decisions, err
 }
 
-// Quarantine lists the requests under which runners ended, as the node knows them.
+// Quarantine returns the requests during which runners crashed, as far as the node
+// knows them.
 func (c *Client) Quarantine(ctx context.Context) ([]wire.PoisonStatus, error) {
 	var requests []wire.PoisonStatus
 	err := c.call(ctx, http.MethodGet, "/v1/quarantine", nil, &requests, "list quarantine")
 	return requests, err
 }
 
-// LiftQuarantine lets a request run again and returns what is still known of others.
+// LiftQuarantine allows a request to run again and returns the remaining entries.
 func (c *Client) LiftQuarantine(ctx context.Context, request string) ([]wire.PoisonStatus, error) {
 	var left []wire.PoisonStatus
 	err := c.call(ctx, http.MethodDelete, "/v1/quarantine/"+url.PathEscape(request), nil, &left, "lift quarantine")
 	return left, err
 }
 
-// Status describes the fleet.
+// Status returns the state of the fleet as the node sees it.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var status Status
 	err := c.call(ctx, http.MethodGet, "/v1/status", nil, &status, "status")
 	return status, err
 }
 
-// Runners describes runners, or one by name.
+// Runners returns the state of all runners, or of one if name is not empty.
 func (c *Client) Runners(ctx context.Context, name string) ([]wire.RunnerStatus, error) {
 	var runners []wire.RunnerStatus
 	err := c.call(ctx, http.MethodGet, "/v1/runners?name="+url.QueryEscape(name), nil, &runners, "list runners")
 	return runners, err
 }
 
-// ColdRunners describes runners that are cold, or one by name if it is.
+// ColdRunners is like Runners, but leaves out runners that are not cold.
 func (c *Client) ColdRunners(ctx context.Context, name string) ([]wire.RunnerStatus, error) {
 	var runners []wire.RunnerStatus
 	err := c.call(ctx, http.MethodGet, "/v1/runners?cold=true&name="+url.QueryEscape(name), nil, &runners, "list runners")
 	return runners, err
 }
 
-// Zones describes the zones, or one by name.
+// Zones returns the state of all zones, or of one if name is not empty.
 func (c *Client) Zones(ctx context.Context, name string) ([]wire.ZoneStatus, error) {
 	var zones []wire.ZoneStatus
 	err := c.call(ctx, http.MethodGet, "/v1/zones?name="+url.QueryEscape(name), nil, &zones, "list zones")
 	return zones, err
 }
 
-// Tenants describes the tenants in force.
+// Tenants returns the configured tenants with their limits and use.
 func (c *Client) Tenants(ctx context.Context) ([]TenantStatus, error) {
 	var tenants []TenantStatus
 	err := c.call(ctx, http.MethodGet, "/v1/tenants", nil, &tenants, "list tenants")
 	return tenants, err
 }
 
-// DrainProgress tells what is left of a planned stop.
+// DrainProgress returns the progress of a planned stop.
 func (c *Client) DrainProgress(ctx context.Context, name string) (Progress, error) {
 	var progress Progress
 	err := c.call(ctx, http.MethodGet, "/v1/drains/"+url.PathEscape(name), nil, &progress, "drain progress")
 	return progress, err
 }
 
-// Watch calls each for every log entry after a revision until ctx ends or each
+// Watch calls each for every log entry after a revision, until ctx ends or each
 // returns an error.
 func (c *Client) Watch(ctx context.Context, after uint64, each func(wire.Entry) error) error {
 	const step = "watch"
@@ -151,7 +152,7 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return transport(err, step, c.address)
+		return transportError(err, step, c.address)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
@@ -164,7 +165,7 @@
 		if err := json.Unmarshal(scanner.Bytes(), &entry); err != nil {
 			return fault.At(fault.CodeInternal, step, c.address, fault.Unknown, err)
 		}
-		if entry.Operation == "" {
+		if entry.Operation == "" { // a heartbeat
 			continue
 		}
 		if err := each(entry); err != nil {
@@ -189,7 +190,7 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return transport(err, step, c.address)
+		return transportError(err, step, c.address)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
@@ -201,7 +202,7 @@
 	return nil
 }
 
-func transport(err error, step, address string) error {
+func transportError(err error, step, address string) error {
 	failure := fault.Transport(err, step, address)
 	failure.Code = fault.CodeNotReady
 	return failure
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -11,7 +11,7 @@
 	"lilacvane/internal/wire"
 )
 
-// Subject is what a decision may be about.
+// Subject is the type of what a decision is about.
 type Subject string
 
 // The subjects.
@@ -20,28 +20,29 @@
 	SubjectReplica Subject = "replica"
 	SubjectRequest Subject = "request"
 	SubjectZone    Subject = "zone"
-	// SubjectContent is the content of requests, by the digits that logs show of it.
+	// SubjectContent is the content of requests, named by the digits of its digest
+	// that logs show.
 	SubjectContent Subject = "content"
 )
 
 var subjects = []Subject{SubjectModel, SubjectReplica, SubjectRequest, SubjectZone, SubjectContent}
 
-// runners answers with the runners, one by name, or those that are cold.
+// runners returns all runners, one by name, or only those that are cold.
 func (s *Server) runners(w http.ResponseWriter, r *http.Request) {
 	const step = "list runners"
 	cold, err := readFlag(r, "cold", step)
 	if err != nil {
-		s.fail(w, err, step)
+		s.writeError(w, err, step)
 		return
 	}
 	runners := s.backend.Runners(r.Context(), r.URL.Query().Get("name"))
 	if cold {
 		runners = slices.DeleteFunc(runners, func(runner wire.RunnerStatus) bool { return runner.ColdMs == 0 })
 	}
-	s.write(w, runners)
+	s.writeJSON(w, runners)
 }
 
-// readFlag reads a parameter that is true or false; false when it is not given.
+// readFlag parses a boolean query parameter; the default is false.
 func readFlag(r *http.Request, name, step string) (bool, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
@@ -54,21 +55,21 @@
 	return value, nil
 }
 
-// zones answers with the zones, or one by name.
+// zones returns all zones, or one by name.
 func (s *Server) zones(w http.ResponseWriter, r *http.Request) {
 	const step = "list zones"
 	zones := s.backend.Zones(r.Context())
 	name := r.URL.Query().Get("name")
 	if name == "" {
-		s.write(w, zones)
+		s.writeJSON(w, zones)
 		return
 	}
 	found, err := findZone(zones, place.Zone(name), step)
 	if err != nil {
-		s.fail(w, err, step)
+		s.writeError(w, err, step)
 		return
 	}
-	s.write(w, []wire.ZoneStatus{found})
+	s.writeJSON(w, []wire.ZoneStatus{found})
 }
 
 func findZone(zones []wire.ZoneStatus, name place.Zone, step string) (wire.ZoneStatus, error) {
@@ -80,21 +81,21 @@
 	return wire.ZoneStatus{}, fault.New(fault.CodeNotFound, step, "zone: no zone %q is known", name)
 }
 
-// lift lets a request run again, and answers with what is still known of others.
-func (s *Server) lift(w http.ResponseWriter, r *http.Request) {
+// liftQuarantine allows a request to run again and returns the remaining entries.
+func (s *Server) liftQuarantine(w http.ResponseWriter, r *http.Request) {
 	const step = "lift quarantine"
 	request, err := poison.ParseIdentity(r.PathValue("request"))
 	if err == nil {
 		err = s.backend.LiftQuarantine(r.Context(), request)
 	}
 	if err != nil {
-		s.fail(w, err, step)
+		s.writeError(w, err, step)
 		return
 	}
-	s.write(w, s.backend.Quarantine())
+	s.writeJSON(w, s.backend.Quarantine())
 }
 
-// explain answers with the decisions about a subject, newest first.
+// explain returns the recorded decisions about a subject, newest first.
 func (s *Server) explain(w http.ResponseWriter, r *http.Request) {
 	const (
 		step         = "explain"
@@ -102,19 +103,19 @@
 	)
 	subject, name := Subject(r.PathValue("kind")), r.PathValue("name")
 	if !slices.Contains(subjects, subject) {
-		s.fail(w, fault.New(fault.CodeInvalid, step, "kind: must be one of %v, not %q", subjects, subject), step)
+		s.writeError(w, fault.New(fault.CodeInvalid, step, "kind: must be one of %v, not %q", subjects, subject), step)
 		return
 	}
 	decisions := s.backend.Explain(r.Context(), string(subject)+"/"+name, explainLimit)
 	if len(decisions) > 0 {
-		s.write(w, decisions)
+		s.writeJSON(w, decisions)
 		return
 	}
 	if subject == SubjectZone {
 		if _, err := findZone(s.backend.Zones(r.Context()), place.Zone(name), step); err != nil {
-			s.fail(w, err, step)
+			s.writeError(w, err, step)
 			return
 		}
 	}
-	s.write(w, []wire.Decision{})
+	s.writeJSON(w, []wire.Decision{})
 }
--- a/internal/operator/fleet_test.go
+++ b/internal/operator/fleet_test.go
@@ -16,7 +16,7 @@
 	"lilacvane/internal/wire"
 )
 
-// zoneBackend knows two zones and two runners, one of them cold.
+// zoneBackend has two zones and two runners, one of them cold.
 type zoneBackend struct{ Backend }
 
 func (zoneBackend) Zones(context.Context) []wire.ZoneStatus {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-func answer(t *testing.T, path string) (int, string) {
+func get(t *testing.T, path string) (int, string) {
 	t.Helper()
 	s := New(zoneBackend{}, catalog.New(), "n1", http.NotFoundHandler())
 	recorder := httptest.NewRecorder()
@@ -42,7 +42,7 @@
 	return recorder.Code, recorder.Body.String()
 }
 
-// quarantineBackend knows one request under which runners ended.
+// quarantineBackend has one quarantined request.
 type quarantineBackend struct{ Backend }
 
 func (quarantineBackend) Quarantine() []wire.PoisonStatus {
@@ -56,7 +56,8 @@
 	return nil
 }
 
-// TestQuarantineCalls: what is not known or cannot be read is refused with the step.
+// TestQuarantineCalls checks the quarantine calls: unknown and malformed requests are
+// refused, and the error names the step.
 func TestQuarantineCalls(t *testing.T) {
 	s := New(quarantineBackend{}, catalog.New(), "n1", http.NotFoundHandler())
 	for _, test := range []struct {
@@ -76,13 +77,14 @@
 	}
 }
 
-// TestFleetCalls: zones, cold runners and decisions about zones are answered; what is not
-// known or cannot be read is refused with the field and the step.
+// TestFleetCalls checks the calls for zones, runners and decisions about zones. Unknown
+// names and malformed parameters are refused, and the error names the field and the
+// step.
 func TestFleetCalls(t *testing.T) {
 	for _, test := range []struct {
 		path   string
 		status int
-		// parts must all be in the answer, without must not.
+		// The answer must contain all parts and must not contain without.
 		parts   []string
 		without string
 	}{
@@ -99,7 +101,7 @@
 		{"/v1/explain/zone/c", http.StatusNotFound, []string{string(fault.CodeNotFound), `"explain"`, `zone: no zone \"c\"`}, ""},
 		{"/v1/explain/weather/c", http.StatusBadRequest, []string{string(fault.CodeInvalid), `"explain"`, "kind: must be one of"}, ""},
 	} {
-		status, body := answer(t, test.path)
+		status, body := get(t, test.path)
 		assert.Equal(t, status, test.status, "%s: %s", test.path, body)
 		for _, part := range test.parts {
 			assert.Assert(t, strings.Contains(body, part), "%s: %s", test.path, body)
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -1,6 +1,6 @@
-// Package operator is the operators' interface of a node: objects, history,
-// watch, policies, explanations, status, health and metrics over HTTP, and the
-// client the command line uses.
+// Package operator implements the operators' HTTP API of a node: objects, history,
+// watches, policies, explanations, status, health and metrics. It includes the
+// client that the command line uses.
 package operator
 
 import (
@@ -23,64 +23,70 @@
 )
 
 const (
-	maximumBody    = 4 << 20
-	headerTimeout  = 10 * time.Second
-	watchHeartbeat = 10 * time.Second
-	forceTimeout   = 5 * time.Second
-	watchPage      = 128
+	maximumBody       = 4 << 20
+	headerTimeout     = 10 * time.Second
+	heartbeatInterval = 10 * time.Second
+	forceTimeout      = 5 * time.Second
+	watchPageSize     = 128
 )
 
-// Backend is the node behind the interface.
+// Backend is the node that the API serves.
 type Backend interface {
-	// Commit commits an operation and takes it into force here.
+	// Commit commits an operation and applies it at this node.
 	Commit(ctx context.Context, operation commit.Operation) (commit.Result, error)
-	// Operation returns the result of an earlier operation.
+	// Operation returns the result of an earlier operation by its ID. It reports
+	// false if the operation is not known to have committed.
 	Operation(ctx context.Context, id string) (commit.Result, bool, error)
-	// Explain collects decisions about a subject from the nodes concerned.
+	// Explain collects recorded decisions about a subject from the nodes
+	// concerned.
 	Explain(ctx context.Context, subject string, limit int) []wire.Decision
-	// Status describes the fleet as this node sees it.
+	// Status returns the state of the fleet as this node sees it.
 	Status(ctx context.Context) Status
-	// Runners describes the runners, or one by name.
+	// Runners returns the state of all runners, or of one if name is not empty.
 	Runners(ctx context.Context, name string) []wire.RunnerStatus
-	// Zones describes the zones of which anything is known.
+	// Zones returns the state of all known zones.
 	Zones(ctx context.Context) []wire.ZoneStatus
-	// Tenants describes the tenants in force.
+	// Tenants returns the configured tenants with their limits and use.
 	Tenants(ctx context.Context) []TenantStatus
-	// Quarantine lists the requests under which runners ended, as this node knows them.
+	// Quarantine returns the requests during which runners crashed, as far as this node
+	// knows them.
 	Quarantine() []wire.PoisonStatus
-	// LiftQuarantine lets a request run again; its error is fault.CodeNotFound when nothing
-	// is known of it. It returns once that outlives the node.
+	// LiftQuarantine allows a request to run again. The error is fault.CodeNotFound if
+	// nothing is known of the request. It returns once the change would survive the
+	// loss of this node.
 	LiftQuarantine(ctx context.Context, request poison.Identity) error
-	// DrainProgress tells what is left of a planned stop.
+	// DrainProgress returns the progress of a planned stop.
 	DrainProgress(ctx context.Context, drain api.Drain) Progress
-	// Regions tells the region of each zone of the deployment.
+	// Regions returns the region of each zone of the deployment.
 	Regions() place.Map
-	// Ready returns nil when the node serves.
+	// Ready returns nil if the node can serve requests.
 	Ready() error
 }
 
-// Status describes the fleet as one node sees it.
+// Status is the state of the fleet as one node sees it.
 type Status struct {
 	Node  string `json:"node"`
 	Ready string `json:"ready"`
-	// Revision is that of the operators' objects, Configuration that of the
-	// platform's part.
+	// Revision is the revision of the operators' objects, Configuration that of
+	// the platform's part of the configuration.
 	Revision      uint64 `json:"revision"`
 	Configuration uint64 `json:"configuration"`
-	// Tables is where the node reads the store's tables: store, or the address of
-	// the node that relays them.
+	// Tables is the node's source of the store's tables: "store", or the address
+	// of the node that relays them.
 	Tables  string         `json:"tables"`
 	Members []wire.Member  `json:"members"`
 	Models  []ModelStatus  `json:"models"`
 	Waiting map[string]int `json:"waiting"`
-	// Stores are the weight stores as the holders of their services know them.
+	// Stores holds the state of the weight stores as the lease holders of their
+	// services see it.
 	Stores   []wire.StoreStatus `json:"weightStores"`
 	Policies []PolicyFailure    `json:"policyFailures"`
-	// Problems are objects in force that cannot be used.
+	// Problems lists committed objects that cannot be used, and why.
 	Problems []string `json:"problems"`
 }
 
-// ModelStatus is a model's decided, loaded and ready replicas.
+// ModelStatus holds the numbers of a model's replicas: the bound that operators
+// decided on, and how many are loaded and ready.
 type ModelStatus struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
@@ -90,8 +96,8 @@
 	Ready   int    `json:"ready"`
 }
 
-// TenantStatus is a tenant, its limit and its use. Rate, Burst, AskedPerSecond and Level
-// are in Unit; a Rate of zero is no limit.
+// TenantStatus describes a tenant, its limit and its use. Rate, Burst, AskedPerSecond and
+// Level are in Unit; a Rate of zero means no limit.
 type TenantStatus struct {
 	Name     string  `json:"name"`
 	Priority int     `json:"priority"`
@@ -99,22 +105,24 @@
 	Unit     string  `json:"unit"`
 	Rate     float64 `json:"rate"`
 	Burst    float64 `json:"burst"`
-	// AskedPerSecond is what is asked at all nodes, Lenders are the nodes that lend the
-	// limit to those without a part of their own.
+	// AskedPerSecond is the demand at all nodes together. Lenders are the nodes that lend
+	// from the limit to nodes without a share of their own.
 	AskedPerSecond float64  `json:"askedPerSecond"`
 	Lenders        []string `json:"lenders"`
-	// Part, 0 to 1, is the answering node's part of the limit, Level what it may spend.
+	// Part, 0 to 1, is the answering node's share of the limit; Level is the amount that
+	// it may spend now.
 	Part  float64 `json:"part"`
 	Level float64 `json:"level"`
 }
 
-// PolicyFailure tells why a policy does not run.
+// PolicyFailure names a policy that cannot be run, and the reason.
 type PolicyFailure struct {
 	Name   string `json:"name"`
 	Reason string `json:"reason"`
 }
 
-// Progress of a planned stop. It is finished when Finished is set.
+// Progress is the state of a planned stop: Running and Replicas are what is left,
+// Finished is set when nothing is.
 type Progress struct {
 	Target   api.DrainTarget `json:"target"`
 	Name     string          `json:"name"`
@@ -124,72 +132,73 @@
 	Finished bool            `json:"finished"`
 }
 
-// Submission is a set of objects to apply and keys to delete in one operation.
-// Generation in each object is the one the operator saw; 0: must not exist.
+// Submission is a set of objects to apply or delete in one operation. The Generation
+// of each object is the one that the operator saw; 0 means that the object must not
+// exist yet.
 type Submission struct {
 	Operation string       `json:"operation"`
 	Author    string       `json:"author"`
 	Apply     []api.Object `json:"apply,omitempty"`
 	Delete    []api.Object `json:"delete,omitempty"`
-	// DryRun checks without committing.
+	// DryRun validates the submission without committing it.
 	DryRun bool `json:"dryRun,omitempty"`
 }
 
-// Server is the operators' interface.
+// Server serves the operators' API.
 type Server struct {
 	backend Backend
 	catalog *catalog.Catalog
 	node    string
 	http    *httpserver.Server
-	// stopping ends with stop, and watches with it.
+	// stopping is canceled by stop; this ends all watches.
 	stopping context.Context
 	stop     context.CancelFunc
 }
 
-// New returns the interface; metrics answers GET /metrics.
+// New returns a server for a node; metrics handles GET /metrics.
 func New(backend Backend, c *catalog.Catalog, node string, metrics http.Handler) *Server {
 	s := &Server{backend: backend, catalog: c, node: node}
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", metrics)
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) })
-	mux.HandleFunc("GET /readyz", s.ready)
+	mux.HandleFunc("GET /readyz", s.readyz)
 	mux.HandleFunc("POST /v1/operations", s.submit)
 	mux.HandleFunc("GET /v1/operations/{id}", s.operation)
-	mux.HandleFunc("GET /v1/objects/{kind}", s.list)
-	mux.HandleFunc("GET /v1/objects/{kind}/{name}", s.get)
+	mux.HandleFunc("GET /v1/objects/{kind}", s.listObjects)
+	mux.HandleFunc("GET /v1/objects/{kind}/{name}", s.getObject)
 	mux.HandleFunc("GET /v1/history/{kind}", s.history)
 	mux.HandleFunc("GET /v1/history/{kind}/{name}", s.history)
 	mux.HandleFunc("GET /v1/watch", s.watch)
 	mux.HandleFunc("POST /v1/policies/evaluate", s.evaluate)
 	mux.HandleFunc("GET /v1/explain/{kind}/{name}", s.explain)
-	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, r *http.Request) { s.write(w, backend.Status(r.Context())) })
+	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, r *http.Request) { s.writeJSON(w, backend.Status(r.Context())) })
 	mux.HandleFunc("GET /v1/runners", s.runners)
 	mux.HandleFunc("GET /v1/zones", s.zones)
-	mux.HandleFunc("GET /v1/tenants", func(w http.ResponseWriter, r *http.Request) { s.write(w, backend.Tenants(r.Context())) })
-	mux.HandleFunc("GET /v1/quarantine", func(w http.ResponseWriter, _ *http.Request) { s.write(w, backend.Quarantine()) })
-	mux.HandleFunc("DELETE /v1/quarantine/{request}", s.lift)
-	mux.HandleFunc("GET /v1/drains/{name}", s.drain)
+	mux.HandleFunc("GET /v1/tenants", func(w http.ResponseWriter, r *http.Request) { s.writeJSON(w, backend.Tenants(r.Context())) })
+	mux.HandleFunc("GET /v1/quarantine", func(w http.ResponseWriter, _ *http.Request) { s.writeJSON(w, backend.Quarantine()) })
+	mux.HandleFunc("DELETE /v1/quarantine/{request}", s.liftQuarantine)
+	mux.HandleFunc("GET /v1/drains/{name}", s.drainProgress)
 	s.http = httpserver.New(&http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout})
 	s.stopping, s.stop = context.WithCancel(context.Background())
 	return s
 }
 
-// Serve answers operators on the listener until Shutdown.
+// Serve accepts calls on the listener until Shutdown is called.
 func (s *Server) Serve(listener net.Listener) error { return s.http.Serve(listener) }
 
-// Shutdown closes the listener, ends watches and waits for the other calls under way until
-// ctx ends: an operator whose change is being committed hears of it.
+// Shutdown closes the listener, ends all watches and waits for other calls in progress
+// until ctx ends, so that operators get the result of changes being committed.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.stop()
 	return s.http.Shutdown(ctx)
 }
 
-func (s *Server) write(w http.ResponseWriter, value any) {
+func (s *Server) writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-func (s *Server) fail(w http.ResponseWriter, err error, step string) {
+func (s *Server) writeError(w http.ResponseWriter, err error, step string) {
 	failure := *fault.From(err, step)
 	if failure.Peer == fault.Self {
 		failure.Peer = s.node
@@ -197,9 +206,9 @@
 	fault.Write(w, &failure)
 }
 
-func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) readyz(w http.ResponseWriter, _ *http.Request) {
 	if err := s.backend.Ready(); err != nil {
-		s.fail(w, err, "ready")
+		s.writeError(w, err, "ready")
 		return
 	}
 	_, _ = w.Write([]byte("ready\n"))
@@ -209,62 +218,62 @@
 	const step = "submit"
 	content, err := io.ReadAll(io.LimitReader(r.Body, maximumBody+1))
 	if err != nil || len(content) > maximumBody {
-		s.fail(w, fault.New(fault.CodeTooLarge, step, "body cannot be read or has more than %d bytes", maximumBody), step)
+		s.writeError(w, fault.New(fault.CodeTooLarge, step, "body cannot be read or has more than %d bytes", maximumBody), step)
 		return
 	}
 	var submission Submission
 	if err := json.Unmarshal(content, &submission); err != nil {
-		s.fail(w, fault.New(fault.CodeInvalid, step, "body: %v", err), step)
+		s.writeError(w, fault.New(fault.CodeInvalid, step, "body: %v", err), step)
 		return
 	}
-	operation, err := s.check(submission)
+	operation, err := s.toOperation(submission)
 	if err != nil {
-		s.fail(w, err, step)
+		s.writeError(w, err, step)
 		return
 	}
 	if submission.DryRun {
-		s.write(w, commit.Result{Operation: operation.ID})
+		s.writeJSON(w, commit.Result{Operation: operation.ID})
 		return
 	}
 	result, err := s.backend.Commit(r.Context(), operation)
 	if err != nil {
-		s.fail(w, err, step)
+		s.writeError(w, err, step)
 		return
 	}
-	s.write(w, result)
+	s.writeJSON(w, result)
 }
 
 func (s *Server) operation(w http.ResponseWriter, r *http.Request) {
 	const step = "find operation"
 	result, found, err := s.backend.Operation(r.Context(), r.PathValue("id"))
 	if err != nil {
-		s.fail(w, err, step)
+		s.writeError(w, err, step)
 		return
 	}
 	if !found {
-		s.fail(w, fault.New(fault.CodeNotFound, step, "operation %s has not committed", r.PathValue("id")), step)
+		s.writeError(w, fault.New(fault.CodeNotFound, step, "operation %s has not committed", r.PathValue("id")), step)
 		return
 	}
-	s.write(w, result)
+	s.writeJSON(w, result)
 }
 
-func (s *Server) list(w http.ResponseWriter, r *http.Request) {
+func (s *Server) listObjects(w http.ResponseWriter, r *http.Request) {
 	objects := s.catalog.List(api.Kind(r.PathValue("kind")))
 	if objects == nil {
 		objects = []api.Object{}
 	}
-	s.write(w, objects)
+	s.writeJSON(w, objects)
 }
 
-func (s *Server) get(w http.ResponseWriter, r *http.Request) {
+func (s *Server) getObject(w http.ResponseWriter, r *http.Request) {
 	const step = "get object"
 	object, found := s.catalog.Get(api.Kind(r.PathValue("kind")), r.PathValue("name"))
 	if !found {
-		s.fail(w, fault.New(fault.CodeNotFound, step, "no %s %s at revision %d", r.PathValue("kind"), r.PathValue("name"), s.catalog.Revision()), step)
+		s.writeError(w, fault.New(fault.CodeNotFound, step, "no %s %s at revision %d", r.PathValue("kind"), r.PathValue("name"), s.catalog.Revision()), step)
 		return
 	}
 	w.Header().Set("ETag", strconv.Quote(strconv.FormatUint(object.Generation, 10)))
-	s.write(w, object)
+	s.writeJSON(w, object)
 }
 
 func (s *Server) history(w http.ResponseWriter, r *http.Request) {
@@ -272,17 +281,17 @@
 	if entries == nil {
 		entries = []wire.Entry{}
 	}
-	s.write(w, entries)
+	s.writeJSON(w, entries)
 }
 
-// watch streams the log entries after a revision, one JSON line each, and a line
-// with the revision alone as heartbeat.
+// watch streams the log entries after a revision, one per line of JSON. Lines that
+// hold only a revision serve as heartbeats.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
 	after := s.catalog.Revision()
 	if text := r.URL.Query().Get("after"); text != "" {
 		revision, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
-			s.fail(w, fault.New(fault.CodeInvalid, "watch", "after must be a revision"), "watch")
+			s.writeError(w, fault.New(fault.CodeInvalid, "watch", "after must be a revision"), "watch")
 			return
 		}
 		after = revision
@@ -292,7 +301,7 @@
 	encoder := json.NewEncoder(w)
 	for {
 		changed := s.catalog.Changed()
-		entries, kept := s.catalog.Since(after, watchPage)
+		entries, kept := s.catalog.Since(after, watchPageSize)
 		if !kept {
 			_ = encoder.Encode(fault.ToBody(fault.New(fault.CodeNotFound, "watch", "entries after %d are no longer kept; read the objects", after)))
 			return
@@ -315,23 +324,23 @@
 		case <-s.stopping.Done():
 			return
 		case <-changed:
-		case <-time.After(watchHeartbeat):
+		case <-time.After(heartbeatInterval):
 			_ = encoder.Encode(wire.Entry{Revision: s.catalog.Revision()})
 		}
 	}
 }
 
-func (s *Server) drain(w http.ResponseWriter, r *http.Request) {
+func (s *Server) drainProgress(w http.ResponseWriter, r *http.Request) {
 	const step = "drain progress"
 	object, found := s.catalog.Get(api.KindDrain, r.PathValue("name"))
 	if !found {
-		s.fail(w, fault.New(fault.CodeNotFound, step, "no Drain %s", r.PathValue("name")), step)
+		s.writeError(w, fault.New(fault.CodeNotFound, step, "no Drain %s", r.PathValue("name")), step)
 		return
 	}
 	spec, err := api.Decode[api.Drain](object)
 	if err != nil {
-		s.fail(w, err, step)
+		s.writeError(w, err, step)
 		return
 	}
-	s.write(w, s.backend.DrainProgress(r.Context(), spec))
+	s.writeJSON(w, s.backend.DrainProgress(r.Context(), spec))
 }
