--- a/cmd/lilacvane/main.go
+++ b/cmd/lilacvane/main.go
@@ -15,16 +15,17 @@
 	"lilacvane/platform/protocol"
 )
 
-// Calls of the store come in bursts.
+// idleConnections is the number of connections to the store that are kept when idle, as
+// its calls come in bursts.
 const idleConnections = 2
 
 func main() {
-	connect := command.Connect{SettingsPath: platform.SettingsPath, Platform: connectPlatform}
-	os.Exit(command.Main(os.Args[1:], connect, os.Stdout, os.Stderr))
+	hooks := command.PlatformHooks{SettingsPath: platform.SettingsPath, Platform: newPlatform}
+	os.Exit(command.Main(os.Args[1:], hooks, os.Stdout, os.Stderr))
 }
 
-// connectPlatform joins the platform's adapter to a node's seams.
-func connectPlatform(s settings.Settings) node.Platform {
+// newPlatform returns the platform's implementations of a node's interfaces.
+func newPlatform(s settings.Settings) node.Platform {
 	links := &link.Record{}
 	pool := upstream.NewPool(platform.Headers)
 	pool.Links = links
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,5 +1,5 @@
-// Package command is the command line of lilacvane: the node and the operators'
-// tools.
+// Package command implements the command line of lilacvane: the command that runs a
+// node, and the operators' commands.
 package command
 
 import (
@@ -10,7 +10,7 @@
 	"lilacvane/internal/fault"
 )
 
-// The exit codes beside those that all programs share, for scripts.
+// Exit codes in addition to those that all programs share. Scripts rely on them.
 const (
 	ExitConflict    = 3
 	ExitNotFound    = 4
@@ -18,6 +18,7 @@
 	ExitUnknown     = 6
 )
 
+// commandLine holds the commands; kong derives their names from the fields.
 type commandLine struct {
 	Node       nodeCommand       `cmd:"" help:"Run a node."`
 	Config     configCommand     `cmd:"" help:"Work with settings files."`
@@ -36,24 +37,25 @@
 	Tenant     tenantCommand     `cmd:"" help:"Show tenants and their use; add, rotate and revoke their keys."`
 }
 
-// target is shared by the commands that call a node.
+// target holds the flags of all commands that call a node.
 type target struct {
 	Server string `help:"Operators' address (ip:port) of any node." env:"LILACVANE_SERVER" default:"127.0.0.1:7002"`
 	Output string `short:"o" enum:"table,json" default:"table" help:"Output form: table or json."`
 }
 
-// Main runs the command line and returns the exit code. connect joins the
-// platform's adapter to a node.
-func Main(arguments []string, connect Connect, out, errors io.Writer) int {
-	if len(arguments) > 0 && arguments[0] == nodeName {
-		connect.reload = listenReload()
+// Main runs the command line and returns the exit code. hooks connects nodes to the
+// platform.
+func Main(arguments []string, hooks PlatformHooks, out, errors io.Writer) int {
+	if len(arguments) > 0 && arguments[0] == nodeCommandName {
+		hooks.reload = notifyReload()
 	}
 	return commandline.Run(commandline.Program{
 		Name: "lilacvane", Description: "A serving system for rarely used models.", Commands: &commandLine{},
-		Bindings: []any{connect}, ExitCode: exitCode,
+		Bindings: []any{hooks}, ExitCode: exitCode,
 	}, arguments, commandline.Streams{Out: out, Errors: errors})
 }
 
+// exitCode maps a command's error to an exit code.
 func exitCode(err error) int {
 	var failure *fault.Error
 	if !errors.As(err, &failure) {
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -12,7 +12,7 @@
 	"lilacvane/internal/wire"
 )
 
-// zones shows the zones, or one by name.
+// zones prints all zones, or one by name.
 func (c *getCommand) zones(s commandline.Streams) error {
 	zones, err := c.client().Zones(context.Background(), c.Name)
 	if err != nil {
@@ -21,29 +21,29 @@
 	return c.print(s, zones, func(w io.Writer) {
 		fmt.Fprintln(w, "ZONE\tREGION\tSTATE\tSINCE\tREADY\tCOLD\tDRAINING\tNODES")
 		for _, zone := range zones {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\n", zone.Zone, orDash(string(zone.Region)), zone.State, sinceText(zone.Since),
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\n", zone.Zone, orDash(string(zone.Region)), zone.State, formatSince(zone.Since),
 				zone.Ready, zone.Cold, zone.Draining, zone.Nodes)
 		}
 	})
 }
 
-// runners shows the runners, one by name, or those that are cold.
+// runners prints all runners, one by name, or only those that are cold.
 func (c *getCommand) runners(s commandline.Streams) error {
-	ask := c.client().Runners
+	list := c.client().Runners
 	if c.Cold {
-		ask = c.client().ColdRunners
+		list = c.client().ColdRunners
 	}
-	runners, err := ask(context.Background(), c.Name)
+	runners, err := list(context.Background(), c.Name)
 	if err != nil {
 		return err
 	}
 	if len(runners) == 0 && c.Name != "" {
-		return fault.New(fault.CodeNotFound, "list runners", "name: no runner %q is known%s", c.Name, coldText(c.Cold))
+		return fault.New(fault.CodeNotFound, "list runners", "name: no runner %q is known%s", c.Name, coldSuffix(c.Cold))
 	}
 	return c.printRunners(s, runners)
 }
 
-func coldText(cold bool) string {
+func coldSuffix(cold bool) string {
 	if cold {
 		return " to be cold"
 	}
@@ -58,21 +58,21 @@
 			for _, unit := range runner.Units {
 				units = append(units, unit.Unit+":"+unit.State)
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%.0f\t%d\t%s\n", runner.Runner, runner.Service, runner.Zone, runner.State, coldFor(runner.ColdMs),
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%.0f\t%d\t%s\n", runner.Runner, runner.Service, runner.Zone, runner.State, formatCold(runner.ColdMs),
 				runner.Running, runner.FreeMB, runner.Sequence, strings.Join(units, " "))
 		}
 	})
 }
 
-// coldFor shows how much longer a runner stays cold.
-func coldFor(milliseconds int64) string {
+// formatCold formats the time that a runner stays cold; "-" for one that is not.
+func formatCold(milliseconds int64) string {
 	if milliseconds == 0 {
 		return "-"
 	}
 	return (time.Duration(milliseconds) * time.Millisecond).String()
 }
 
-func sinceText(since *time.Time) string {
+func formatSince(since *time.Time) string {
 	if since == nil {
 		return "-"
 	}
--- a/internal/command/node.go
+++ b/internal/command/node.go
@@ -13,26 +13,27 @@
 	"syscall"
 )
 
-// gcPercent trades processor time for memory, which is the tighter budget.
+// gcPercent makes the garbage collector run more often than by default, to trade CPU
+// time for memory, which is the scarcer resource.
 const gcPercent = 50
 
-// Connect joins a platform's adapter to a node.
-type Connect struct {
-	// SettingsPath returns where the platform lays a settings file; empty when
-	// it lays none.
+// PlatformHooks connects a node to the platform that it runs on.
+type PlatformHooks struct {
+	// SettingsPath returns the path of the settings file that the platform
+	// provides, or "" if it provides none.
 	SettingsPath func() string
-	// Platform returns the seams for a node with the settings.
+	// Platform returns the platform's implementations of a node's interfaces.
 	Platform func(settings.Settings) node.Platform
-	// reload gets a signal when a node's settings may have changed.
+	// reload receives a signal when the settings file may have changed.
 	reload <-chan os.Signal
 }
 
-// nodeName is the name of the command that runs a node.
-const nodeName = "node"
+// nodeCommandName is the name of the command that runs a node.
+const nodeCommandName = "node"
 
-// listenReload listens for the signal that settings may have changed. A node does so before
-// anything else, as the signal ends a process that does not listen yet.
-func listenReload() <-chan os.Signal {
+// notifyReload subscribes to SIGHUP, which asks a node to reload its settings. This must
+// happen before anything else, because the signal kills a process that has not subscribed.
+func notifyReload() <-chan os.Signal {
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	return reload
@@ -43,18 +44,18 @@
 	Settings string `help:"Settings file (YAML); by default where the platform lays it." env:"LILACVANE_SETTINGS"`
 }
 
-// Run runs the node until SIGINT or SIGTERM, then stops it without cutting off a
-// request. SIGHUP reads the settings file again.
-func (c *nodeCommand) Run(connect Connect) error {
+// Run runs the node until SIGINT or SIGTERM, then shuts it down gracefully, without
+// interrupting requests. SIGHUP reloads the settings file.
+func (c *nodeCommand) Run(hooks PlatformHooks) error {
 	path := c.Settings
 	if path == "" {
-		path = connect.SettingsPath()
+		path = hooks.SettingsPath()
 	}
-	read, unknown, err := node.ReadSettings(path)
+	parsed, unknown, err := node.ReadSettings(path)
 	if err != nil {
 		return err
 	}
-	log, err := logging.NewBounded(read.Log.Level, os.Stdout)
+	log, err := logging.NewBounded(parsed.Log.Level, os.Stdout)
 	if err != nil {
 		return err
 	}
@@ -66,11 +67,11 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	running, err := node.New(read, connect.Platform(read), log)
+	running, err := node.New(parsed, hooks.Platform(parsed), log)
 	if err != nil {
 		return err
 	}
-	return running.Run(ctx, connect.reload, path)
+	return running.Run(ctx, hooks.reload, path)
 }
 
 type configCommand struct {
@@ -81,10 +82,10 @@
 	File string `arg:"" help:"Settings file (YAML)."`
 }
 
-// Run checks the file. Unlike a running node, which passes over fields that it
-// does not know, it reports them as problems.
+// Run checks the file. Unknown fields are errors here, whereas a running node only
+// logs them.
 func (c *configCheckCommand) Run(streams commandline.Streams) error {
-	read, unknown, err := node.ReadSettings(c.File)
+	parsed, unknown, err := node.ReadSettings(c.File)
 	for _, field := range unknown {
 		fmt.Fprintf(streams.Errors, "unknown field: %s\n", field)
 	}
@@ -94,6 +95,6 @@
 	if len(unknown) > 0 {
 		return errUnknownFields
 	}
-	fmt.Fprintf(streams.Out, "%s is valid: node %s in zone %s, region %s\n", c.File, read.Node, read.Zone, read.Region)
+	fmt.Fprintf(streams.Out, "%s is valid: node %s in zone %s, region %s\n", c.File, parsed.Node, parsed.Zone, parsed.Region)
 	return nil
 }
--- a/internal/command/objects.go
+++ b/internal/command/objects.go
@@ -26,7 +26,7 @@
 
 func (t target) client() *operator.Client { return operator.NewClient(t.Server) }
 
-// print writes the value as JSON, or calls table on a tab writer.
+// print writes the value as JSON, or as a table by calling table with a tab writer.
 func (t target) print(s commandline.Streams, value any, table func(io.Writer)) error {
 	if t.Output == "json" {
 		encoder := json.NewEncoder(s.Out)
@@ -38,7 +38,7 @@
 	return writer.Flush()
 }
 
-// author names the operator in the history.
+// author returns the name that the history records for the operator.
 func author() string {
 	current, err := user.Current()
 	if err != nil {
@@ -54,8 +54,8 @@
 	DryRun    bool     `help:"Check only."`
 }
 
-// Run applies the objects of all files in one operation. An object without a
-// generation is applied over the one in force, as read just before.
+// Run applies the objects of all files in one operation. For an object without a
+// generation, it reads the current generation first.
 func (c *applyCommand) Run(s commandline.Streams) error {
 	ctx := context.Background()
 	submission := operator.Submission{Operation: operationID(c.Operation), Author: author(), DryRun: c.DryRun}
@@ -98,7 +98,7 @@
 	})
 }
 
-// readObjects reads the documents of a YAML or JSON file.
+// readObjects reads the objects in a YAML or JSON file, one per document.
 func readObjects(path string) ([]api.Object, error) {
 	const step = "read objects"
 	content, err := readFile(path)
@@ -140,6 +140,8 @@
 	return os.ReadFile(path)
 }
 
+// fillGeneration sets the generation of an object that has none to the current one, if
+// the object exists.
 func fillGeneration(ctx context.Context, client *operator.Client, object *api.Object) error {
 	if object.Generation != 0 {
 		return nil
@@ -159,7 +161,7 @@
 	Cold bool   `help:"Only runners that are cold."`
 }
 
-// Run shows objects, zones or runners.
+// Run prints objects, zones or runners.
 func (c *getCommand) Run(s commandline.Streams) error {
 	switch kind := singular(c.Kind); {
 	case kind == "runner":
@@ -198,7 +200,7 @@
 	return []api.Object{object}, err
 }
 
-// parseKind reads a kind without regard to case or a plural s.
+// parseKind parses a kind, ignoring case and a plural s.
 func parseKind(text string) (api.Kind, error) {
 	for _, kind := range api.Kinds {
 		if singular(text) == strings.ToLower(string(kind)) {
@@ -208,7 +210,7 @@
 	return "", fault.New(fault.CodeInvalid, stepArguments, "unknown kind %q", text)
 }
 
-// singular spells a kind in small letters and without a plural s.
+// singular returns a kind in lower case and without a plural s.
 func singular(kind string) string { return strings.TrimSuffix(strings.ToLower(kind), "s") }
 
 type deleteCommand struct {
@@ -244,7 +246,7 @@
 	Name string `arg:"" optional:"" help:"Name; all of the kind without one."`
 }
 
-// Run shows the history.
+// Run prints the history.
 func (c *historyCommand) Run(s commandline.Streams) error {
 	kind, err := parseKind(c.Kind)
 	if err != nil {
@@ -264,11 +266,11 @@
 
 func printEntry(w io.Writer, entry wire.Entry) {
 	for _, change := range entry.Changes {
-		what := string(change.Object.Spec)
+		detail := string(change.Object.Spec)
 		if change.Deleted {
-			what = "deleted"
+			detail = "deleted"
 		}
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s %s\n", entry.Revision, entry.Time.Format("2006-01-02T15:04:05Z07:00"), entry.Author, entry.Operation, change.Object.Key(), what)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s %s\n", entry.Revision, entry.Time.Format("2006-01-02T15:04:05Z07:00"), entry.Author, entry.Operation, change.Object.Key(), detail)
 	}
 }
 
@@ -277,7 +279,7 @@
 	After uint64 `help:"Revision after which to begin."`
 }
 
-// Run prints changes until interrupted.
+// Run prints changes until it is interrupted.
 func (c *watchCommand) Run(s commandline.Streams) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -295,7 +297,7 @@
 	ID string `arg:"" help:"Operation id."`
 }
 
-// Run asks for an operation's result.
+// Run prints the result of an operation.
 func (c *askCommand) Run(s commandline.Streams) error {
 	result, err := c.client().Operation(context.Background(), c.ID)
 	if err != nil {
--- a/internal/command/quarantine.go
+++ b/internal/command/quarantine.go
@@ -21,7 +21,7 @@
 	target
 }
 
-// Run shows the requests.
+// Run prints the quarantined requests.
 func (c *quarantineListCommand) Run(s commandline.Streams) error {
 	requests, err := c.client().Quarantine(context.Background())
 	if err != nil {
@@ -46,7 +46,7 @@
 	Request string `arg:"" help:"The request, or the digits that it begins with, as the list or logs show them."`
 }
 
-// Run lets a request run again.
+// Run allows a request to run again.
 func (c *quarantineLiftCommand) Run(s commandline.Streams) error {
 	ctx := context.Background()
 	request, err := c.find(ctx)
@@ -60,7 +60,7 @@
 	return c.print(s, left, func(w io.Writer) { fmt.Fprintf(w, "%s may run again\n", request) })
 }
 
-// find returns the one request that begins with the digits given.
+// find returns the only request that begins with the given digits.
 func (c *quarantineLiftCommand) find(ctx context.Context) (string, error) {
 	const step = "lift quarantine"
 	requests, err := c.client().Quarantine(ctx)
--- a/internal/command/questions.go
+++ b/internal/command/questions.go
@@ -23,7 +23,7 @@
 	File string `arg:"" help:"File with Policy objects."`
 }
 
-// Run checks policies.
+// Run validates the policies in a file.
 func (c *policyCheckCommand) Run(s commandline.Streams) error {
 	objects, err := readObjects(c.File)
 	if err != nil {
@@ -57,7 +57,7 @@
 	At       string `help:"Local time, such as 2026-12-07T07:40; now without it."`
 }
 
-// Run tries a policy.
+// Run evaluates a policy for a model, a region and a time.
 func (c *policyTryCommand) Run(s commandline.Streams) error {
 	ctx := context.Background()
 	object, err := c.client().Get(ctx, api.KindPolicy, c.Name)
@@ -90,9 +90,10 @@
 	Wait bool   `help:"Wait until it is finished."`
 }
 
+// drainName returns the name of the Drain object of a target.
 func drainName(what, name string) string { return what + "-" + name }
 
-// Run starts a drain.
+// Run starts a planned stop.
 func (c *drainStartCommand) Run(s commandline.Streams) error {
 	ctx := context.Background()
 	if api.DrainTarget(c.What) == api.DrainZone {
@@ -135,7 +136,7 @@
 	Name string `arg:"" help:"Its name."`
 }
 
-// Run shows the progress of a drain.
+// Run prints the progress of a planned stop.
 func (c *drainStatusCommand) Run(s commandline.Streams) error {
 	progress, err := c.client().DrainProgress(context.Background(), drainName(c.What, c.Name))
 	if err != nil {
@@ -150,7 +151,7 @@
 	Name string `arg:"" help:"Its name."`
 }
 
-// Run ends a drain.
+// Run ends a planned stop.
 func (c *drainEndCommand) Run(s commandline.Streams) error {
 	deletion := deleteCommand{target: c.target, Kind: string(api.KindDrain), Name: drainName(c.What, c.Name)}
 	return deletion.Run(s)
@@ -162,7 +163,7 @@
 	Name string `arg:"" help:"Model name, runner name, request id, content as logs show it, or zone name."`
 }
 
-// Run explains.
+// Run prints the recorded decisions about a subject.
 func (c *explainCommand) Run(s commandline.Streams) error {
 	decisions, err := c.client().Explain(context.Background(), c.Kind, c.Name)
 	if err != nil {
@@ -181,7 +182,7 @@
 
 type statusCommand struct{ target }
 
-// Run shows the fleet.
+// Run prints the state of the fleet.
 func (c *statusCommand) Run(s commandline.Streams) error {
 	status, err := c.client().Status(context.Background())
 	if err != nil {
@@ -195,11 +196,11 @@
 		}
 		for _, store := range status.Stores {
 			fmt.Fprintf(w, "\nweights of %s: %d loads from the store under way, at most %d at once (carries %s), %d models waited for that nothing loads yet\n",
-				store.Service, store.UnderWay, store.Limit, carried(store.Capacity), store.Planned)
+				store.Service, store.UnderWay, store.Limit, formatCapacity(store.Capacity), store.Planned)
 		}
 		fmt.Fprintln(w, "\nMODEL\tSERVICE\tWEIGHTS\tDECIDED\tLOADED\tREADY")
 		for _, model := range status.Models {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\n", model.Name, model.Service, model.Weights, decided(model.Decided), model.Loaded, model.Ready)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\n", model.Name, model.Service, model.Weights, formatReplicas(model.Decided), model.Loaded, model.Ready)
 		}
 		for _, problem := range status.Problems {
 			fmt.Fprintf(w, "\nnot usable: %s\n", problem)
@@ -215,7 +216,7 @@
 	Name string `arg:"" optional:"" help:"Name of a runner; all without one."`
 }
 
-// Run shows runners.
+// Run prints runners.
 func (c *runnersCommand) Run(s commandline.Streams) error {
 	runners, err := c.client().Runners(context.Background(), c.Name)
 	if err != nil {
@@ -224,16 +225,17 @@
 	return c.printRunners(s, runners)
 }
 
-// carried shows how many loads a weight store carries at full speed.
-func carried(capacity float64) string {
+// formatCapacity formats the number of concurrent loads that a weight store can serve at full
+// speed.
+func formatCapacity(capacity float64) string {
 	if capacity == 0 {
 		return "not known yet"
 	}
 	return strconv.FormatFloat(capacity, 'f', 1, 64)
 }
 
-// decided shows a bound on replicas.
-func decided(replicas int) string {
+// formatReplicas formats a bound on replicas.
+func formatReplicas(replicas int) string {
 	if replicas < 0 {
 		return "any"
 	}
--- a/internal/command/tenants.go
+++ b/internal/command/tenants.go
@@ -29,7 +29,7 @@
 	target
 }
 
-// Run shows the tenants.
+// Run prints the tenants.
 func (c *tenantListCommand) Run(s commandline.Streams) error {
 	tenants, err := c.client().Tenants(context.Background())
 	if err != nil {
@@ -38,26 +38,26 @@
 	return c.print(s, tenants, func(w io.Writer) {
 		fmt.Fprintln(w, "TENANT\tPRIORITY\tKEYS\tLIMIT\tASKED\tLENDERS")
 		for _, t := range tenants {
-			fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%.4g/s\t%s\n", t.Name, t.Priority, t.Keys, limitText(t), t.AskedPerSecond, strings.Join(t.Lenders, ", "))
+			fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%.4g/s\t%s\n", t.Name, t.Priority, t.Keys, formatLimit(t), t.AskedPerSecond, strings.Join(t.Lenders, ", "))
 		}
 	})
 }
 
-func limitText(t operator.TenantStatus) string {
+func formatLimit(t operator.TenantStatus) string {
 	if t.Rate == 0 {
 		return "none"
 	}
 	return fmt.Sprintf("%.4g %s/s + %.4g", t.Rate, t.Unit, t.Burst)
 }
 
-// keyTarget names the Tenant object whose keys are changed.
+// keyTarget holds the arguments of commands that change a Tenant object's keys.
 type keyTarget struct {
 	target
 	Name      string `arg:"" help:"Tenant."`
 	Operation string `help:"Operation id; the same id asked again gives the first result."`
 }
 
-// change applies a change of the tenant's keys over the object in force.
+// change reads the Tenant object, applies a change to it and submits it.
 func (k *keyTarget) change(s commandline.Streams, change func(*api.Tenant) error) error {
 	ctx := context.Background()
 	object, err := k.client().Get(ctx, api.KindTenant, k.Name)
@@ -79,8 +79,8 @@
 	return submit(ctx, k.target, s, operator.Submission{Operation: operationID(k.Operation), Author: author(), Apply: []api.Object{changed}})
 }
 
-// addKey draws a key, adds its digest to the object after another change of it, and prints
-// the key once it is in force.
+// addKey generates a key, adds its digest to the Tenant object and prints the key once
+// the change has committed. before is applied to the object first.
 func (k *keyTarget) addKey(s commandline.Streams, id string, before func(*api.Tenant) error) error {
 	if id == "" {
 		id = "key-" + time.Now().UTC().Format("20060102T150405")
@@ -115,7 +115,7 @@
 	ID string `help:"Name of the new key; without one it is named by the time."`
 }
 
-// Run adds a key and drops the oldest one.
+// Run adds a key and removes the oldest one.
 func (c *tenantRotateCommand) Run(s commandline.Streams) error {
 	return c.addKey(s, c.ID, func(spec *api.Tenant) error {
 		if len(spec.Keys) == 0 {
@@ -131,7 +131,7 @@
 	ID string `arg:"" help:"Name of the key."`
 }
 
-// Run takes a key away.
+// Run removes a key.
 func (c *tenantRevokeCommand) Run(s commandline.Streams) error {
 	return c.change(s, func(spec *api.Tenant) error {
 		before := len(spec.Keys)
