--- a/internal/commandline/commandline.go
+++ b/internal/commandline/commandline.go
@@ -8,14 +8,15 @@
 	"github.com/alecthomas/kong"
 )
 
-// The exit codes that all programs share.
+// Exit codes that all programs share.
 const (
 	ExitOK     = 0
 	ExitFailed = 1
 	ExitUsage  = 2
 )
 
-// Streams are where a command prints: results to Out, all else to Errors.
+// Streams holds a command's output streams: Out for results, Errors for everything
+// else.
 type Streams struct {
 	Out    io.Writer
 	Errors io.Writer
@@ -25,17 +26,17 @@
 type Program struct {
 	Name        string
 	Description string
-	// Commands points to a struct whose tagged fields are the commands; their Run
-	// methods take Streams and the values of Bindings.
+	// Commands points to a struct whose tagged fields are the commands. Their Run
+	// methods may take Streams and the values of Bindings as parameters.
 	Commands any
 	Bindings []any
-	// ExitCode turns a command's error into an exit code.
+	// ExitCode maps a command's error to an exit code.
 	ExitCode func(error) int
 }
 
-// Run runs the command that arguments name and returns the exit code: ExitUsage
-// for arguments that cannot be parsed, else ExitOK or what ExitCode says of the
-// command's error, which is printed to the error stream.
+// Run runs the command that the arguments select and returns the exit code: ExitUsage
+// if the arguments cannot be parsed, ExitOK on success, else the program's ExitCode
+// for the command's error. Errors are printed to the error stream.
 func Run(program Program, arguments []string, streams Streams) int {
 	exit := -1
 	options := []kong.Option{
