--- a/cmd/lilacvane-lab/main.go
+++ b/cmd/lilacvane-lab/main.go
@@ -1,5 +1,6 @@
-// Command lilacvane-lab is the world around lilacvane for tests and experiments:
-// emulated engines and platform, load, measurements.
+// Command lilacvane-lab emulates the environment of lilacvane for tests and
+// experiments: model engines and the platform. It generates load and takes
+// measurements.
 package main
 
 import (
