--- a/internal/commit/read.go
+++ b/internal/commit/read.go
@@ -27,8 +27,8 @@
 	trimInterval = trimBatch
 )
 
-// Copy is a node's copy of the configuration, which a Follower keeps up to date.
-type Copy interface {
+// Catalog is a node's copy of the configuration, which a Follower keeps up to date.
+type Catalog interface {
 	// Apply applies entries in revision order and returns how many were new.
 	Apply(entries []wire.Entry) int
 	// ApplySnapshot replaces the content with a snapshot and reports whether the
@@ -36,10 +36,9 @@
 	ApplySnapshot(revision uint64, objects []api.Object) bool
 }
 
-// Follower is a feed.Handler that updates a copy of the configuration from the
-// rows of the table.
+// Follower is a feed.Handler that updates a catalog from the rows of the table.
 type Follower struct {
-	Copy Copy
+	Copy Catalog
 	Log  logr.Logger
 }
 
