--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -61,7 +61,7 @@
 	Objective time.Duration
 	// PauseObjective is the latency objective between two events of a stream.
 	PauseObjective time.Duration
-	// Patience is the time after which clients of a stream disconnect if no
+	// ClientTimeout is the time after which clients of a stream disconnect if no
 	// event arrives, the first one included; zero if that is not known.
 	Patience time.Duration
 	// Priority orders the routes; 0 is served first.
