--- a/internal/config/compose.go
+++ b/internal/config/compose.go
@@ -82,13 +82,13 @@
 	problems []error
 }
 
-// decodeEach decodes objects and calls add for each of them. Errors are appended to
+// decodeEach decodes objects and calls addObject for each of them. Errors are appended to
 // the composer's problems.
-func decodeEach[T any](c *composer, objects []api.Object, add func(name string, spec T) error) {
+func decodeEach[T any](c *composer, objects []api.Object, addObject func(name string, spec T) error) {
 	for _, object := range objects {
 		spec, err := api.Decode[T](object)
 		if err == nil {
-			err = add(object.Name, spec)
+			err = addObject(object.Name, spec)
 		}
 		if err != nil {
 			c.problems = append(c.problems, err)
