--- a/internal/operator/fleet_test.go
+++ b/internal/operator/fleet_test.go
@@ -34,7 +34,7 @@
 	return nil
 }
 
-func get(t *testing.T, path string) (int, string) {
+func getPath(t *testing.T, path string) (int, string) {
 	t.Helper()
 	s := New(zoneBackend{}, catalog.New(), "n1", http.NotFoundHandler())
 	recorder := httptest.NewRecorder()
@@ -101,7 +101,7 @@
 		{"/v1/explain/zone/c", http.StatusNotFound, []string{string(fault.CodeNotFound), `"explain"`, `zone: no zone \"c\"`}, ""},
 		{"/v1/explain/weather/c", http.StatusBadRequest, []string{string(fault.CodeInvalid), `"explain"`, "kind: must be one of"}, ""},
 	} {
-		status, body := get(t, test.path)
+		status, body := getPath(t, test.path)
 		assert.Equal(t, status, test.status, "%s: %s", test.path, body)
 		for _, part := range test.parts {
 			assert.Assert(t, strings.Contains(body, part), "%s: %s", test.path, body)
