--- a/internal/commit/read.go
+++ b/internal/commit/read.go
@@ -21,8 +21,8 @@
 	// trimBatch is the number of log entries deleted in one transaction; each entry
 	// has two rows.
 	trimBatch = 40
-	// MaxLogEntries is the number of log entries that stay in the table.
-	MaxLogEntries = 10000
+	// MaximumLogEntries is the number of log entries that stay in the table.
+	MaximumLogEntries = 10000
 	// trimInterval is the number of revisions between two trims of the log.
 	trimInterval = trimBatch
 )
@@ -90,11 +90,11 @@
 	return entries
 }
 
-// Trim deletes the oldest log entries beyond MaxLogEntries and their operation
+// Trim deletes the oldest log entries beyond MaximumLogEntries and their operation
 // rows. It is called by the node that committed a revision; deleting a row twice
 // is harmless.
 func (c *Committer) Trim(ctx context.Context, head uint64) error {
-	if head <= MaxLogEntries || head%trimInterval != 0 {
+	if head <= MaximumLogEntries || head%trimInterval != 0 {
 		return nil
 	}
 	rows, err := c.table.List(ctx, prefixLog, "", trimBatch)
@@ -103,7 +103,7 @@
 	}
 	var transaction table.Transaction
 	for _, row := range rows {
-		if row.Key > logKey(head-MaxLogEntries) {
+		if row.Key > logKey(head-MaximumLogEntries) {
 			break
 		}
 		var entry wire.Entry
