--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -12,12 +12,12 @@
 	"lilacvane/internal/wire"
 )
 
-// MaxEntries is the number of log entries, the newest ones, that a node keeps for
+// MaximumEntries is the number of log entries, the newest ones, that a node keeps for
 // watches and histories.
-const MaxEntries = 4096
+const MaximumEntries = 4096
 
-// maxTotalBytes bounds the total size of the objects in the kept log entries.
-const maxTotalBytes = 1 << 20
+// maximumTotalBytes bounds the total size of the objects in the kept log entries.
+const maximumTotalBytes = 1 << 20
 
 // Catalog is safe for concurrent use. Its mutex guards every field; listeners
 // are called without holding it.
@@ -119,7 +119,7 @@
 	c.entries = append(c.entries, entry)
 	c.entryBytes += entry.Size()
 	dropped := 0
-	for len(c.entries)-dropped > MaxEntries || c.entryBytes > maxTotalBytes && len(c.entries)-dropped > 1 {
+	for len(c.entries)-dropped > MaximumEntries || c.entryBytes > maximumTotalBytes && len(c.entries)-dropped > 1 {
 		c.entryBytes -= c.entries[dropped].Size()
 		c.entries[dropped] = wire.Entry{}
 		dropped++
