--- a/internal/metrics/links.go
+++ b/internal/metrics/links.go
@@ -6,15 +6,15 @@
 	"lilacvane/internal/link"
 )
 
-// linkFigures tells the counts of connections.
-type linkFigures struct {
+// linkCollector exports the connection counters.
+type linkCollector struct {
 	links   *link.Record
 	dialed  *prometheus.Desc
 	dropped *prometheus.Desc
 }
 
-func newLinkFigures(links *link.Record) *linkFigures {
-	return &linkFigures{
+func newLinkCollector(links *link.Record) *linkCollector {
+	return &linkCollector{
 		links:  links,
 		dialed: prometheus.NewDesc("lilacvane_connections_total", "Connections made, by what they carry.", []string{"kind"}, nil),
 		dropped: prometheus.NewDesc("lilacvane_connections_dropped_total", "Connections dropped, by what they carried and why.",
@@ -22,20 +22,20 @@
 	}
 }
 
-// Describe tells which figures there are.
-func (f *linkFigures) Describe(descriptions chan<- *prometheus.Desc) {
-	descriptions <- f.dialed
-	descriptions <- f.dropped
+// Describe sends the descriptions of the metrics.
+func (m *linkCollector) Describe(descriptions chan<- *prometheus.Desc) {
+	descriptions <- m.dialed
+	descriptions <- m.dropped
 }
 
-// Collect tells the figures. Those of dropped connections that are zero are left out.
-func (f *linkFigures) Collect(metrics chan<- prometheus.Metric) {
-	f.links.Kinds(func(kind link.Kind, dialed uint64) {
-		metrics <- prometheus.MustNewConstMetric(f.dialed, prometheus.CounterValue, float64(dialed), kind.String())
+// Collect sends the metrics. It omits counters of dropped connections that are zero.
+func (m *linkCollector) Collect(metrics chan<- prometheus.Metric) {
+	m.links.Kinds(func(kind link.Kind, dialed uint64) {
+		metrics <- prometheus.MustNewConstMetric(m.dialed, prometheus.CounterValue, float64(dialed), kind.String())
 	})
-	f.links.Each(func(kind link.Kind, reason link.Reason, count uint64) {
+	m.links.Each(func(kind link.Kind, reason link.Reason, count uint64) {
 		if count > 0 {
-			metrics <- prometheus.MustNewConstMetric(f.dropped, prometheus.CounterValue, float64(count), kind.String(), reason.String())
+			metrics <- prometheus.MustNewConstMetric(m.dropped, prometheus.CounterValue, float64(count), kind.String(), reason.String())
 		}
 	})
 }
--- a/internal/metrics/runners.go
+++ b/internal/metrics/runners.go
@@ -9,8 +9,8 @@
 	"lilacvane/internal/place"
 )
 
-// The states in which listed runners are counted. Each runner counts once: one in a zone
-// that is taken out as zone_out, whatever else holds of it.
+// States of listed runners. Each runner counts once: in an evacuated zone it counts as zone_out,
+// whatever other state it is in.
 const (
 	runnersReady    = "ready"
 	runnersDraining = "draining"
@@ -18,36 +18,36 @@
 	runnersZoneOut  = "zone_out"
 )
 
-// quarantinedReason counts refusals as runners ended under the request's content.
+// quarantinedReason is the reason of requests refused because runners ended under the same content.
 const quarantinedReason = "quarantined"
 
-// otherReason counts refusals that no runner's state has to do with, such as unknown keys.
+// otherReason is the reason of refusals unrelated to the state of runners, such as unknown keys.
 const otherReason = "other"
 
-// runnerStates counts listed runners by state whenever figures are read.
-type runnerStates struct {
+// runnerCollector counts listed runners by state at each scrape.
+type runnerCollector struct {
 	count func() map[string]int
 	desc  *prometheus.Desc
 }
 
-func newRunnerStates(count func() map[string]int) *runnerStates {
-	return &runnerStates{
+func newRunnerCollector(count func() map[string]int) *runnerCollector {
+	return &runnerCollector{
 		count: count,
 		desc:  prometheus.NewDesc("lilacvane_runners_by_state", "Runners listed, by state; each counts once.", []string{"state"}, nil),
 	}
 }
 
-// Describe tells the figure's name and labels.
-func (s *runnerStates) Describe(descriptions chan<- *prometheus.Desc) { descriptions <- s.desc }
+// Describe sends the description of the metric.
+func (s *runnerCollector) Describe(descriptions chan<- *prometheus.Desc) { descriptions <- s.desc }
 
-// Collect counts the runners.
-func (s *runnerStates) Collect(metrics chan<- prometheus.Metric) {
+// Collect sends the number of runners in each state.
+func (s *runnerCollector) Collect(metrics chan<- prometheus.Metric) {
 	for state, runners := range s.count() {
 		metrics <- prometheus.MustNewConstMetric(s.desc, prometheus.GaugeValue, float64(runners), state)
 	}
 }
 
-// CountStates counts runners by state, given those of each zone and which zones are out.
+// CountStates counts runners by state, given the counts of each zone and which zones are out.
 func CountStates(zones map[place.Zone]fleet.Standing, out func(place.Zone) bool) map[string]int {
 	counts := map[string]int{runnersReady: 0, runnersDraining: 0, runnersCold: 0, runnersZoneOut: 0}
 	for zone, standing := range zones {
@@ -62,15 +62,15 @@
 	return counts
 }
 
-func newRefused() *prometheus.CounterVec {
+func newRefusalCounter() *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "lilacvane_requests_refused_total",
 		Help: "Requests refused, by what kept most of the runners that hold what they name; other: nothing of runners.",
 	}, []string{"reason"})
 }
 
-// refusalReason names why a request was refused; there are as many names as a fleet has
-// reasons, and one more.
+// refusalReason returns why a request was refused. The number of reasons is bounded: those of the
+// fleet, quarantined and other.
 func refusalReason(o dispatch.Outcome) string {
 	if o.Problem != nil && (o.Problem.Code == fault.CodeCrashSuspected || o.Problem.Code == fault.CodeCrashesRunners) {
 		return quarantinedReason
--- a/internal/metrics/runners_test.go
+++ b/internal/metrics/runners_test.go
@@ -12,20 +12,19 @@
 	"lilacvane/internal/place"
 )
 
-// TestRunnersCountOnceByState: the states add up to the runners, also with a zone taken out.
+// The states add up to the number of runners, even with a zone out.
 func TestRunnersCountOnceByState(t *testing.T) {
 	zones := map[place.Zone]fleet.Standing{"a": {Ready: 4, Cold: 2, Draining: 1}, "b": {Ready: 3, Cold: 1}}
 	counts := CountStates(zones, func(zone place.Zone) bool { return zone == "b" })
 	assert.DeepEqual(t, counts, map[string]int{"ready": 4, "cold": 2, "draining": 1, "zone_out": 4})
 	registry := prometheus.NewRegistry()
-	registry.MustRegister(newRunnerStates(func() map[string]int { return counts }))
+	registry.MustRegister(newRunnerCollector(func() map[string]int { return counts }))
 	families, err := registry.Gather()
 	assert.NilError(t, err)
 	assert.Equal(t, len(families[0].Metric), len(counts))
 }
 
-// TestRefusalsHaveBoundedReasons: a refusal counts by what kept the runners away, whatever
-// its route, model or tenant.
+// A refusal counts by what kept the runners from serving, whatever its route, model or tenant.
 func TestRefusalsHaveBoundedReasons(t *testing.T) {
 	refused := func(obstacles fleet.Obstacles) string {
 		return refusalReason(dispatch.Outcome{Unplaced: &dispatch.Unplaced{Obstacles: obstacles}})
--- a/internal/metrics/tenants.go
+++ b/internal/metrics/tenants.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// namedTenants is how many tenants have counters of their own; the others share one, so
-	// that metrics stay small however many tenants there are.
-	namedTenants = 64
-	otherTenants = "(others)"
+	// maxNamedTenants is the number of tenants with counters of their own. The others share one, so
+	// that the metrics stay small however many tenants there are.
+	maxNamedTenants = 64
+	otherTenants    = "(others)"
 )
 
-// tenantFigures counts requests and what they cost by tenant.
-type tenantFigures struct {
+// tenantMetrics counts requests and their cost by tenant.
+type tenantMetrics struct {
 	requests *prometheus.CounterVec
 	cost     *prometheus.CounterVec
 
@@ -26,8 +26,8 @@
 	named map[tenant.Name]bool
 }
 
-func newTenantFigures(registry *prometheus.Registry) *tenantFigures {
-	f := &tenantFigures{
+func newTenantMetrics(registry *prometheus.Registry) *tenantMetrics {
+	m := &tenantMetrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "lilacvane_tenant_requests_total", Help: "Requests by tenant and result; limited: over the tenant's limit.",
 		}, []string{"tenant", "result"}),
@@ -36,36 +36,36 @@
 		}, []string{"tenant"}),
 		named: make(map[tenant.Name]bool),
 	}
-	registry.MustRegister(f.requests, f.cost)
-	return f
+	registry.MustRegister(m.requests, m.cost)
+	return m
 }
 
 // resultLimited is the result of a request over its tenant's limit.
 const resultLimited = "limited"
 
-func (f *tenantFigures) observe(o dispatch.Outcome) {
+func (m *tenantMetrics) observe(o dispatch.Outcome) {
 	if o.Tenant == "" {
 		return
 	}
-	label := f.label(o.Tenant)
+	label := m.label(o.Tenant)
 	if o.Status == http.StatusTooManyRequests && o.Result == dispatch.ResultRefused {
-		f.requests.WithLabelValues(label, resultLimited).Inc()
+		m.requests.WithLabelValues(label, resultLimited).Inc()
 		return
 	}
-	f.requests.WithLabelValues(label, o.Result).Inc()
+	m.requests.WithLabelValues(label, o.Result).Inc()
 	if o.Charged {
-		f.cost.WithLabelValues(label).Add(o.Cost)
+		m.cost.WithLabelValues(label).Add(o.Cost)
 	}
 }
 
-// label is the tenant's name, or one for all beyond the first ones.
-func (f *tenantFigures) label(name tenant.Name) string {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	if !f.named[name] && len(f.named) < namedTenants {
-		f.named[name] = true
+// label returns the tenant's name, or a shared label once maxNamedTenants have their own.
+func (m *tenantMetrics) label(name tenant.Name) string {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if !m.named[name] && len(m.named) < maxNamedTenants {
+		m.named[name] = true
 	}
-	if f.named[name] {
+	if m.named[name] {
 		return string(name)
 	}
 	return otherTenants
--- a/internal/metrics/tenants_test.go
+++ b/internal/metrics/tenants_test.go
@@ -12,29 +12,28 @@
 	"lilacvane/internal/tenant"
 )
 
-// TestTenantFiguresStayBounded: tenants beyond the first share a counter.
-func TestTenantFiguresStayBounded(t *testing.T) {
+// Tenants beyond the first maxNamedTenants share a counter.
+func TestTenantMetricsStayBounded(t *testing.T) {
 	registry := prometheus.NewRegistry()
-	f := newTenantFigures(registry)
+	m := newTenantMetrics(registry)
 	for i := range 1000 {
-		f.observe(dispatch.Outcome{Tenant: tenant.Name(fmt.Sprintf("t%d", i)), Result: dispatch.ResultServed, Status: http.StatusOK, Cost: 2, Charged: true})
+		m.observe(dispatch.Outcome{Tenant: tenant.Name(fmt.Sprintf("t%d", i)), Result: dispatch.ResultServed, Status: http.StatusOK, Cost: 2, Charged: true})
 	}
-	f.observe(dispatch.Outcome{Result: dispatch.ResultServed})
+	m.observe(dispatch.Outcome{Result: dispatch.ResultServed})
 	families, err := registry.Gather()
 	assert.NilError(t, err)
 	for _, family := range families {
-		assert.Equal(t, len(family.Metric), namedTenants+1)
+		assert.Equal(t, len(family.Metric), maxNamedTenants+1)
 	}
 }
 
-// TestOnlyChargedCostIsCounted: a request that was not admitted adds nothing to its tenant's
-// cost, whatever it was answered with.
+// A request that was not admitted adds nothing to its tenant's cost, whatever its response.
 func TestOnlyChargedCostIsCounted(t *testing.T) {
 	registry := prometheus.NewRegistry()
-	f := newTenantFigures(registry)
-	f.observe(dispatch.Outcome{Tenant: "club", Result: dispatch.ResultServed, Status: http.StatusOK, Cost: 2, Charged: true})
-	f.observe(dispatch.Outcome{Tenant: "club", Result: dispatch.ResultRefused, Status: http.StatusServiceUnavailable, Cost: 5})
-	f.observe(dispatch.Outcome{Tenant: "club", Result: dispatch.ResultRefused, Status: http.StatusTooManyRequests, Cost: 7})
+	m := newTenantMetrics(registry)
+	m.observe(dispatch.Outcome{Tenant: "club", Result: dispatch.ResultServed, Status: http.StatusOK, Cost: 2, Charged: true})
+	m.observe(dispatch.Outcome{Tenant: "club", Result: dispatch.ResultRefused, Status: http.StatusServiceUnavailable, Cost: 5})
+	m.observe(dispatch.Outcome{Tenant: "club", Result: dispatch.ResultRefused, Status: http.StatusTooManyRequests, Cost: 7})
 	families, err := registry.Gather()
 	assert.NilError(t, err)
 	counted := -1.0
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -10,7 +10,7 @@
 )
 
 // newMetrics returns metrics that read from the node's components.
-func newMetrics(n *Node) *metrics.Figures {
+func newMetrics(n *Node) *metrics.Metrics {
 	return metrics.New(metrics.Sources{
 		Active:  func() int64 { return n.ingress.Active() },
 		Runners: n.fleet.Count, RunnersByState: n.runnersByState, Partial: func() bool { return !n.fleet.Whole() },
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -116,7 +116,7 @@
 	operator      *operator.Server
 	peers         *peer.Server
 	client        *peer.Client
-	metrics       *metrics.Figures
+	metrics       *metrics.Metrics
 	controls      *controls
 	limits        *limits
 	cold          *coldMonitor
