--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -1,6 +1,6 @@
-// Package httpserver stops HTTP servers without dropping requests that they have read. The
-// standard library's Shutdown closes a connection without an answer if its first request is
-// read after the call.
+// Package httpserver shuts down HTTP servers without dropping requests that they have read. The
+// standard library's Shutdown closes a connection without an answer if its first request is read
+// after the call.
 package httpserver
 
 import (
@@ -12,36 +12,36 @@
 )
 
 const (
-	// firstRequestLimit is how long Shutdown waits for the first requests of connections that
-	// were accepted before it: a client sends one as soon as its connection is up.
-	firstRequestLimit = 500 * time.Millisecond
-	// pollInterval is the time between two looks whether they have come.
+	// firstRequestTimeout is how long Shutdown waits for the first requests of connections that
+	// were accepted before it. A client sends one as soon as its connection is established.
+	firstRequestTimeout = 500 * time.Millisecond
+	// pollInterval is the time between two checks for first requests.
 	pollInterval = 5 * time.Millisecond
 )
 
-// Server is an HTTP server. Its methods may be called concurrently.
+// Server is an HTTP server. It is safe for concurrent use.
 type Server struct {
 	http *http.Server
 
 	mutex    sync.Mutex
 	listener net.Listener
-	// served is closed once nothing is accepted any more.
+	// served is closed once no more connections are accepted.
 	served   chan struct{}
 	stopping bool
-	// unread are the connections whose newest request has not reached the handler, or that have
-	// sent none yet.
+	// unread holds the connections whose newest request has not reached the handler, or that have
+	// not sent one yet.
 	unread map[net.Conn]bool
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// New takes over a server that has a handler. It is not to be used by itself any more.
+// New wraps a server that has a handler. The caller must not use the wrapped server any more.
 func New(server *http.Server) *Server {
 	s := &Server{http: server, served: make(chan struct{}), unread: make(map[net.Conn]bool)}
 	handler, connContext := server.Handler, server.ConnContext
 	server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if conn, ok := r.Context().Value(connKey{}).(net.Conn); ok && s.begin(conn) {
+		if conn, ok := r.Context().Value(connKey{}).(net.Conn); ok && s.markRead(conn) {
 			w.Header().Set("Connection", "close")
 		}
 		handler.ServeHTTP(w, r)
@@ -52,21 +52,21 @@
 		}
 		return context.WithValue(ctx, connKey{}, conn)
 	}
-	server.ConnState = s.follow
+	server.ConnState = s.trackState
 	return s
 }
 
-// begin notes that a request of the connection has reached the handler, and reports whether its
-// answer is the last one there.
-func (s *Server) begin(conn net.Conn) (last bool) {
+// markRead records that a request of the connection has reached the handler. It reports whether its
+// answer is the last one on the connection.
+func (s *Server) markRead(conn net.Conn) (last bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.unread, conn)
 	return s.stopping
 }
 
-// follow is told of the states of connections.
-func (s *Server) follow(conn net.Conn, state http.ConnState) {
+// trackState updates the unread connections when the state of one changes.
+func (s *Server) trackState(conn net.Conn, state http.ConnState) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	switch state {
@@ -77,11 +77,11 @@
 	}
 }
 
-// ServeHTTP hands a request to the handler.
+// ServeHTTP passes a request to the handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.http.Handler.ServeHTTP(w, r) }
 
-// Serve answers requests from the listener until Shutdown or Close, after which it returns
-// http.ErrServerClosed. It is called once.
+// Serve serves requests from the listener until Shutdown or Close, and then returns
+// http.ErrServerClosed. It must be called once only.
 func (s *Server) Serve(listener net.Listener) error {
 	s.mutex.Lock()
 	s.listener = listener
@@ -101,16 +101,16 @@
 	return err
 }
 
-// Shutdown closes the listener, then answers what comes first on the connections that were
-// accepted before, for firstRequestLimit, and waits for the requests under way until ctx ends.
-// Its error is that of ctx.
+// Shutdown closes the listener, waits up to firstRequestTimeout for the first requests of
+// connections that were accepted before, and then for active requests until ctx ends, in which case
+// it returns the error of ctx.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.mutex.Lock()
 	s.stopping = true
 	listener := s.listener
 	s.mutex.Unlock()
 	if listener != nil {
-		// An error says that it is closed already.
+		// An error means that it is closed already.
 		_ = listener.Close()
 		s.awaitFirstRequests(ctx)
 	}
@@ -118,9 +118,9 @@
 }
 
 // awaitFirstRequests waits until a request was read from each connection, at most for
-// firstRequestLimit.
+// firstRequestTimeout.
 func (s *Server) awaitFirstRequests(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, firstRequestLimit)
+	ctx, cancel := context.WithTimeout(ctx, firstRequestTimeout)
 	defer cancel()
 	select {
 	case <-s.served:
@@ -143,5 +143,5 @@
 	return len(s.unread)
 }
 
-// Close ends the server and its connections at once.
+// Close closes the listener and all connections immediately.
 func (s *Server) Close() error { return s.http.Close() }
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -14,8 +14,9 @@
 	"gotest.tools/v3/poll"
 )
 
-// serve starts a server that answers with the path, and returns what its Serve returns.
-func serve(t *testing.T) (s *Server, address string, ended <-chan error) {
+// startServer starts a server that answers with the request path. ended receives the result of
+// Serve.
+func startServer(t *testing.T) (s *Server, address string, ended <-chan error) {
 	t.Helper()
 	s = New(&http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, r.URL.Path)
@@ -28,7 +29,7 @@
 	return s, listener.Addr().String(), result
 }
 
-// dial connects and waits until the server has accepted.
+// dial connects and waits until the server has accepted the connection.
 func dial(t *testing.T, s *Server, address string) net.Conn {
 	t.Helper()
 	before := s.unreadCount()
@@ -39,13 +40,13 @@
 		if s.unreadCount() > before {
 			return poll.Success()
 		}
-		return poll.Continue("not accepted")
+		return poll.Continue("connection not accepted yet")
 	}, poll.WithDelay(time.Millisecond))
 	return conn
 }
 
-// ask sends a request and returns its answer's body.
-func ask(conn net.Conn, path string) (body string, closes bool, err error) {
+// get sends a request and returns the body of the response.
+func get(conn net.Conn, path string) (body string, closes bool, err error) {
 	if _, err := io.WriteString(conn, "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
 		return "", false, err
 	}
@@ -58,15 +59,15 @@
 	return string(content), response.Close, err
 }
 
-// TestFirstRequestAfterShutdownIsAnswered: a request on a connection that was accepted before the
-// stop was read and its connection closed without an answer.
+// A request on a connection that was accepted before the shutdown was read, but its connection was
+// closed without an answer.
 func TestFirstRequestAfterShutdownIsAnswered(t *testing.T) {
-	s, address, ended := serve(t)
+	s, address, ended := startServer(t)
 	conn := dial(t, s, address)
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.Shutdown(t.Context()) }()
 	assert.Assert(t, errors.Is(<-ended, http.ErrServerClosed))
-	body, closes, err := ask(conn, "/first")
+	body, closes, err := get(conn, "/first")
 	assert.NilError(t, err)
 	assert.Equal(t, body, "/first")
 	assert.Assert(t, closes)
@@ -75,19 +76,19 @@
 	assert.Assert(t, err != nil)
 }
 
-// TestSilentConnectionsHoldUpNoShutdown: one that sends nothing is waited for, for a bounded time.
-func TestSilentConnectionsHoldUpNoShutdown(t *testing.T) {
-	s, address, _ := serve(t)
+// Shutdown waits only for a bounded time for a connection that sends nothing.
+func TestSilentConnectionDoesNotBlockShutdown(t *testing.T) {
+	s, address, _ := startServer(t)
 	dial(t, s, address)
 	kept := dial(t, s, address)
-	_, _, err := ask(kept, "/kept")
+	_, _, err := get(kept, "/kept")
 	assert.NilError(t, err)
-	ctx, cancel := context.WithTimeout(t.Context(), firstRequestLimit/5)
+	ctx, cancel := context.WithTimeout(t.Context(), firstRequestTimeout/5)
 	defer cancel()
 	assert.Assert(t, errors.Is(s.Shutdown(ctx), context.DeadlineExceeded))
 }
 
-// TestShutdownBeforeServe: nothing is accepted.
+// Serve after Shutdown accepts no connections.
 func TestShutdownBeforeServe(t *testing.T) {
 	s := New(&http.Server{Handler: http.NotFoundHandler()})
 	assert.NilError(t, s.Shutdown(t.Context()))
