--- a/internal/ingress/connection.go
+++ b/internal/ingress/connection.go
@@ -7,15 +7,15 @@
 	"sync/atomic"
 )
 
-// connection is a client's connection that keeps why it could not be read any more, which
-// the HTTP library does not tell: a request whose context ended lost its client to a close
-// of the client's, to a reset, or to a close of this node's own.
+// connection is a client's connection that remembers why reading from it failed, which the HTTP
+// library does not report. When the context of a request ends, this tells whether the client closed
+// the connection, it was reset, or this node closed it.
 type connection struct {
 	net.Conn
 	failure atomic.Pointer[error]
 }
 
-// Read reads what the client sent.
+// Read reads from the connection and keeps the first error other than a timeout.
 func (c *connection) Read(buffer []byte) (int, error) {
 	count, err := c.Conn.Read(buffer)
 	var timeout net.Error
@@ -25,10 +25,10 @@
 	return count, err
 }
 
-// listener wraps the connections that it takes.
+// listener wraps the connections that it accepts.
 type listener struct{ net.Listener }
 
-// Accept takes a connection.
+// Accept accepts and wraps a connection.
 func (l listener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -37,43 +37,44 @@
 	return &connection{Conn: conn}, nil
 }
 
-// leftError is the end of a request whose client is gone. It is context.Canceled.
-type leftError struct{ cause error }
+// disconnectError is the cancellation cause of a request whose client disconnected. It matches
+// context.Canceled.
+type disconnectError struct{ cause error }
 
-// Error says how the connection ended.
-func (e *leftError) Error() string {
+// Error describes how the connection ended.
+func (e *disconnectError) Error() string {
 	if e.cause == nil {
 		return "the client left"
 	}
 	return "the client's connection ended: " + e.cause.Error()
 }
 
-// Is reports that the request was canceled.
-func (e *leftError) Is(target error) bool { return target == context.Canceled }
+// Is makes the error match context.Canceled.
+func (e *disconnectError) Is(target error) bool { return target == context.Canceled }
 
-// Unwrap returns what ended the connection.
-func (e *leftError) Unwrap() error { return e.cause }
+// Unwrap returns the error that ended the connection.
+func (e *disconnectError) Unwrap() error { return e.cause }
 
-// connectionKey is the key of a request's connection in its context.
+// connectionKey is the context key of a request's connection.
 type connectionKey struct{}
 
-// withConnection keeps a connection in the context of its requests.
+// withConnection stores a connection in the context of its requests.
 func withConnection(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, conn)
 }
 
-// whileConnected returns a request's context that ends with the reason once its client is
-// gone. release must be called when the request has ended.
-func whileConnected(request context.Context) (ctx context.Context, release func()) {
+// withDisconnectCause returns a request context whose cancellation cause tells how the client
+// disconnected. release must be called when the request has ended.
+func withDisconnectCause(request context.Context) (ctx context.Context, release func()) {
 	ctx, cancel := context.WithCancelCause(context.WithoutCancel(request))
 	stop := context.AfterFunc(request, func() {
-		left := &leftError{}
+		disconnected := &disconnectError{}
 		if conn, ok := request.Value(connectionKey{}).(*connection); ok {
 			if failure := conn.failure.Load(); failure != nil {
-				left.cause = *failure
+				disconnected.cause = *failure
 			}
 		}
-		cancel(left)
+		cancel(disconnected)
 	})
 	return ctx, func() {
 		stop()
--- a/internal/ingress/connection_test.go
+++ b/internal/ingress/connection_test.go
@@ -12,12 +12,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestEndOfAClientIsTold: a request whose client closes its connection, and one whose
-// connection this node closes, end for reasons that tell them apart; both are cancellations.
-func TestEndOfAClientIsTold(t *testing.T) {
+// Requests whose client or whose node closes the connection end with causes that tell them apart.
+// Both match context.Canceled.
+func TestDisconnectCauseIsReported(t *testing.T) {
 	begun, reasons := make(chan struct{}), make(chan error)
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		ctx, release := whileConnected(r.Context())
+		ctx, release := withDisconnectCause(r.Context())
 		defer release()
 		begun <- struct{}{}
 		<-ctx.Done()
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -1,5 +1,5 @@
-// Package ingress is the HTTP surface for clients of services: it reads requests,
-// hands them to the dispatcher and tells the entry whether this node is ready.
+// Package ingress is the HTTP server for clients of services. It reads requests and passes them to
+// the dispatcher.
 package ingress
 
 import (
@@ -27,7 +27,7 @@
 	defaultBodyBytes     = 8 << 20
 )
 
-// Server takes requests of clients.
+// Server serves client requests.
 type Server struct {
 	names         upstream.Names
 	dispatcher    *dispatch.Dispatcher
@@ -49,7 +49,7 @@
 	return s
 }
 
-// Serve takes requests from the listener until Shutdown.
+// Serve serves requests from the listener until Shutdown.
 func (s *Server) Serve(l net.Listener) error {
 	err := s.http.Serve(listener{l})
 	if errors.Is(err, http.ErrServerClosed) {
@@ -58,19 +58,20 @@
 	return err
 }
 
-// Stop lets answers say that their connection closes. Requests are still taken.
-func (s *Server) Stop() { s.stopping.Store(true) }
+// DisableKeepAlives makes responses announce that their connection closes. Requests are still
+// accepted.
+func (s *Server) DisableKeepAlives() { s.stopping.Store(true) }
 
-// Shutdown stops taking connections, and waits for the first requests of new ones and those under
-// way until ctx ends; then it cuts them off.
+// Shutdown stops accepting connections, waits for first requests on new ones and for active
+// requests until ctx ends, and then aborts the rest.
 func (s *Server) Shutdown(ctx context.Context) {
 	if err := s.http.Shutdown(ctx); err != nil {
-		s.log.Info("requests cut off at the end of the stop", "active", s.active.Load())
+		s.log.Info("requests aborted at end of shutdown", "active", s.active.Load())
 		_ = s.http.Close()
 	}
 }
 
-// Active returns how many requests are under way.
+// Active returns the number of active requests.
 func (s *Server) Active() int64 { return s.active.Load() }
 
 // ServeHTTP serves one request.
@@ -85,7 +86,7 @@
 		s.reject(w, fault.From(err, "read request"))
 		return
 	}
-	ctx, release := whileConnected(r.Context())
+	ctx, release := withDisconnectCause(r.Context())
 	defer release()
 	outcome := s.dispatcher.Serve(ctx, w, request)
 	if outcome.Broken() || outcome.Result == dispatch.ResultCanceled {
@@ -96,13 +97,13 @@
 // read reads a whole request.
 func (s *Server) read(w http.ResponseWriter, r *http.Request) (*dispatch.Request, error) {
 	request := &dispatch.Request{
-		ID: r.Header.Get(s.names.RequestID), Method: r.Method, Target: r.RequestURI, Path: r.URL.EscapedPath(), Host: hostOf(r.Host),
+		ID: r.Header.Get(s.names.RequestID), Method: r.Method, Target: r.RequestURI, Path: r.URL.EscapedPath(), Host: hostname(r.Host),
 		Arrived: time.Now(),
 	}
 	if request.ID == "" {
 		return nil, fault.New(fault.CodeInvalid, "read request", "header %s is missing", s.names.RequestID)
 	}
-	if err := parseModel(r.Header, s.names, request); err != nil {
+	if err := parseHeaders(r.Header, s.names, request); err != nil {
 		return nil, err
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.bodyLimit()))
@@ -138,8 +139,8 @@
 	http.Error(w, problem.Error(), fault.Status(problem.Code))
 }
 
-// hostOf drops a port from a Host header.
-func hostOf(host string) string {
+// hostname strips the port from a Host header.
+func hostname(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		return name
 	}
--- a/internal/ingress/parse.go
+++ b/internal/ingress/parse.go
@@ -15,17 +15,17 @@
 
 const (
 	stepParse = "parse request"
-	// maximumParts bounds the parts of a prompt that are looked at.
-	maximumParts = 64
-	// maximumPatience bounds the time a client may ask to wait.
-	maximumPatience = 24 * time.Hour
+	// maximumPromptParts bounds the parsed parts of a prompt.
+	maximumPromptParts = 64
+	// maximumDeadline bounds the time that a client may ask to wait.
+	maximumDeadline = 24 * time.Hour
 )
 
-// parseModel reads the headers that describe a request to the dispatcher.
-func parseModel(header http.Header, names upstream.Names, request *dispatch.Request) error {
+// parseHeaders reads the headers that describe a request to the dispatcher.
+func parseHeaders(header http.Header, names upstream.Names, request *dispatch.Request) error {
 	if text := header.Get(names.Deadline); text != "" {
 		milliseconds, err := strconv.ParseInt(text, 10, 64)
-		if err != nil || milliseconds < 0 || milliseconds > maximumPatience.Milliseconds() {
+		if err != nil || milliseconds < 0 || milliseconds > maximumDeadline.Milliseconds() {
 			return fault.New(fault.CodeInvalid, stepParse, "header %s: not a number of milliseconds", names.Deadline)
 		}
 		request.Patience = time.Duration(milliseconds) * time.Millisecond
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// parseKey reads "SCHEME KEY". It returns nothing for what is not of that form, and for
-// several values, of which none can be told to be the caller's.
+// parseKey parses "SCHEME KEY". It returns an empty key for any other form, and for several values,
+// as it is unknown which of them is the caller's.
 func parseKey(values []string, scheme string) string {
 	if len(values) != 1 {
 		return ""
@@ -51,11 +51,11 @@
 	return strings.TrimSpace(key)
 }
 
-// maximumTokens bounds each count of tokens, so that sums of them stay exact.
+// maximumTokens bounds each token count, so that sums of counts are exact.
 const maximumTokens = 1 << 40
 
-// parseTokens reads "IN,OUT". Sizes that cannot be read count as zero where they only
-// guide placement; the runner judges the header itself.
+// parseTokens parses "IN,OUT". Unreadable counts become zero where they only guide placement; the
+// runner validates the header itself.
 func parseTokens(values []string) (in, out int, counts dispatch.Counts) {
 	if len(values) == 0 {
 		return 0, 0, dispatch.CountsAbsent
@@ -72,8 +72,7 @@
 	return min(max(in, 0), maximumTokens), min(max(out, 0), maximumTokens), counts
 }
 
-// parsePrompt reads "ID:TOKENS,ID:TOKENS". It stops at the first part that it
-// cannot read.
+// parsePrompt parses "ID:TOKENS,ID:TOKENS". It stops at the first part that it cannot parse.
 func parsePrompt(text string) []fleet.Part {
 	if text == "" {
 		return nil
@@ -82,7 +81,7 @@
 	for field := range strings.SplitSeq(text, ",") {
 		id, size, ok := strings.Cut(strings.TrimSpace(field), ":")
 		tokens, err := strconv.Atoi(size)
-		if !ok || err != nil || tokens < 0 || len(parts) == maximumParts {
+		if !ok || err != nil || tokens < 0 || len(parts) == maximumPromptParts {
 			break
 		}
 		parts = append(parts, fleet.Part{ID: id, Tokens: tokens})
--- a/internal/ingress/parse_test.go
+++ b/internal/ingress/parse_test.go
@@ -9,7 +9,7 @@
 	"lilacvane/internal/dispatch"
 )
 
-// TestKeysAreRead: one value of the scheme and a key; anything else is no key.
+// Only a single value with the scheme and a key is a key.
 func TestKeysAreRead(t *testing.T) {
 	for _, test := range []struct {
 		values []string
@@ -32,7 +32,7 @@
 	}
 }
 
-// TestTokenCountsAreRead: two counts within bounds; others are told apart from none.
+// Two counts within bounds are given; anything else is unreadable, which differs from absent.
 func TestTokenCountsAreRead(t *testing.T) {
 	for _, test := range []struct {
 		values []string
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -67,7 +67,7 @@
 func (n *Node) stop(limits settings.Stop) {
 	start := time.Now()
 	n.stopping.Store(true)
-	n.ingress.Stop()
+	n.ingress.DisableKeepAlives()
 	n.log.Info("node stopping", "active", n.ingress.Active(), "graceMs", limits.Grace.Milliseconds())
 	n.releaseLeases()
 	time.Sleep(limits.Notice - time.Since(start))
