--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -11,36 +11,37 @@
 	"lilacvane/internal/fault"
 )
 
-// writeTimeout bounds how long a caller may take to read one part of an answer.
+// writeTimeout bounds the time a caller may take to read one part of a response.
 const writeTimeout = 30 * time.Second
 
-// timings tells a caller where the time of its request went, in milliseconds
-// since arrival; -1 for steps that were not reached.
+// timings tells a caller where the time of its request was spent, in milliseconds since arrival, or
+// -1 for steps that were not reached.
 type timings struct {
 	PlacedMs int64 `json:"placedMs"`
 	FirstMs  int64 `json:"firstMs"`
 	DoneMs   int64 `json:"doneMs"`
-	// Cold is set when no runner was ready for the request.
+	// Cold is set if no runner was ready for the request.
 	Cold    bool   `json:"cold"`
 	Runner  string `json:"runner"`
 	Tries   int    `json:"tries"`
 	Resumes int    `json:"resumes"`
 }
 
-func timingsOf(o *dispatch.Outcome) timings {
+func newTimings(o *dispatch.Outcome) timings {
 	return timings{
 		PlacedMs: o.Placed.Milliseconds(), FirstMs: o.First.Milliseconds(), DoneMs: o.Total.Milliseconds(),
 		Cold: o.Waited > 0, Runner: o.Runner, Tries: o.Attempts, Resumes: o.Resumes,
 	}
 }
 
-// plainHeaders are passed on to callers; what concerns runners is not.
-var plainHeaders = []string{"Content-Type", "Content-Length", "Cache-Control"}
+// callerHeaders are the response headers that callers see. Headers about runners are not among
+// them.
+var callerHeaders = []string{"Content-Type", "Content-Length", "Cache-Control"}
 
-// copyPlain copies the headers of an answer that callers see. Retry-After
-// becomes whole seconds, as the standard has it.
-func copyPlain(target, source http.Header) {
-	for _, name := range plainHeaders {
+// copyCallerHeaders copies the response headers that callers see. Retry-After is rounded up to
+// whole seconds, as the HTTP standard requires.
+func copyCallerHeaders(target, source http.Header) {
+	for _, name := range callerHeaders {
 		if values := source[name]; len(values) > 0 {
 			target[name] = values
 		}
@@ -51,37 +52,37 @@
 	}
 }
 
-// streamedAnswer writes an answer while it comes.
-type streamedAnswer struct {
+// streamedResponse writes a response as it arrives.
+type streamedResponse struct {
 	http.ResponseWriter
 	header  http.Header
 	control *http.ResponseController
 }
 
-// Header returns the header to be sent.
-func (s *streamedAnswer) Header() http.Header { return s.header }
+// Header returns the headers to be sent.
+func (s *streamedResponse) Header() http.Header { return s.header }
 
-// WriteHeader sends the head.
-func (s *streamedAnswer) WriteHeader(status int) {
-	copyPlain(s.ResponseWriter.Header(), s.header)
+// WriteHeader sends the status and the headers.
+func (s *streamedResponse) WriteHeader(status int) {
+	copyCallerHeaders(s.ResponseWriter.Header(), s.header)
 	s.ResponseWriter.WriteHeader(status)
 }
 
-// Write sends a part of the answer.
-func (s *streamedAnswer) Write(content []byte) (int, error) {
+// Write sends a part of the response.
+func (s *streamedResponse) Write(content []byte) (int, error) {
 	_ = s.control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	return s.ResponseWriter.Write(content)
 }
 
-// Flush sends what was written.
-func (s *streamedAnswer) Flush() { _ = s.control.Flush() }
+// Flush sends buffered data.
+func (s *streamedResponse) Flush() { _ = s.control.Flush() }
 
-// end closes a whole answer. The comment line tells where the time went.
-func (s *streamedAnswer) end(outcome *dispatch.Outcome) {
-	_, _ = s.Write([]byte(": lilacvane " + encode(timingsOf(outcome)) + "\n\ndata: [DONE]\n\n"))
+// finish ends a complete stream. The comment line holds the request's timings.
+func (s *streamedResponse) finish(outcome *dispatch.Outcome) {
+	_, _ = s.Write([]byte(": lilacvane " + encode(newTimings(outcome)) + "\n\ndata: [DONE]\n\n"))
 }
 
-// fail closes an answer that is not whole: an error event and no [DONE].
-func (s *streamedAnswer) fail(problem *fault.Error) {
+// fail ends an incomplete stream with an error event and no [DONE].
+func (s *streamedResponse) fail(problem *fault.Error) {
 	_, _ = s.Write([]byte("event: error\ndata: " + encode(fault.ToBody(problem)) + "\n\n"))
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -21,29 +21,29 @@
 )
 
 const (
-	headerTimeout = 10 * time.Second
-	bodyTimeout   = 60 * time.Second
-	idleTimeout   = 120 * time.Second
-	retryNotReady = 2 * time.Second
-	// retryNoReplica is when an operator may have changed their mind.
-	retryNoReplica = time.Minute
-	pathChat       = "/v1/chat/completions"
-	pathComplete   = "/v1/completions"
-	pathModels     = "/v1/models"
-	// attempts is how many runners a call that may be repeated is sent to.
-	attempts = 3
-	// objective is the time of a prompt first part.
-	objective      = 10 * time.Second
+	headerTimeout      = 10 * time.Second
+	bodyTimeout        = 60 * time.Second
+	idleTimeout        = 120 * time.Second
+	retryAfterNotReady = 2 * time.Second
+	// retryAfterNoReplica is when operators may have decided otherwise.
+	retryAfterNoReplica = time.Minute
+	pathChat            = "/v1/chat/completions"
+	pathComplete        = "/v1/completions"
+	pathModels          = "/v1/models"
+	// maxAttempts is the number of runners that a repeatable call is sent to.
+	maxAttempts = 3
+	// startObjective is the latency objective for the first part of a response.
+	startObjective = 10 * time.Second
 	pauseObjective = 2 * time.Second
 )
 
-// Claims lets at most one attempt run under an idempotency key.
+// Claims ensures that at most one attempt runs under an idempotency key.
 type Claims interface {
 	// Take claims a key for an attempt.
 	Take(ctx context.Context, key, attempt string) error
 }
 
-// Options are the parts of the interface.
+// Options are the dependencies of a Server.
 type Options struct {
 	Node          string
 	Names         upstream.Names
@@ -54,35 +54,35 @@
 	Accept func() error
 }
 
-// Server is the callers' interface of one node. It uses net/http alone: the
-// larger library costs a node more memory than all of its own state.
+// Server serves the callers' API of one node. It uses only net/http, because the larger library
+// costs a node more memory than all of its own state.
 type Server struct {
 	Options
 	http *httpserver.Server
 }
 
-// New returns the interface.
+// New returns a server that is not serving yet.
 func New(options Options) *Server {
 	s := &Server{Options: options}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+pathChat, s.complete)
-	mux.HandleFunc("POST "+pathComplete, s.complete)
-	mux.HandleFunc("GET "+pathModels, s.models)
+	mux.HandleFunc("POST "+pathChat, s.handleCompletion)
+	mux.HandleFunc("POST "+pathComplete, s.handleCompletion)
+	mux.HandleFunc("GET "+pathModels, s.handleModels)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		fault.Write(w, s.named(fault.New(fault.CodeNotFound, stepParse, "no such path or method: %s %s", r.Method, r.URL.Path)))
+		fault.Write(w, s.withNodeName(fault.New(fault.CodeNotFound, stepParse, "no such path or method: %s %s", r.Method, r.URL.Path)))
 	})
 	s.http = httpserver.New(&http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, ReadTimeout: bodyTimeout, IdleTimeout: idleTimeout})
 	return s
 }
 
-// Serve answers callers on the listener until Shutdown.
+// Serve serves callers on the listener until Shutdown.
 func (s *Server) Serve(listener net.Listener) error { return s.http.Serve(listener) }
 
-// Shutdown closes the listener and waits for the calls under way.
+// Shutdown closes the listener and waits for active calls.
 func (s *Server) Shutdown(ctx context.Context) error { return s.http.Shutdown(ctx) }
 
-// named puts the node's name where an error arose inside this process.
-func (s *Server) named(e *fault.Error) *fault.Error {
+// withNodeName sets the node's name as the peer of an error that arose in this process.
+func (s *Server) withNodeName(e *fault.Error) *fault.Error {
 	copied := *e
 	if copied.Peer == fault.Self {
 		copied.Peer = s.Node
@@ -90,25 +90,25 @@
 	return &copied
 }
 
-func (s *Server) complete(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleCompletion(w http.ResponseWriter, r *http.Request) {
 	id := s.Node + "-" + rand.Text()
 	w.Header().Set(api.HeaderRequest, id)
 	call, err := s.prepare(r, id)
 	if err != nil {
-		fault.Write(w, s.named(fault.From(err, stepParse)))
+		fault.Write(w, s.withNodeName(fault.From(err, stepParse)))
 		return
 	}
 	if call.completion.Stream {
-		s.stream(w, r, call)
+		s.serveStream(w, r, call)
 		return
 	}
-	s.whole(w, r, call)
+	s.serveBuffered(w, r, call)
 }
 
-// prepare reads a call, resolves its model and claims its key.
-func (s *Server) prepare(r *http.Request, id string) (*parsed, error) {
+// prepare reads a call, resolves its model and claims its idempotency key.
+func (s *Server) prepare(r *http.Request, id string) (*parsedCall, error) {
 	if err := s.Accept(); err != nil {
-		return nil, fault.From(err, "accept").WithRetryAfter(retryNotReady)
+		return nil, fault.From(err, "accept").WithRetryAfter(retryAfterNotReady)
 	}
 	call, err := parse(r, id, time.Now())
 	if err != nil {
@@ -123,11 +123,11 @@
 			return nil, err
 		}
 	}
-	s.address(&call, name)
+	s.setRoute(&call, name)
 	return &call, nil
 }
 
-// resolve finds what serves a name.
+// resolve returns what serves a model name.
 func (s *Server) resolve(model string) (config.Name, error) {
 	const step = "resolve model"
 	configuration := s.Configuration()
@@ -139,16 +139,17 @@
 		return config.Name{}, fault.New(fault.CodeUnknownModel, step, "there is no model or adapter %q", model)
 	}
 	if name.Replicas == 0 {
-		return config.Name{}, fault.New(fault.CodeNoReplica, step, "the operators decided on no replica of %q", model).WithRetryAfter(retryNoReplica)
+		return config.Name{}, fault.New(fault.CodeNoReplica, step, "the operators decided on no replica of %q", model).WithRetryAfter(retryAfterNoReplica)
 	}
 	return name, nil
 }
 
-// address fills in where the call goes and how it may be treated there.
-func (s *Server) address(call *parsed, name config.Name) {
+// setRoute sets the service that the call goes to and the route options, which depend on whether it
+// may be repeated.
+func (s *Server) setRoute(call *parsedCall, name config.Name) {
 	repeatable := call.key == ""
 	route := &config.Route{
-		Name: "completions", Kind: config.Unsafe, Resumable: repeatable && call.completion.Stream, Objective: objective,
+		Name: "completions", Kind: config.Unsafe, Resumable: repeatable && call.completion.Stream, Objective: startObjective,
 		PauseObjective: pauseObjective, Priority: int(call.class), Attempts: 1,
 	}
 	switch {
@@ -158,7 +159,7 @@
 		route.Kind = config.Safe
 	}
 	if repeatable {
-		route.Attempts = attempts
+		route.Attempts = maxAttempts
 	}
 	request := &call.request
 	request.Route, request.Service, request.Unit, request.OwnErrors = route, name.Service, name.Unit, true
@@ -176,50 +177,50 @@
 	}
 }
 
-// whole collects the answer and sends it in one piece.
-func (s *Server) whole(w http.ResponseWriter, r *http.Request, call *parsed) {
-	buffer := &bufferedAnswer{header: make(http.Header)}
+// serveBuffered collects the response and sends it in one piece.
+func (s *Server) serveBuffered(w http.ResponseWriter, r *http.Request, call *parsedCall) {
+	buffer := &bufferedResponse{header: make(http.Header)}
 	outcome := s.Dispatcher.Serve(r.Context(), buffer, &call.request)
 	if outcome.Result == dispatch.ResultCanceled {
 		panic(http.ErrAbortHandler)
 	}
-	copyPlain(w.Header(), buffer.header)
+	copyCallerHeaders(w.Header(), buffer.header)
 	if outcome.Result == dispatch.ResultServed {
-		w.Header().Set(api.HeaderTimings, encode(timingsOf(&outcome)))
+		w.Header().Set(api.HeaderTimings, encode(newTimings(&outcome)))
 	}
 	w.WriteHeader(buffer.status)
 	_, _ = w.Write(buffer.body.Bytes())
 }
 
-// stream passes the answer on as it comes and marks its end.
-func (s *Server) stream(w http.ResponseWriter, r *http.Request, call *parsed) {
-	answer := &streamedAnswer{ResponseWriter: w, header: make(http.Header), control: http.NewResponseController(w)}
+// serveStream passes the response on as it arrives and marks its end.
+func (s *Server) serveStream(w http.ResponseWriter, r *http.Request, call *parsedCall) {
+	answer := &streamedResponse{ResponseWriter: w, header: make(http.Header), control: http.NewResponseController(w)}
 	outcome := s.Dispatcher.Serve(r.Context(), answer, &call.request)
 	switch outcome.Result {
 	case dispatch.ResultServed:
-		answer.end(&outcome)
+		answer.finish(&outcome)
 	case dispatch.ResultBroken:
-		answer.fail(s.named(outcome.Problem))
+		answer.fail(s.withNodeName(outcome.Problem))
 	case dispatch.ResultCanceled:
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// bufferedAnswer keeps an answer.
-type bufferedAnswer struct {
+// bufferedResponse collects a response in memory.
+type bufferedResponse struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-// Header returns the header to be sent.
-func (b *bufferedAnswer) Header() http.Header { return b.header }
+// Header returns the headers to be sent.
+func (b *bufferedResponse) Header() http.Header { return b.header }
 
-// WriteHeader keeps the status.
-func (b *bufferedAnswer) WriteHeader(status int) { b.status = status }
+// WriteHeader stores the status.
+func (b *bufferedResponse) WriteHeader(status int) { b.status = status }
 
-// Write keeps a part of the body.
-func (b *bufferedAnswer) Write(content []byte) (int, error) { return b.body.Write(content) }
+// Write appends a part of the body.
+func (b *bufferedResponse) Write(content []byte) (int, error) { return b.body.Write(content) }
 
 type modelList struct {
 	Object string      `json:"object"`
@@ -232,7 +233,7 @@
 	Owner  string `json:"owned_by"`
 }
 
-func (s *Server) models(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleModels(w http.ResponseWriter, _ *http.Request) {
 	list := modelList{Object: "list", Data: []modelItem{}}
 	if configuration := s.Configuration(); configuration != nil {
 		for name := range configuration.Names {
@@ -244,7 +245,7 @@
 	_, _ = w.Write([]byte(encode(list)))
 }
 
-// encode renders this package's own types, which always encode.
+// encode marshals the types of this package, which never fails.
 func encode(value any) string {
 	content, err := json.Marshal(value)
 	if err != nil {
--- a/internal/gateway/parse.go
+++ b/internal/gateway/parse.go
@@ -1,5 +1,5 @@
-// Package gateway is the callers' interface: chat and completion calls over
-// HTTP, answered whole or as server-sent events.
+// Package gateway is the callers' API: chat and completion calls over HTTP, answered in one piece
+// or as server-sent events.
 package gateway
 
 import (
@@ -19,23 +19,23 @@
 )
 
 const (
-	stepParse    = "read request"
-	prefixLength = 256
+	stepParse          = "read request"
+	promptPrefixLength = 256
 )
 
-// parsed is a call as it was read.
-type parsed struct {
+// parsedCall is a call as parsed from its HTTP request.
+type parsedCall struct {
 	request    dispatch.Request
 	completion api.Completion
 	class      api.Class
-	// key is the idempotency key; empty when the call may be repeated.
+	// key is the idempotency key. It is empty if the call may be repeated.
 	key string
 }
 
-// parse reads and checks a call. Errors say what is wrong with which part.
-func parse(r *http.Request, id string, now time.Time) (parsed, error) {
-	var call parsed
-	if err := singleHeaders(r.Header); err != nil {
+// parse parses and validates a call. Errors name the invalid part.
+func parse(r *http.Request, id string, now time.Time) (parsedCall, error) {
+	var call parsedCall
+	if err := rejectRepeatedHeaders(r.Header); err != nil {
 		return call, err
 	}
 	content, err := readBody(r)
@@ -52,7 +52,7 @@
 	if !ok {
 		return call, fault.New(fault.CodeInvalid, stepParse, "%s must be urgent, interactive, ordinary or patient", api.HeaderClass)
 	}
-	patience, err := deadline(r.Header.Get(api.HeaderDeadline))
+	startWithin, err := parseDeadline(r.Header.Get(api.HeaderDeadline))
 	if err != nil {
 		return call, err
 	}
@@ -63,31 +63,31 @@
 	call.class, call.key = class, key
 	call.request = dispatch.Request{
 		ID: id, Method: http.MethodPost, Target: r.URL.Path, Path: r.URL.Path, Host: r.Host, Body: content, Arrived: now,
-		Header: http.Header{"Content-Type": {"application/json"}}, StartWithin: patience,
-		Key: callersKey(r.Header), Counts: dispatch.CountsGiven,
+		Header: http.Header{"Content-Type": {"application/json"}}, StartWithin: startWithin,
+		Key: bearerToken(r.Header), Counts: dispatch.CountsGiven,
 	}
 	describePrompt(&call)
 	return call, nil
 }
 
-// headerKey carries the caller's key, as model servers take it.
-const headerKey = "Authorization"
+// headerAuthorization carries the caller's key, as is usual for model servers.
+const headerAuthorization = "Authorization"
 
-// callersKey reads a key as model servers take it; empty when there is none.
-func callersKey(header http.Header) string {
-	scheme, key, _ := strings.Cut(header.Get(headerKey), " ")
+// bearerToken returns the key of the Authorization header, or an empty string if there is none.
+func bearerToken(header http.Header) string {
+	scheme, key, _ := strings.Cut(header.Get(headerAuthorization), " ")
 	if !strings.EqualFold(scheme, "Bearer") {
 		return ""
 	}
 	return strings.TrimSpace(key)
 }
 
-// defaultAnswerTokens is the length assumed of an answer without a bound.
+// defaultAnswerTokens is the assumed length of an answer without a limit.
 const defaultAnswerTokens = 256
 
-// describePrompt estimates the sizes of the prompt and the answer, and names the
-// prompt's beginning, by which requests that share it find the same runner.
-func describePrompt(call *parsed) {
+// describePrompt estimates the token counts of the prompt and the answer. It also identifies the
+// beginning of the prompt, which routes requests with the same beginning to the same runner.
+func describePrompt(call *parsedCall) {
 	words := len(strings.Fields(call.completion.Prompt))
 	for _, message := range call.completion.Messages {
 		words += len(strings.Fields(message.Content))
@@ -97,13 +97,13 @@
 	if call.request.TokensOut == 0 {
 		call.request.TokensOut = defaultAnswerTokens
 	}
-	hash := xxhash.Sum64String(prefix(call.completion))
+	hash := xxhash.Sum64String(promptPrefix(call.completion))
 	call.request.Prompt = []fleet.Part{{ID: strconv.FormatUint(hash, 16), Tokens: call.request.TokensIn}}
 }
 
-// singleHeaders refuses headers of this interface that come more than once.
-func singleHeaders(headers http.Header) error {
-	for _, name := range []string{api.HeaderClass, api.HeaderDeadline, api.HeaderIdempotencyKey, headerKey} {
+// rejectRepeatedHeaders rejects headers of this API that are given more than once.
+func rejectRepeatedHeaders(headers http.Header) error {
+	for _, name := range []string{api.HeaderClass, api.HeaderDeadline, api.HeaderIdempotencyKey, headerAuthorization} {
 		if len(headers.Values(name)) > 1 {
 			return fault.New(fault.CodeInvalid, stepParse, "header %s is given %d times", name, len(headers.Values(name)))
 		}
@@ -122,8 +122,8 @@
 	return content, nil
 }
 
-// deadline reads the seconds within which the answer must begin.
-func deadline(text string) (time.Duration, error) {
+// parseDeadline parses the seconds within which the answer must start.
+func parseDeadline(text string) (time.Duration, error) {
 	if text == "" {
 		return api.DefaultDeadline, nil
 	}
@@ -137,15 +137,15 @@
 	return time.Duration(seconds * float64(time.Second)), nil
 }
 
-// prefix is the beginning of the prompt, by which requests that share a cached
-// prefix find the same runner.
-func prefix(completion api.Completion) string {
+// promptPrefix returns the beginning of the prompt. Requests that share a cached prefix are routed
+// to the same runner by it.
+func promptPrefix(completion api.Completion) string {
 	text := completion.Model + "\x00" + completion.Prompt
 	for _, message := range completion.Messages {
-		if len(text) >= prefixLength {
+		if len(text) >= promptPrefixLength {
 			break
 		}
 		text += message.Role + "\x00" + message.Content
 	}
-	return text[:min(len(text), prefixLength)]
+	return text[:min(len(text), promptPrefixLength)]
 }
--- a/internal/gateway/parse_test.go
+++ b/internal/gateway/parse_test.go
@@ -21,7 +21,7 @@
 	return r
 }
 
-// TestBadCallsAreRefused: each gives a typed error that the request was not run.
+// Each invalid call is rejected with a typed error that says that the request was not run.
 func TestBadCallsAreRefused(t *testing.T) {
 	const good = `{"model":"m"}`
 	for name, test := range map[string]struct {
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestGoodCall: headers and body are read into the request.
+// Headers and body of a valid call are parsed into the request.
 func TestGoodCall(t *testing.T) {
 	now := time.Now()
 	call, err := parse(callWith(`{"model":"m","stream":true,"messages":[{"role":"user","content":"hello"}]}`,
