--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,5 @@
-// Package logging makes the JSON-lines logger of all programs: one line an
-// event on standard output, with the keys step, peer, request, model and revision
-// wherever they apply.
+// Package logging provides the JSON-lines logger of all programs. It writes one line per event to
+// standard output, with the keys step, peer, request, model and revision where they apply.
 package logging
 
 import (
@@ -20,24 +19,24 @@
 )
 
 const (
-	// queueLines is how many lines may wait to be written.
-	queueLines = 512
-	// linesPerSecond and lineBurst bound the volume.
+	// queueSize is the number of lines that may wait to be written.
+	queueSize = 512
+	// linesPerSecond and lineBurst limit the log volume.
 	linesPerSecond = 150
 	lineBurst      = 400
-	// dropNotice is how often dropped lines are reported.
-	dropNotice = 2 * time.Second
+	// dropReportInterval is how often dropped lines are reported.
+	dropReportInterval = 2 * time.Second
 )
 
-// Bounded is a log that never blocks its writers: lines beyond its rate or its
-// queue are dropped, counted, and said to be.
+// Bounded is a logger that never blocks its callers. Lines beyond its rate limit or its queue are
+// dropped, counted and reported.
 type Bounded struct {
 	logr.Logger
 	level zap.AtomicLevel
 	sink  *boundedSink
 }
 
-// NewBounded returns a log of JSON lines written to out.
+// NewBounded returns a logger that writes JSON lines to out.
 func NewBounded(level string, out io.Writer) (*Bounded, error) {
 	sink := newBoundedSink(out)
 	b := &Bounded{level: zap.NewAtomicLevel(), sink: sink}
@@ -52,7 +51,7 @@
 	return b, nil
 }
 
-// SetLevel changes the level: error, info or debug.
+// SetLevel sets the level: error, info or debug.
 func (b *Bounded) SetLevel(level string) error {
 	parsed, err := zapcore.ParseLevel(level)
 	if err != nil {
@@ -62,13 +61,13 @@
 	return nil
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of dropped lines.
 func (b *Bounded) Dropped() int64 { return b.sink.dropped.Load() }
 
-// Close writes what waits, for at most the time given.
+// Close writes queued lines, for at most the given time.
 func (b *Bounded) Close(limit time.Duration) { b.sink.close(limit) }
 
-// boundedSink writes lines from a queue in a goroutine of its own.
+// boundedSink writes queued lines in its own goroutine.
 type boundedSink struct {
 	lines   chan []byte
 	limiter *rate.Limiter
@@ -80,7 +79,7 @@
 
 func newBoundedSink(out io.Writer) *boundedSink {
 	s := &boundedSink{
-		lines: make(chan []byte, queueLines), limiter: rate.NewLimiter(linesPerSecond, lineBurst),
+		lines: make(chan []byte, queueSize), limiter: rate.NewLimiter(linesPerSecond, lineBurst),
 		done: make(chan struct{}), stop: make(chan struct{}),
 	}
 	go s.run(out)
@@ -101,12 +100,12 @@
 	return len(line), nil
 }
 
-// Sync does nothing: lines are written as they come.
+// Sync does nothing, as lines are written without buffering.
 func (s *boundedSink) Sync() error { return nil }
 
 func (s *boundedSink) run(out io.Writer) {
 	defer close(s.done)
-	ticker := time.NewTicker(dropNotice)
+	ticker := time.NewTicker(dropReportInterval)
 	defer ticker.Stop()
 	reported := int64(0)
 	for {
