--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -236,7 +236,7 @@
 	n.log.Info("node started", "node", s.Node, "zone", s.Zone, "process", n.process, "clients", s.Listen.Clients,
 		"peers", s.Listen.Peers, "store", s.Store.Address)
 	if !s.Capacity.Fits() {
-		n.log.Info("machine has less memory than a node requires", "step", "start node", "memoryMB", s.Capacity.MemoryMB, "neededMB", settings.LeastMemoryMB)
+		n.log.Info("machine has less memory than a node requires", "step", "start node", "memoryMB", s.Capacity.MemoryMB, "neededMB", settings.MinMemoryMB)
 	}
 	if !clock.CountsSuspensions() {
 		n.log.Info("clock cannot detect machine suspension", "step", "read clock")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks a node's settings file. docs/SETTINGS.md
-// lists the fields with their units.
+// Package settings reads and validates a node's settings file. docs/SETTINGS.md lists the fields
+// with their units.
 package settings
 
 import (
@@ -18,69 +18,69 @@
 	"lilacvane/internal/place"
 )
 
-// Settings of one node.
+// Settings are the settings of one node.
 type Settings struct {
-	// Node names this node; unique in the fleet.
+	// Node is the name of this node. It is unique in the fleet.
 	Node string `yaml:"node"`
-	// Zone and Region place the node.
+	// Zone and Region are the node's location.
 	Zone   string `yaml:"zone"`
 	Region string `yaml:"region"`
-	// Zones tells the region of each zone of the deployment.
+	// Zones maps each zone of the deployment to its region.
 	Zones place.Map `yaml:"zones"`
-	// TimeZone is the IANA zone in which policies read the clock.
+	// TimeZone is the IANA time zone that policies use.
 	TimeZone string `yaml:"timeZone"`
-	// Listen are the addresses this node listens on.
+	// Listen holds the addresses this node listens on.
 	Listen Listen `yaml:"listen"`
-	// Store is where the platform's store is.
+	// Store is the location of the platform's store.
 	Store Store `yaml:"store"`
-	// Capacity is what the machine gives this process.
+	// Capacity is what the machine provides to this process.
 	Capacity Capacity `yaml:"capacity"`
-	// Relay says which nodes read the store through one of them.
+	// Relay sets which nodes read the store through one of them.
 	Relay Relay `yaml:"relay"`
-	// Configuration bounds how late a change of the configuration may be in force.
+	// Configuration bounds how late a configuration change may take effect.
 	Configuration Within `yaml:"configuration"`
-	// Evacuation bounds how late after a zone was taken out something may still go there.
+	// Evacuation bounds how long after a zone's evacuation something may still be sent there.
 	Evacuation Within `yaml:"evacuation"`
-	// ColdStart says how far the requests at a cold runner may pass its service's rate.
+	// ColdStart sets by how much the requests at a cold runner may exceed its service's rate.
 	ColdStart ColdStart `yaml:"coldStart"`
-	// Statements bounds what is believed of runners' statements of themselves.
+	// Statements bounds which statements of runners about themselves are believed.
 	Statements Statements `yaml:"statements"`
-	// Retries bounds repeated requests of a service over all nodes.
+	// Retries bounds the retried requests of a service over all nodes.
 	Retries Retries `yaml:"retries"`
-	// Limits says how exactly tenants' limits are kept.
+	// Limits sets how precisely tenant limits are enforced.
 	Limits Limits `yaml:"limits"`
-	// Lease bounds who may order runners.
+	// Lease bounds when a node may send orders to runners.
 	Lease Lease `yaml:"lease"`
-	// Stop bounds a planned stop.
+	// Stop sets the timing of a planned stop.
 	Stop Stop `yaml:"stop"`
 	// Sleep weighs cold starts against idle accelerators.
 	Sleep Sleep `yaml:"sleep"`
-	// Log tunes the log on standard output.
+	// Log configures the log on standard output.
 	Log Log `yaml:"log"`
 }
 
-// Listen are listening addresses (ip:port). All but Ready and Peers are
-// optional: what has no address is not served.
+// Listen holds listening addresses (ip:port). All but Ready and Peers are optional; what has no
+// address is not served.
 type Listen struct {
-	// Clients takes requests of the services' clients, by route.
+	// Clients serves requests of the services' clients, by route.
 	Clients string `yaml:"clients"`
-	// Callers takes chat and completion calls.
+	// Callers serves chat and completion calls.
 	Callers string `yaml:"callers"`
-	// Operators takes the calls of the operators' command line.
+	// Operators serves the operators' command line.
 	Operators string `yaml:"operators"`
-	// Ready tells the entry whether the node takes new connections.
+	// Ready tells the load balancer whether the node takes new connections.
 	Ready string `yaml:"ready"`
-	// Peers is where other nodes call.
+	// Peers serves calls of other nodes.
 	Peers string `yaml:"peers"`
-	// Advertise is the address other nodes reach Peers at, if it differs.
+	// Advertise is the address at which other nodes reach Peers, if it differs.
 	Advertise string `yaml:"advertise"`
-	// Metrics is where figures are read.
+	// Metrics serves the node's metrics.
 	Metrics string `yaml:"metrics"`
-	// Profiles is where the Go runtime's profiles are read (/debug/pprof/).
+	// Profiles serves the Go runtime's profiles (/debug/pprof/).
 	Profiles string `yaml:"profiles"`
 }
 
-// PeerAddress is where other nodes reach this one.
+// PeerAddress returns the address at which other nodes reach this one.
 func (l Listen) PeerAddress() string {
 	if l.Advertise != "" {
 		return l.Advertise
@@ -88,160 +88,159 @@
 	return l.Peers
 }
 
-// Store is the platform's store.
+// Store locates the platform's store.
 type Store struct {
-	// Address is its ip:port.
+	// Address is the store's ip:port.
 	Address string `yaml:"address"`
 }
 
-// Capacity is what a machine gives a process; zero where it is not known.
+// Capacity is what a machine provides to a process. Unknown values are zero.
 type Capacity struct {
-	// Cores is the part of a core, or the number of cores.
+	// Cores is the number of cores, or a fraction of one.
 	Cores float64 `yaml:"cores"`
-	// LinkMbps is the machine's link, in Mbit a second.
+	// LinkMbps is the bandwidth of the machine's network link in Mbit/s.
 	LinkMbps float64 `yaml:"linkMbps"`
-	// MemoryMB is the memory that the process may take, in megabytes.
+	// MemoryMB is the memory that the process may use, in megabytes.
 	MemoryMB float64 `yaml:"memoryMB"`
 }
 
-// What a node that works for others should have.
+// Recommended capacity of a node that works for other nodes.
 const (
-	amplyCores    = 0.5
-	amplyLinkMbps = 100
-	// amplyMemoryMB bears the accounts of some 10,000 runners and the connections of a
-	// thousand nodes.
-	amplyMemoryMB = 512
+	recommendedCores    = 0.5
+	recommendedLinkMbps = 100
+	// recommendedMemoryMB suffices to track some 10,000 runners and the connections of a thousand
+	// nodes.
+	recommendedMemoryMB = 512
 )
 
-// LeastMemoryMB is what a node needs for itself: its runtime, the configuration, the runners
-// that it keeps, and some hundred requests.
-const LeastMemoryMB = 48
+// MinMemoryMB is what a node needs for itself: its runtime, the configuration, the runners that it
+// keeps, and some hundred requests.
+const MinMemoryMB = 48
 
-// Fits reports whether the machine has what a node needs at least, where that is known.
-func (c Capacity) Fits() bool { return c.MemoryMB == 0 || c.MemoryMB >= LeastMemoryMB }
+// Fits reports whether the machine has at least MinMemoryMB of memory, as far as that is known.
+func (c Capacity) Fits() bool { return c.MemoryMB == 0 || c.MemoryMB >= MinMemoryMB }
 
-// Spare is the part, 0 to 1, that the machine has of what a node should have that
-// works for others. It is 1 where nothing is known.
+// Spare returns which fraction, 0 to 1, of the recommended capacity the machine has. It is 1 if
+// nothing is known.
 func (c Capacity) Spare() float64 {
 	spare := 1.0
 	if c.Cores > 0 {
-		spare = min(spare, c.Cores/amplyCores)
+		spare = min(spare, c.Cores/recommendedCores)
 	}
 	if c.LinkMbps > 0 {
-		spare = min(spare, c.LinkMbps/amplyLinkMbps)
+		spare = min(spare, c.LinkMbps/recommendedLinkMbps)
 	}
 	if c.MemoryMB > 0 {
-		spare = min(spare, c.MemoryMB/amplyMemoryMB)
+		spare = min(spare, c.MemoryMB/recommendedMemoryMB)
 	}
 	return spare
 }
 
-// Scope is a part of the fleet.
+// Scope is the part of the fleet that shares a relay.
 type Scope string
 
-// The scopes that nodes may share a relay in.
+// Scopes in which nodes may share a relay.
 const (
 	ScopeZone   Scope = "zone"
 	ScopeRegion Scope = "region"
 )
 
-// Relay says which nodes read the store through one of them.
+// Relay sets which nodes read the store through one of them.
 type Relay struct {
 	// Scope is zone or region.
 	Scope Scope `yaml:"scope"`
-	// FirstStart is set when the whole system starts for the first time: a node then
-	// leaves the store to others for longer, as nobody waits for it.
+	// FirstStart is set when the whole system starts for the first time. A node then leaves the
+	// store to others for longer, as no requests are waiting.
 	FirstStart bool `yaml:"firstStart"`
 }
 
-// Within bounds how late after its acknowledgement by the store a change is in force at
-// every node that hears it.
+// Within bounds the time from the store's acknowledgment of a change until it is in effect at every
+// node that receives it.
 type Within struct {
 	Within time.Duration `yaml:"within"`
 }
 
-// ColdStart says what a cold runner may get of all nodes together within a second: Share
-// times the rate that it bears (config.Service.ColdRate), and Slack requests.
+// ColdStart limits the requests per second that all nodes together may send to a cold runner: Share
+// times the rate that it can handle (config.Service.ColdRate), plus Slack requests.
 type ColdStart struct {
 	Share float64 `yaml:"share"`
 	Slack float64 `yaml:"slack"`
 }
 
-// Statements bounds what is believed of what runners state in their answers.
+// Statements bounds which statements in runners' answers are believed.
 type Statements struct {
-	// LongestRest is the longest time without requests that a runner may ask for: more than
-	// any queue of a runner takes to empty, as routes' time-outs are some ten seconds.
+	// LongestRest is the longest time without requests that a runner may ask for. It is longer than
+	// any queue of a runner takes to drain, as routes' timeouts are about ten seconds.
 	LongestRest time.Duration `yaml:"longestRest"`
-	// UnreadableRest is the rest of a runner that names no time that can be read: some of the
-	// longest answers.
+	// UnreadableRest is the rest of a runner that states no readable time: some of the longest
+	// answers.
 	UnreadableRest time.Duration `yaml:"unreadableRest"`
-	// LeavingFor is how long a runner that does not end is left alone after it said that it
-	// leaves: platforms give runners a minute or so to finish what they have.
+	// LeavingFor is how long a runner that stated that it is leaving gets no requests if it does
+	// not end. Platforms give runners about a minute to finish their requests.
 	LeavingFor time.Duration `yaml:"leavingFor"`
-	// LeastRate is taken, in requests a second, where a runner names a smaller limit: some request
-	// must find out when it is over.
+	// LeastRate, in requests per second, is used instead of any smaller limit that a runner states,
+	// as some request must find out when the limit is lifted.
 	LeastRate float64 `yaml:"leastRate"`
-	// LimitFor is how long a runner's limit is believed that no answer names or lifts.
+	// LimitFor is how long a runner's limit stays valid if no answer repeats or lifts it.
 	LimitFor time.Duration `yaml:"limitFor"`
 }
 
-// Retries are the bounds of a service's budget of retries.
+// Retries bounds the retry budget of a service.
 type Retries struct {
-	// Ratio is the part of the requests that may be sent again.
+	// Ratio is the fraction of the requests that may be retried.
 	Ratio float64 `yaml:"ratio"`
-	// Slack is how many more there may be within Window.
+	// Slack is the number of additional retries within Window.
 	Slack float64 `yaml:"slack"`
 	// Window is the sliding window of both.
 	Window time.Duration `yaml:"window"`
 }
 
-// Limits says how exactly tenants' limits are kept over all nodes: the use within any
-// Window may pass what the limit allows by Share of it and by Slack.
+// Limits sets how precisely tenant limits are enforced over all nodes. Usage within any Window may
+// exceed the limit by Share of it plus Slack.
 type Limits struct {
-	// Window is the sliding window in which use is counted.
+	// Window is the sliding window in which usage is counted.
 	Window time.Duration `yaml:"window"`
-	// Share is a part of the limit, 0 to 1.
+	// Share is a fraction of the limit, 0 to 1.
 	Share float64 `yaml:"share"`
-	// Slack is in the limit's unit: requests or tokens.
+	// Slack is in the unit of the limit: requests or tokens.
 	Slack float64 `yaml:"slack"`
 }
 
-// Lease bounds who may order runners.
+// Lease bounds when a node may send orders to runners.
 type Lease struct {
-	// TurnGap must lie between orders of two nodes.
+	// TurnGap is the minimum time between the orders of two nodes.
 	TurnGap time.Duration `yaml:"turnGap"`
 }
 
-// Stop bounds a planned stop.
+// Stop sets the timing of a planned stop.
 type Stop struct {
 	// Grace is the time from SIGTERM to the end of the process.
 	Grace time.Duration `yaml:"grace"`
-	// Notice is how long the entry may take to notice that a node is not ready:
-	// until then the node takes requests.
+	// Notice is how long the load balancer may take to notice that a node is not ready. Until then
+	// the node accepts requests.
 	Notice time.Duration `yaml:"notice"`
 }
 
 // Sleep weighs cold starts against idle accelerators.
 type Sleep struct {
-	// FixedKeepAlive is a fixed time; zero means learned.
+	// FixedKeepAlive is a fixed keep-alive time. Zero means that it is learned.
 	FixedKeepAlive time.Duration `yaml:"fixedKeepAlive"`
-	// IdleSecondsPerColdSecond is the exchange rate: the idle seconds that a cold
-	// start of one second is worth. With zero, and no FixedKeepAlive, models stay
-	// loaded until their room is needed.
+	// IdleSecondsPerColdSecond is the exchange rate: how many idle seconds a one-second cold start
+	// is worth. If it and FixedKeepAlive are zero, models stay loaded until their memory is needed.
 	IdleSecondsPerColdSecond float64 `yaml:"idleSecondsPerColdSecond"`
-	// TailPower makes a cold start n times as long worth n^TailPower as much.
+	// TailPower makes a cold start that is n times as long count n^TailPower times as much.
 	TailPower float64 `yaml:"tailPower"`
 	// Limit is the longest keep-alive time.
 	Limit time.Duration `yaml:"limit"`
 }
 
-// Log tunes the log.
+// Log configures the log.
 type Log struct {
 	// Level is error, info or debug.
 	Level string `yaml:"level"`
 }
 
-// Default returns the settings that a file changes.
+// Default returns the default settings, which a file overrides.
 func Default() Settings {
 	return Settings{
 		TimeZone:      "UTC",
@@ -259,8 +258,7 @@
 	}
 }
 
-// Parse reads settings over the defaults. unknown lists fields that are not
-// known; they change nothing.
+// Parse reads settings on top of the defaults. unknown lists unknown fields, which are ignored.
 func Parse(content []byte) (settings Settings, unknown []string, err error) {
 	settings = Default()
 	decoder := yaml.NewDecoder(bytes.NewReader(content))
@@ -280,7 +278,7 @@
 	return settings, typed.Errors, nil
 }
 
-// Validate reports all problems of the settings at once.
+// Validate reports all invalid settings at once.
 func (s *Settings) Validate() error {
 	var problems []string
 	check := func(ok bool, format string, arguments ...any) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,9 +13,8 @@
 store: {address: "127.0.0.1:3"}
 `
 
-// TestBadSettingsAreNamedAtOnce: all problems of a file are reported, each with
-// its field.
-func TestBadSettingsAreNamedAtOnce(t *testing.T) {
+// All invalid settings of a file are reported, each with its field.
+func TestAllInvalidSettingsAreReported(t *testing.T) {
 	read, unknown, err := Parse([]byte(least + "relay: {scope: galaxy}\ncapacity: {cores: -1, linkMbps: -1, memoryMB: -1}\nretries: {ratio: 2}\nstop: {grace: 1s, notice: 2s}\n"))
 	assert.NilError(t, err)
 	assert.Equal(t, len(unknown), 0)
@@ -25,8 +24,7 @@
 	}
 }
 
-// TestUnknownFieldsChangeNothing: a field that is not known is named, and the
-// others count.
+// An unknown field is reported, and the other fields apply.
 func TestUnknownFieldsChangeNothing(t *testing.T) {
 	read, unknown, err := Parse([]byte(least + "relay: {scope: zone, radius: 3}\n"))
 	assert.NilError(t, err)
@@ -35,7 +33,7 @@
 	assert.NilError(t, read.Validate())
 }
 
-// TestSpare: the scarcest of processor, link and memory counts; what is not known does not.
+// The scarcest of CPU, link and memory counts; unknown values do not.
 func TestSpare(t *testing.T) {
 	for _, c := range []struct {
 		capacity Capacity
@@ -52,10 +50,9 @@
 	}
 }
 
-// TestTooSmallMachineIsNamed: a machine fits that has what a node needs, or of which that is
-// not known.
-func TestTooSmallMachineIsNamed(t *testing.T) {
-	for memory, fits := range map[float64]bool{0: true, LeastMemoryMB: true, LeastMemoryMB - 1: false} {
+// A machine fits if its memory is unknown or at least MinMemoryMB.
+func TestMachineBelowMinimumDoesNotFit(t *testing.T) {
+	for memory, fits := range map[float64]bool{0: true, MinMemoryMB: true, MinMemoryMB - 1: false} {
 		assert.Equal(t, Capacity{MemoryMB: memory}.Fits(), fits, "%v MB", memory)
 	}
 }
