--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// spendTimeout bounds a spend request to a lender. A lender in another zone answers within 5
-	// ms, and takes longer only when its machine is overloaded.
+	// spendTimeout bounds a spend request to a lender. A lender in another zone answers within
+	// 5 ms, and takes longer only when its machine is at its limit.
 	spendTimeout = 250 * time.Millisecond
 	// lenderBackoff is how long a lender that did not answer is skipped. Network partitions last
 	// for seconds, and each attempt would delay a request by spendTimeout.
--- a/internal/node/controls.go
+++ b/internal/node/controls.go
@@ -157,7 +157,8 @@
 	}
 }
 
-// handleLease returns this node's copy of a lease's row.
+// handleLease returns this node's copy of a lease's row. The lease is reported as free if no holder
+// is known and the caller has at least as much spare capacity as this node.
 func (c *controls) handleLease(_ context.Context, request wire.LeaseRequest) (wire.LeaseResponse, error) {
 	s := c.get(request.Service)
 	if s == nil {
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -291,8 +291,8 @@
 	h.controls.wake()
 }
 
-// decode decodes rows. unusable lists runners whose row can no longer be decoded, which does not
-// mean that they ended.
+// decode decodes rows. unusable lists runners whose row no longer describes a usable runner, which
+// does not mean that they ended.
 func (h *runnerHandler) decode(rows []feed.Row) (changed []backend.Runner, removed, unusable []string) {
 	for _, row := range rows {
 		if row.Deleted {
