--- a/internal/eligible/callers_test.go
+++ b/internal/eligible/callers_test.go
@@ -32,8 +32,8 @@
 	"internal/node/statements.go":    "sends other nodes what the list does not say",
 	"internal/node/zones.go":         "implements the rules for Check and logs them",
 	"internal/node/zonestatus.go":    "shows it to operators",
-	"internal/node/figures.go":       "counts it for operators",
-	"internal/figures/runners.go":    "counts it for operators",
+	"internal/node/metrics.go":       "counts it for operators",
+	"internal/metrics/runners.go":    "counts it for operators",
 	"internal/fleet/state_counts.go": "counts it for operators",
 	"internal/crash/detector.go":     "distinguishes a planned end from a crash",
 	"internal/command/fleet.go":      "prints it for operators",
@@ -125,5 +125,5 @@
 // isOperatorObject reports whether a file belongs to the operators' objects, of which planned
 // stops are a part.
 func isOperatorObject(file string) bool {
-	return strings.HasPrefix(file, "internal/config/") || strings.HasPrefix(file, "internal/api/") || file == "internal/node/questions.go"
+	return strings.HasPrefix(file, "internal/config/") || strings.HasPrefix(file, "internal/api/") || file == "internal/node/operator.go"
 }
