--- a/internal/eligible/callers_test.go
+++ b/internal/eligible/callers_test.go
@@ -46,7 +46,7 @@
 var allowedSenders = map[string]string{
 	"internal/dispatch/attempt.go": "a request to a runner that fleet chose",
 	"internal/dispatch/hedge.go":   "a hedged request to a runner that fleet chose and still allows",
-	"internal/dispatch/ask.go":     "a load query to the runners that fleet returned",
+	"internal/dispatch/probe.go":   "a load query to the runners that fleet returned",
 	"internal/control/ordering.go": "an order that mayOrder allowed",
 	"internal/control/reports.go":  "a report that mayReport allowed",
 	"internal/node/node.go":        "passes it to dispatch",
