--- a/internal/relay/changes.go
+++ b/internal/relay/changes.go
@@ -8,24 +8,24 @@
 	"lilacvane/internal/feed"
 )
 
-// change is one change of a row that a mirror took over.
+// change is a row change that a mirror has applied.
 type change struct {
 	revision uint64
 	key      string
 }
 
-// changeLog lists the changes of a table in the order of their revisions, so that what a
-// reader missed is found without a look at each row. Its user guards it.
+// changeLog lists the changes of a table ordered by revision, so that the changes a reader missed
+// are found without scanning all rows. It is not safe for concurrent use; the mirror guards it.
 type changeLog struct {
 	changes []change
-	// unordered is set when a change was added that is older than the one before it.
+	// unordered is set when an added change is older than the one before it.
 	unordered bool
 }
 
-// leastCompacted is the length from which a log is compacted.
-const leastCompacted = 256
+// minCompactLength is the length below which a log is not compacted.
+const minCompactLength = 256
 
-// add notes a change.
+// add appends a change.
 func (l *changeLog) add(key string, revision uint64) {
 	if last := len(l.changes) - 1; last >= 0 && l.changes[last].revision > revision {
 		l.unordered = true
@@ -33,15 +33,15 @@
 	l.changes = append(l.changes, change{revision: revision, key: key})
 }
 
-// after returns the changes after a revision, oldest first; some may be outdated by later
-// ones. The slice is valid until the next call of add or compact.
+// after returns the changes after a revision, oldest first. Some may be superseded by later ones.
+// The slice is valid until the next call of add or compact.
 func (l *changeLog) after(revision uint64) []change {
 	l.order()
 	from := sort.Search(len(l.changes), func(i int) bool { return l.changes[i].revision > revision })
 	return l.changes[from:]
 }
 
-// order puts the changes in the order of their revisions.
+// order sorts the changes by revision if needed.
 func (l *changeLog) order() {
 	if !l.unordered {
 		return
@@ -50,17 +50,17 @@
 	l.unordered = false
 }
 
-// compact drops changes that are not current any more once they are the larger part, of
-// which rows is what a log without them has. So it costs a few steps a change in the mean.
+// compact drops superseded changes once the log is more than twice as long as rows, the length of a
+// log without them. The amortized cost is a few steps per change.
 func (l *changeLog) compact(rows int, current func(change) bool) {
-	if len(l.changes) < leastCompacted || len(l.changes) <= 2*rows {
+	if len(l.changes) < minCompactLength || len(l.changes) <= 2*rows {
 		return
 	}
 	l.changes = slices.DeleteFunc(l.changes, func(c change) bool { return !current(c) })
 }
 
-// row returns a row as a change left it; false when a later change went over it. mu is
-// held.
+// row returns the row as of a change, and false if a later change superseded it. The caller holds
+// mu.
 func (m *mirror) row(c change) (feed.Row, bool) {
 	if row, ok := m.rows[c.key]; ok {
 		return row, row.Revision == c.revision
--- a/internal/relay/changes_test.go
+++ b/internal/relay/changes_test.go
@@ -9,7 +9,7 @@
 	"lilacvane/internal/feed"
 )
 
-// largeMirror is the mirror of a table of so many rows.
+// largeMirror returns a mirror of a table with the given number of rows.
 func largeMirror(rows int) *mirror {
 	m := newMirror()
 	batch := feed.Batch{Revision: uint64(rows)}
@@ -20,9 +20,9 @@
 	return m
 }
 
-// TestReaderCostsItsChanges: what is looked at for a reader is what changed since its
-// revision, however many rows there are and however often others changed before.
-func TestReaderCostsItsChanges(t *testing.T) {
+// TestReaderCostDependsOnChanges checks that the work for a reader depends on the changes after its
+// revision, not on the number of rows or on earlier changes.
+func TestReaderCostDependsOnChanges(t *testing.T) {
 	const rows, written = 10_000, 3
 	m := largeMirror(rows)
 	revision := uint64(rows)
@@ -35,31 +35,31 @@
 		batch.Revision = revision
 		m.apply(batch)
 	}
-	assert.Assert(t, len(m.log.changes) <= 3*rows, "%d changes are kept of %d rows", len(m.log.changes), rows)
+	assert.Assert(t, len(m.log.changes) <= 3*rows, "%d changes kept for %d rows", len(m.log.changes), rows)
 	before := revision
 	for i := range written {
 		revision++
 		m.apply(feed.Batch{Revision: revision, Rows: []feed.Row{{Key: fmt.Sprint("runner-", rows-i), Revision: revision}}})
 	}
 	assert.Equal(t, len(m.log.after(before)), written)
-	batch, err := m.after(ended(), before)
+	batch, err := m.after(endedContext(), before)
 	assert.NilError(t, err)
 	assert.Equal(t, len(batch.Rows), written)
 }
 
-// TestOldChangeIsToldInOrder: a change that is told again, with an older revision than the
-// newest, is found from any revision before it.
-func TestOldChangeIsToldInOrder(t *testing.T) {
+// TestLateChangeIsOrdered checks that a change which arrives again with a revision older than the
+// newest is returned to readers at any earlier revision.
+func TestLateChangeIsOrdered(t *testing.T) {
 	m := newMirror()
 	m.replace(feed.Batch{Revision: 10, Rows: []feed.Row{{Key: "a", Revision: 14}}})
 	m.apply(feed.Batch{Revision: 14, Rows: []feed.Row{{Key: "b", Revision: 12}, {Key: "a", Revision: 14}}})
-	batch, err := m.after(ended(), 11)
+	batch, err := m.after(endedContext(), 11)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, batch.Rows, []feed.Row{{Key: "b", Revision: 12}, {Key: "a", Revision: 14}})
 }
 
-// BenchmarkReaderAtLargeTable: the question of one reader that missed three changes of
-// 10,000 rows.
+// BenchmarkReaderAtLargeTable measures one reader that missed three changes of a table of 10,000
+// rows.
 func BenchmarkReaderAtLargeTable(b *testing.B) {
 	m := largeMirror(10_000)
 	for i := range uint64(3) {
@@ -67,7 +67,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := m.after(ended(), 10_000); err != nil {
+		if _, err := m.after(endedContext(), 10_000); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/relay/health.go
+++ b/internal/relay/health.go
@@ -6,141 +6,145 @@
 	"time"
 )
 
-// relayHeard tells the lessor that the lease need not be looked at, as the
-// holder's relay answers, or as others look first.
-func (r *Relay) relayHeard() bool {
+// skipLeaseCheck reports whether the lessor need not read the lease row: the holder still answers,
+// this node is searching for a reader, or other nodes check first.
+func (r *Relay) skipLeaseCheck() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Since(r.answered) < heardFor+r.pace() || r.looking() || r.leavesLease()
+	return time.Since(r.relayAnswered) < relayAnswerValidity+r.pace() || r.searching() || r.leavesLeaseCheckToOthers()
 }
 
-// fail leaves a relay alone for a while and ends the calls to it.
-func (r *Relay) fail(relay Peer, table Table, err error) {
+// suspendRelay avoids a relay for a while and cancels the calls to it.
+func (r *Relay) suspendRelay(relay Peer, table Table, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if relay == r.failed && time.Now().Before(r.suspended) {
+	if relay == r.failed && time.Now().Before(r.suspendedUntil) {
 		return
 	}
 	r.failed = relay
-	r.suspended = time.Now().Add(suspension + rand.N(suspension/2))
-	r.answered = time.Time{}
-	close(r.gone)
-	r.gone = make(chan struct{})
+	r.suspendedUntil = time.Now().Add(minSuspension + rand.N(minSuspension/2))
+	r.relayAnswered = time.Time{}
+	close(r.upstreamLost)
+	r.upstreamLost = make(chan struct{})
 	r.log.Info("dependency lost", "dependency", "relay", "peer", relay.Address, "table", table, "error", err.Error())
 }
 
-// failedRelay is the relay that failed last.
+// failedRelay returns the relay that failed last.
 func (r *Relay) failedRelay() Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.failed
 }
 
-func (r *Relay) goneChannel() <-chan struct{} {
+// lossChannel returns a channel that is closed when the current upstream is lost.
+func (r *Relay) lossChannel() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.gone
+	return r.upstreamLost
 }
 
-// Found returns a channel that is closed once this node has found where to read again: a
-// table's follower that backs off need not wait longer.
+// UpstreamFound returns a channel that is closed once this node has found an upstream again, so
+// that a follower in backoff can retry at once.
 func (r *Relay) Found() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.found
 }
 
-// tellFound wakes the followers of all tables; mu is held.
-func (r *Relay) tellFound() {
+// notifyFound wakes the followers of all tables. The caller holds mu.
+func (r *Relay) notifyFound() {
 	close(r.found)
 	r.found = make(chan struct{})
 }
 
-func (r *Relay) noteStore() {
+// recordStoreAnswer records that the store has just answered this node.
+func (r *Relay) recordStoreAnswer() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.heard, r.started = time.Now(), true
-	r.clearRefusal()
+	r.storeAnswered, r.tableReceived = time.Now(), true
+	r.clearStoreFailure()
 }
 
-// regainStore notes that the store answers calls for the group's lease again.
-func (r *Relay) regainStore() {
+// storeRecovered is called when the store answers calls for the lease of the group again.
+func (r *Relay) storeRecovered() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.clearRefusal()
+	r.clearStoreFailure()
 }
 
-// clearRefusal forgets that the store failed this node's calls; mu is held.
-func (r *Relay) clearRefusal() {
-	if !r.refusedAt.IsZero() {
-		r.refusedAt = time.Time{}
-		r.tellFound()
+// clearStoreFailure forgets that the store failed calls of this node. The caller holds mu.
+func (r *Relay) clearStoreFailure() {
+	if !r.storeFailedAt.IsZero() {
+		r.storeFailedAt = time.Time{}
+		r.notifyFound()
 		r.lessor.Retry()
 	}
 }
 
-// lost returns the channel of Found while the store fails this node's calls, and nil otherwise.
-func (r *Relay) lost() <-chan struct{} {
+// storeRecovery returns the channel of UpstreamFound while the store fails the calls of this node,
+// and nil otherwise.
+func (r *Relay) storeRecovery() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.refusedAt.IsZero() {
+	if r.storeFailedAt.IsZero() {
 		return nil
 	}
 	return r.found
 }
 
-// noteRefusal notes that the store failed this node's call for a table.
-func (r *Relay) noteRefusal(table Table) {
+// recordStoreFailure records that the store failed a call of this node for a table.
+func (r *Relay) recordStoreFailure(table Table) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.refusedAt, r.refusedTable = time.Now(), table
+	r.storeFailedAt, r.storeFailedTable = time.Now(), table
 }
 
-// mayLook decides whether this node looks for itself at a store of which its relay
-// has not heard for long. Once the store failed this node too, the relay's word is
-// enough: of many nodes only the standbys, and some others, look again soon.
-func (r *Relay) mayLook() bool {
+// mayProbeStore decides whether this node calls the store itself although its relay has not reached
+// it for long. Once the store has failed this node too, the report of the relay is enough: in a
+// large fleet only the standbys and a few others retry soon.
+func (r *Relay) mayProbeStore() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if time.Since(r.refusedAt) > lookAgain || r.nodes <= lookers || slices.Contains(r.standbys, r.address) {
+	if time.Since(r.storeFailedAt) > reprobeInterval || r.nodes <= storeProbers || slices.Contains(r.standbys, r.address) {
 		return true
 	}
-	return rand.Float64() < lookers/float64(r.nodes)
+	return rand.Float64() < storeProbers/float64(r.nodes)
 }
 
-// refused reports whether the store has just failed another table's call of this
-// node: one of them at a time finds out when it is back.
-func (r *Relay) refused(table Table) bool {
+// otherTableFailed reports whether the store has just failed a call of this node for another table.
+// Only one table at a time probes whether the store is back.
+func (r *Relay) otherTableFailed(table Table) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return table != r.refusedTable && time.Since(r.refusedAt) < refusalShared
+	return table != r.storeFailedTable && time.Since(r.storeFailedAt) < sharedFailurePeriod
 }
 
-func (r *Relay) noteRelay() {
+// recordRelayAnswer records a fresh answer of the relay.
+func (r *Relay) recordRelayAnswer() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.answered, r.started = time.Now(), true
-	if r.stale != (Peer{}) {
+	r.relayAnswered, r.tableReceived = time.Now(), true
+	if r.staleRelay != (Peer{}) {
 		r.log.Info("dependency regained", "dependency", "relay's word of the store")
-		r.stale = Peer{}
-		r.tellFound()
+		r.staleRelay = Peer{}
+		r.notifyFound()
 	}
 }
 
-// noteStale tells once of a relay whose word of the store is too old.
-func (r *Relay) noteStale(relay Peer, table Table, err error) {
+// recordStaleRelay logs once that the data of a relay is too old.
+func (r *Relay) recordStaleRelay(relay Peer, table Table, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.stale == relay {
+	if r.staleRelay == relay {
 		return
 	}
-	r.stale = relay
+	r.staleRelay = relay
 	r.log.Info("dependency lost", "dependency", "relay's word of the store", "peer", relay.Address, "table", table, "error", err.Error())
 }
 
-// age is how long ago the store answered this node.
+// age returns the time since the store last answered this node.
 func (r *Relay) age() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Since(r.heard)
+	return time.Since(r.storeAnswered)
 }
--- a/internal/relay/mirror.go
+++ b/internal/relay/mirror.go
@@ -12,44 +12,43 @@
 )
 
 const (
-	// maxRemoved bounds the removed rows that a mirror remembers; with more, the
-	// older half is forgotten.
+	// maxRemoved is the maximum number of removed rows that a mirror remembers. Beyond it the older
+	// half is discarded.
 	maxRemoved = 4096
-	// keptSize is the size of a table, in bytes, up to which a node that reads it from
-	// another one keeps its rows, to tell them at once should it become the relay.
-	keptSize = 256 << 10
-	// wholeWait is how long a question for all rows waits for a mirror that is being read.
-	wholeWait = 250 * time.Millisecond
+	// maxKeptBytes is the size of a table, in bytes, up to which a node that reads it from another
+	// node keeps its rows, so that it can serve them at once if it becomes the relay.
+	maxKeptBytes = 256 << 10
+	// snapshotWait is how long a request for all rows waits for a mirror that is being read.
+	snapshotWait = 250 * time.Millisecond
 )
 
-// mirror keeps a table as it was last read, with its removed rows, so that
-// other nodes can be told what changed after any revision from floor on. Its
-// methods may be called concurrently.
+// mirror holds a table as last read, with its removed rows, so that other nodes can be sent the
+// changes after any revision from floor on. It is safe for concurrent use.
 type mirror struct {
 	packer packer
 	pager  pager
 
 	mu sync.Mutex
-	// rows are the present rows, removed the newest revisions of absent ones.
+	// rows are the current rows; removed maps the keys of deleted rows to the revisions of their
+	// deletion.
 	rows    map[string]feed.Row
 	removed map[string]uint64
-	// log lists the changes of both.
+	// log lists the changes of rows and removed.
 	log changeLog
-	// size is that of the rows in bytes.
+	// size is the size of the rows in bytes.
 	size int
-	// light is set while the rows are not kept: only what was removed is, so that fill
-	// makes a mirror again that tells readers what they missed.
-	light bool
-	// position is the revision up to which all changes are in. What was removed
-	// is not known below floor, nor, for a reader whose revision lies between
-	// unseen and resumed, for rows that came and went there: the table was read
-	// anew after a gap.
+	// rowsDropped is set while only removed is kept, from which fill can restore a mirror that
+	// serves readers what they missed.
+	rowsDropped bool
+	// position is the revision up to which all changes are applied. Deletions below floor are not
+	// known. After a gap the table was read anew, so a reader whose revision lies between gapStart
+	// and gapEnd cannot be told of rows that were added and deleted in that range.
 	position uint64
 	floor    uint64
-	unseen   uint64
-	resumed  uint64
+	gapStart uint64
+	gapEnd   uint64
 	read     bool
-	// changed is closed when rows changed.
+	// changed is closed when rows change.
 	changed chan struct{}
 }
 
@@ -57,42 +56,41 @@
 	return &mirror{rows: make(map[string]feed.Row), removed: make(map[string]uint64), changed: make(chan struct{})}
 }
 
-// replace takes over all rows as of a revision; one that is older than the
-// mirror changes nothing.
+// replace applies a snapshot of all rows. A snapshot older than the mirror is ignored.
 func (m *mirror) replace(batch feed.Batch) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.read && batch.Revision < m.position {
 		return
 	}
-	if m.light {
-		// Which rows were removed since the mirror's position is not known.
-		m.light, m.floor = false, batch.Revision
+	if m.rowsDropped {
+		// Deletions since the position of the mirror are not known.
+		m.rowsDropped, m.floor = false, batch.Revision
 	}
-	there := make(map[string]bool, len(batch.Rows))
+	present := make(map[string]bool, len(batch.Rows))
 	for _, row := range batch.Rows {
-		there[row.Key] = true
+		present[row.Key] = true
 		m.put(row)
 	}
 	for key := range m.rows {
-		if !there[key] {
+		if !present[key] {
 			m.put(feed.Row{Key: key, Revision: batch.Revision, Deleted: true})
 		}
 	}
 	if !m.read {
 		m.read, m.floor, m.position = true, batch.Revision, batch.Revision
 	}
-	m.floor = max(m.floor, m.resumed)
-	m.unseen, m.resumed = m.position, batch.Revision
+	m.floor = max(m.floor, m.gapEnd)
+	m.gapStart, m.gapEnd = m.position, batch.Revision
 	m.advance(batch.Revision)
 }
 
-// tells reports whether all changes after a revision are known; mu is held.
-func (m *mirror) tells(revision uint64) bool {
-	return revision >= m.floor && (revision <= m.unseen || revision >= m.resumed)
+// knowsChangesAfter reports whether all changes after a revision are known. The caller holds mu.
+func (m *mirror) knowsChangesAfter(revision uint64) bool {
+	return revision >= m.floor && (revision <= m.gapStart || revision >= m.gapEnd)
 }
 
-// apply takes over changes up to a revision.
+// apply applies changes up to a revision.
 func (m *mirror) apply(batch feed.Batch) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -108,7 +106,7 @@
 	}
 }
 
-// put notes one row; mu is held.
+// put stores one row. The caller holds mu.
 func (m *mirror) put(row feed.Row) {
 	if known, ok := m.row(change{revision: row.Revision, key: row.Key}); !ok || known.Deleted != row.Deleted {
 		m.log.add(row.Key, row.Revision)
@@ -122,48 +120,48 @@
 		return
 	}
 	delete(m.removed, row.Key)
-	if !m.light {
+	if !m.rowsDropped {
 		m.rows[row.Key] = row
 		m.size += sizeOf(row)
 	}
 }
 
-// lighten drops the rows of a large table, which a node that reads it from another one
-// does not tell. A table of at most kept bytes stays.
-func (m *mirror) lighten(kept int) {
+// dropRows drops the rows of a table larger than kept bytes. A node that reads a table from another
+// node does not serve its rows.
+func (m *mirror) dropRows(kept int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.light || m.size <= kept {
+	if m.rowsDropped || m.size <= kept {
 		return
 	}
-	m.light, m.size = true, 0
+	m.rowsDropped, m.size = true, 0
 	m.rows, m.log = make(map[string]feed.Row), changeLog{}
 }
 
-// wasRead reports whether the mirror has the table's rows.
-func (m *mirror) wasRead() bool {
+// hasRows reports whether the mirror has the rows of the table.
+func (m *mirror) hasRows() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.read && !m.light
+	return m.read && !m.rowsDropped
 }
 
-// isLight reports whether the rows are not kept.
-func (m *mirror) isLight() bool {
+// lacksRows reports whether the rows were dropped.
+func (m *mirror) lacksRows() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.light
+	return m.rowsDropped
 }
 
-// fill takes over all rows of a table of which only the removed ones were kept. What was
-// removed since the mirror's position has to be told by apply yet; rows may be newer than
-// that, and are told again. It fails with fault.CodeStale when they are older.
+// fill restores the rows of a mirror that dropped them. Deletions after the position of the mirror
+// still have to be applied; rows may be newer than the position, and are sent to readers again
+// then. It fails with fault.CodeStale if the batch is older than the mirror.
 func (m *mirror) fill(batch feed.Batch) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if batch.Revision < m.position {
 		return fault.New(fault.CodeStale, "fill mirror", "revision %d is older than %d", batch.Revision, m.position)
 	}
-	m.light, m.log = false, changeLog{}
+	m.rowsDropped, m.log = false, changeLog{}
 	for key, revision := range m.removed {
 		m.log.add(key, revision)
 	}
@@ -174,11 +172,11 @@
 	return nil
 }
 
-// advance tells waiting readers of changes up to a revision; mu is held.
+// advance sets the position and wakes waiting readers. The caller holds mu.
 func (m *mirror) advance(revision uint64) {
 	m.position = revision
 	if len(m.removed) > maxRemoved {
-		m.forget()
+		m.trimRemoved()
 	}
 	m.log.compact(len(m.rows)+len(m.removed), func(c change) bool {
 		_, current := m.row(c)
@@ -188,58 +186,57 @@
 	m.changed = make(chan struct{})
 }
 
-// forget drops the older half of the removed rows; mu is held.
-func (m *mirror) forget() {
+// trimRemoved drops the older half of the removed rows. The caller holds mu.
+func (m *mirror) trimRemoved() {
 	revisions := slices.Sorted(maps.Values(m.removed))
 	m.floor = max(m.floor, revisions[len(revisions)/2])
 	maps.DeleteFunc(m.removed, func(_ string, revision uint64) bool { return revision <= m.floor })
 }
 
-// errUnread is the error of a mirror that has no rows yet.
-func errUnread() error {
+// errNotRead returns the error of a mirror without rows.
+func errNotRead() error {
 	return fault.New(fault.CodeNotReady, "relay table", "the table was not read yet")
 }
 
-// whole returns all rows. It fails with fault.CodeNotReady when the table is not read
-// before ctx ends.
-func (m *mirror) whole(ctx context.Context) (feed.Batch, error) {
-	if err := m.await(ctx); err != nil {
+// awaitSnapshot returns all rows. It fails with fault.CodeNotReady if the table is not read before
+// ctx ends.
+func (m *mirror) awaitSnapshot(ctx context.Context) (feed.Batch, error) {
+	if err := m.awaitRows(ctx); err != nil {
 		return feed.Batch{}, err
 	}
-	return m.present()
+	return m.snapshot()
 }
 
-// await waits until the mirror has rows. It fails with fault.CodeNotReady when ctx ends first.
-func (m *mirror) await(ctx context.Context) error {
+// awaitRows waits until the mirror has rows. It fails with fault.CodeNotReady if ctx ends first.
+func (m *mirror) awaitRows(ctx context.Context) error {
 	for {
 		m.mu.Lock()
-		there, changed := m.read && !m.light, m.changed
+		ready, changed := m.read && !m.rowsDropped, m.changed
 		m.mu.Unlock()
-		if there {
+		if ready {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return errUnread()
+			return errNotRead()
 		case <-changed:
 		}
 	}
 }
 
-// present returns all rows. It fails with fault.CodeNotReady when the mirror has none.
-func (m *mirror) present() (feed.Batch, error) {
+// snapshot returns all rows. It fails with fault.CodeNotReady if the mirror has none.
+func (m *mirror) snapshot() (feed.Batch, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.read || m.light {
-		return feed.Batch{}, errUnread()
+	if !m.read || m.rowsDropped {
+		return feed.Batch{}, errNotRead()
 	}
 	return feed.Batch{Rows: slices.Collect(maps.Values(m.rows)), Revision: m.position}, nil
 }
 
-// after returns the changes after a revision, in their order, as soon as there
-// are any, and none when ctx ends first. It fails with fault.CodeCompacted when
-// not all of them are known, and with fault.CodeNotReady when the table is not read
-// before ctx ends.
+// after returns the changes after a revision, in order, as soon as there are any, and an empty
+// batch if ctx ends first. It fails with fault.CodeCompacted if some of them are not known, and
+// with fault.CodeNotReady if the table is not read before ctx ends.
 func (m *mirror) after(ctx context.Context, revision uint64) (feed.Batch, error) {
 	for {
 		batch, changed, err := m.since(revision)
@@ -248,8 +245,8 @@
 		}
 		select {
 		case <-ctx.Done():
-			if m.isLight() {
-				return feed.Batch{}, errUnread()
+			if m.lacksRows() {
+				return feed.Batch{}, errNotRead()
 			}
 			return batch, nil
 		case <-changed:
@@ -260,12 +257,12 @@
 func (m *mirror) since(revision uint64) (feed.Batch, <-chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.read && !m.tells(revision) {
+	if m.read && !m.knowsChangesAfter(revision) {
 		return feed.Batch{}, nil, fault.New(fault.CodeCompacted, "relay table", "not all changes after %d are known", revision)
 	}
-	// A reader that is ahead of the mirror is told nothing until it caught up.
+	// A reader ahead of the mirror gets no changes until the mirror has caught up.
 	batch := feed.Batch{Revision: max(revision, m.position)}
-	if m.position <= revision || m.light {
+	if m.position <= revision || m.rowsDropped {
 		return batch, m.changed, nil
 	}
 	for _, changed := range m.log.after(revision) {
--- a/internal/relay/mirror_test.go
+++ b/internal/relay/mirror_test.go
@@ -13,8 +13,8 @@
 	"lilacvane/internal/feed"
 )
 
-// ended is a context that has ended, for questions that are not held.
-func ended() context.Context {
+// endedContext returns a canceled context, for requests that are not mirror.
+func endedContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx
@@ -41,19 +41,19 @@
 	return batch
 }
 
-// present returns the rows as of a revision.
+// present returns the revisions of the rows as of a revision.
 func (s *storeModel) present(revision uint64) map[string]uint64 {
 	rows := make(map[string]uint64)
 	for _, row := range s.changes {
 		if row.Revision > revision {
 			break
 		}
-		take(rows, row)
+		applyRow(rows, row)
 	}
 	return rows
 }
 
-func take(rows map[string]uint64, row feed.Row) {
+func applyRow(rows map[string]uint64, row feed.Row) {
 	if row.Deleted {
 		delete(rows, row.Key)
 		return
@@ -69,12 +69,11 @@
 	return batch
 }
 
-// TestMirrorTellsReadersTheTable drives a mirror and a reader of it through
-// writes, reads that are old, changes in batches of any size and a mirror that is
-// behind its reader: what the reader has is always the table as of its position.
-// It failed once in five runs of a hundred schedules: a row that came and went
-// between the mirror's position and a new read was not told to a reader that had
-// seen it.
+// TestMirrorTellsReadersTheTable drives a mirror and a reader of it through writes, stale reads,
+// change batches of any size and a mirror that lags behind its reader, and checks that the reader
+// always has the table as of its position. It guards against a mirror that does not tell a reader
+// of a row which was added and deleted between the position of the mirror and a new read, although
+// the reader has seen the row. That failed in one of five runs of a hundred schedules.
 func TestMirrorTellsReadersTheTable(t *testing.T) {
 	const rounds = 30
 	for range rounds {
@@ -97,22 +96,22 @@
 			case "watch":
 				m.apply(store.since(m.position))
 			case "lighten":
-				m.lighten(0)
+				m.dropRows(0)
 			case "fill":
-				// Rows may be newer than the mirror's position until the changes come, which
-				// are asked for at once.
-				if m.light {
+				// Rows may be newer than the position of the mirror until the changes arrive, which
+				// are requested at once.
+				if m.rowsDropped {
 					assert.NilError(t, m.fill(store.whole(store.revision)))
 					m.apply(store.since(m.position))
 				}
 			case "direct":
-				// The reader turned to the store, and may be ahead of the mirror now.
+				// The reader called the store and may now be ahead of the mirror.
 				for _, row := range store.since(position).Rows {
-					take(reader, row)
+					applyRow(reader, row)
 				}
 				position, read = store.revision, true
 			case "ask":
-				position, read = ask(t, m, reader, position, read)
+				position, read = readMirror(t, m, reader, position, read)
 			}
 			if read {
 				assert.DeepEqual(t, reader, store.present(position))
@@ -121,15 +120,15 @@
 	})
 }
 
-// ask lets the reader take over what the mirror tells.
-func ask(t *rapid.T, m *mirror, reader map[string]uint64, position uint64, read bool) (uint64, bool) {
-	batch, err := m.after(ended(), position)
-	if m.light {
-		assert.Assert(t, err != nil, "a mirror without rows told the table")
+// readMirror applies to the reader what the mirror returns.
+func readMirror(t *rapid.T, m *mirror, reader map[string]uint64, position uint64, read bool) (uint64, bool) {
+	batch, err := m.after(endedContext(), position)
+	if m.rowsDropped {
+		assert.Assert(t, err != nil, "a mirror without rows returned changes")
 		return position, read
 	}
 	if !read || fault.IsCode(err, fault.CodeCompacted) {
-		batch, err = m.whole(ended())
+		batch, err = m.awaitSnapshot(endedContext())
 		if fault.IsCode(err, fault.CodeNotReady) || batch.Revision < position {
 			return position, read
 		}
@@ -137,13 +136,13 @@
 	}
 	assert.NilError(t, err)
 	for _, row := range batch.Rows {
-		take(reader, row)
+		applyRow(reader, row)
 	}
 	return batch.Revision, true
 }
 
-// TestMirrorForgetsRemovedRows: the memory for removed rows is bounded, and a
-// reader from before what was forgotten has to read the table anew.
+// TestMirrorForgetsRemovedRows checks that the number of removed rows in memory is bounded, and
+// that a reader at a revision before a discarded row has to read the table anew.
 func TestMirrorForgetsRemovedRows(t *testing.T) {
 	m := newMirror()
 	m.replace(feed.Batch{Revision: 1})
@@ -152,39 +151,39 @@
 		m.apply(feed.Batch{Revision: revision, Rows: []feed.Row{{Key: fmt.Sprint(revision), Revision: revision, Deleted: true}}})
 	}
 	assert.Assert(t, len(m.removed) <= maxRemoved)
-	_, err := m.after(ended(), 1)
+	_, err := m.after(endedContext(), 1)
 	assert.Assert(t, fault.IsCode(err, fault.CodeCompacted), "%v", err)
-	batch, err := m.after(ended(), changes-3)
+	batch, err := m.after(endedContext(), changes-3)
 	assert.NilError(t, err)
 	assert.Equal(t, len(batch.Rows), 2)
 }
 
-// TestReaderOfLargeTableKeepsNoRows: a node that reads a large table from another one keeps
-// nothing of its rows, and still tells all readers what they missed once it is the relay.
+// TestReaderOfLargeTableKeepsNoRows checks that a node which reads a large table from another node
+// keeps none of its rows, and still sends all readers what they missed once it becomes the relay.
 func TestReaderOfLargeTableKeepsNoRows(t *testing.T) {
 	store := &fakeStore{}
 	const rows = 10 * maxRemoved
 	for i := range rows {
 		store.write(fmt.Sprintf("a-key-%d", i))
 	}
-	relay, follower := pair(t, store)
-	// Nobody reads from a relay that has not heard of the store for maxAge.
+	relay, follower := startPair(t, store)
+	// Nobody reads from a relay that has not reached the store for maxAge.
 	stop, _ := keepWatching(t, relay, rows)
 	batch, err := follower.source.Read(t.Context())
 	stop()
 	assert.NilError(t, err)
-	held := follower.mirror(testTable)
-	assert.Assert(t, len(held.rows) == 0 && len(held.log.changes) == 0, "%d rows are kept", len(held.rows))
+	followerMirror := follower.mirror(testTable)
+	assert.Assert(t, len(followerMirror.rows) == 0 && len(followerMirror.log.changes) == 0, "%d rows kept", len(followerMirror.rows))
 	assert.Equal(t, len(relay.mirror(testTable).rows), rows)
 
 	store.remove("a-key-7")
 	relay.Release(t.Context())
-	until(t, func() bool { return follower.lessor.Holds() })
+	waitUntil(t, func() bool { return follower.lessor.Holds() })
 	_, err = follower.source.Watch(t.Context(), batch.Revision, time.Second)
 	assert.NilError(t, err)
-	assert.Equal(t, len(held.rows), rows-1)
-	told, err := held.after(ended(), batch.Revision)
+	assert.Equal(t, len(followerMirror.rows), rows-1)
+	changes, err := followerMirror.after(endedContext(), batch.Revision)
 	assert.NilError(t, err)
-	assert.Equal(t, len(told.Rows), 1)
-	assert.Assert(t, told.Rows[0].Deleted && told.Rows[0].Key == "a-key-7")
+	assert.Equal(t, len(changes.Rows), 1)
+	assert.Assert(t, changes.Rows[0].Deleted && changes.Rows[0].Key == "a-key-7")
 }
--- a/internal/relay/pack.go
+++ b/internal/relay/pack.go
@@ -7,28 +7,28 @@
 	"lilacvane/internal/wire"
 )
 
-// packFrom is the size of rows, in bytes, from which they are packed.
-const packFrom = 4 << 10
+// minPackedSize is the size of rows, in bytes, from which they are compressed.
+const minPackedSize = 4 << 10
 
-// packKey names what a reader was told: the changes after a revision, or all
-// rows, up to another one.
+// packKey identifies the content of a response: all rows, or the changes after a revision, up to
+// another revision.
 type packKey struct {
 	whole    bool
 	after    uint64
 	revision uint64
 }
 
-// packer keeps what was packed last of a table: readers that are at the same
-// revision are told the same. Its methods may be called concurrently.
+// packer caches the last compressed rows of a table, because readers at the same revision get the
+// same rows. It is safe for concurrent use.
 type packer struct {
 	mu     sync.Mutex
 	key    packKey
 	packed []byte
 }
 
-// put fills in the rows of a response, packed where they are many.
+// put sets the rows of a response, compressed if they are large.
 func (p *packer) put(response *wire.FollowResponse, request wire.FollowRequest, batch feed.Batch) error {
-	if sizeOfAll(batch.Rows) < packFrom {
+	if sizeOfAll(batch.Rows) < minPackedSize {
 		response.Rows = wireRows(batch.Rows)
 		return nil
 	}
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// sizeOf is the size of a row in bytes.
+// sizeOf returns the size of a row in bytes.
 func sizeOf(row feed.Row) int { return len(row.Key) + len(row.Value) }
 
 func sizeOfAll(rows []feed.Row) int {
@@ -65,17 +65,17 @@
 	return converted
 }
 
-// rowsOf returns the rows of a relay's response.
+// rowsOf returns the rows of the response of a relay.
 func rowsOf(response wire.FollowResponse, relay Peer) ([]feed.Row, error) {
-	told := response.Rows
+	received := response.Rows
 	if len(response.Packed) > 0 {
 		var err error
-		if told, err = wire.UnpackRows(response.Packed, relay.Address); err != nil {
+		if received, err = wire.UnpackRows(response.Packed, relay.Address); err != nil {
 			return nil, err
 		}
 	}
 	var rows []feed.Row
-	for _, row := range told {
+	for _, row := range received {
 		rows = append(rows, feed.Row(row))
 	}
 	return rows, nil
--- a/internal/relay/pages.go
+++ b/internal/relay/pages.go
@@ -12,48 +12,48 @@
 )
 
 const (
-	// pageSize is the size of a page's rows, in bytes, above which the next one begins: well
-	// below the largest message.
+	// pageSize is the size of the rows of a page, in bytes, above which the next page begins. It is
+	// well below the largest message.
 	pageSize = 512 << 10
-	// pagesLifetime is how long the pages of a table are told though rows changed since:
-	// readers ask for these changes next.
+	// pagesLifetime is how long the pages of a table are served although rows have changed since.
+	// Readers ask for these changes next.
 	pagesLifetime = time.Second
 )
 
-// page is a part of a table's rows, in the order of their keys.
+// page is a part of the rows of a table, ordered by key.
 type page struct {
 	first string
 	rows  []feed.Row
-	// packed are the rows in place of rows where they are many.
+	// packed holds the compressed rows instead of rows if they are large.
 	packed []byte
 }
 
-// pages are all rows of a table as of a revision. Hundreds of readers that start at the same
-// moment are told the same ones.
+// pages holds all rows of a table as of a revision. Hundreds of readers that start at the same
+// moment are served the same pages.
 type pages struct {
 	revision uint64
 	at       time.Time
 	list     []page
 }
 
-// pager keeps the pages of a mirror. Its methods may be called concurrently.
+// pager caches the pages of a mirror. It is safe for concurrent use.
 type pager struct {
 	mu   sync.Mutex
 	last *pages
 }
 
-// get returns the pages of a mirror. It fails with fault.CodeNotReady when the mirror is not
-// read before ctx ends.
+// get returns the pages of a mirror. It fails with fault.CodeNotReady if the mirror is not read
+// before ctx ends.
 func (p *pager) get(ctx context.Context, m *mirror) (*pages, error) {
-	if err := m.await(ctx); err != nil {
+	if err := m.awaitRows(ctx); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.last != nil && m.serves(p.last.revision, time.Since(p.last.at) < pagesLifetime) {
+	if p.last != nil && m.canServe(p.last.revision, time.Since(p.last.at) < pagesLifetime) {
 		return p.last, nil
 	}
-	batch, err := m.present()
+	batch, err := m.snapshot()
 	if err != nil {
 		return nil, err
 	}
@@ -65,15 +65,15 @@
 	return p.last, nil
 }
 
-// serves reports whether pages as of a revision may be told: nothing changed since, or they are
-// fresh and all that changed is told next.
-func (m *mirror) serves(revision uint64, fresh bool) bool {
+// canServe reports whether pages as of a revision may be served: nothing has changed since, or they
+// are fresh and all later changes can be sent next.
+func (m *mirror) canServe(revision uint64, fresh bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return !m.light && (revision == m.position || fresh && m.tells(revision))
+	return !m.rowsDropped && (revision == m.position || fresh && m.knowsChangesAfter(revision))
 }
 
-// cutPages cuts rows into pages; there is at least one.
+// cutPages splits rows into pages. There is at least one page.
 func cutPages(rows []feed.Row) ([]page, error) {
 	slices.SortFunc(rows, func(a, b feed.Row) int { return cmp.Compare(a.Key, b.Key) })
 	var cut []page
@@ -93,30 +93,30 @@
 	return cut, nil
 }
 
-// newPage returns a page of rows, packed where they are many.
+// newPage returns a page of rows, compressed if they are large.
 func newPage(rows []feed.Row, size int) (page, error) {
-	made := page{}
+	p := page{}
 	if len(rows) > 0 {
-		made.first = rows[0].Key
+		p.first = rows[0].Key
 	}
-	if size < packFrom {
-		made.rows = rows
-		return made, nil
+	if size < minPackedSize {
+		p.rows = rows
+		return p, nil
 	}
 	var err error
-	made.packed, err = wire.PackRows(wireRows(rows))
-	return made, err
+	p.packed, err = wire.PackRows(wireRows(rows))
+	return p, err
 }
 
-// put fills in a response with the page that has the rows from a key on. It may have some
-// before, which are told twice then.
+// put sets the page that has the rows from a key on in a response. The page may also have earlier
+// rows, which are then sent twice.
 func (p *pages) put(response *wire.FollowResponse, from string) {
 	index, found := slices.BinarySearchFunc(p.list, from, func(p page, key string) int { return cmp.Compare(p.first, key) })
 	if !found {
 		index = max(index-1, 0)
 	}
-	told := p.list[index]
-	response.Revision, response.Rows, response.Packed = p.revision, wireRows(told.rows), told.packed
+	selected := p.list[index]
+	response.Revision, response.Rows, response.Packed = p.revision, wireRows(selected.rows), selected.packed
 	if index+1 < len(p.list) {
 		response.Next = p.list[index+1].first
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,11 +1,12 @@
-// Package relay lets the nodes of a group read the store's tables through one of
-// them, so that the store is called by one node a group and not by all. The node
-// that holds the group's lease reads the store and keeps a mirror of each table;
-// the others follow its mirrors. A node turns to the store itself as soon as the
-// relay does not answer in time, or has not heard of the store for too long.
+// Package relay lets the nodes of a group read the tables of the store through one of
+// them, so that one node per group calls the store instead of all. The node that holds
+// the lease of the group reads the store and keeps a mirror of each table; the others
+// follow its mirrors. A node falls back to the store as soon as the relay does not answer
+// in time or has not reached the store for too long.
 //
-// What comes through a relay is as old as its answer says at most, and a reader
-// never steps back: revisions are the store's own, whoever tells them.
+// Data that comes through a relay is at most as old as the response says, and the
+// revision of a reader never decreases: revisions are assigned by the store, whichever
+// node sends them.
 package relay
 
 import (
@@ -19,55 +20,55 @@
 	"lilacvane/internal/table"
 )
 
-// Table names a table that is relayed; all nodes of a group use the same names.
+// Table is the name of a relayed table. All nodes of a group use the same names.
 type Table string
 
-// Group names the nodes that share a relay.
+// Group is the name of the set of nodes that share a relay.
 type Group string
 
-// LeaseKey is the key of the group's lease.
+// LeaseKey returns the key of the lease of the group.
 func (g Group) LeaseKey() string { return "relay." + string(g) }
 
 const (
 	leaseInterval = 500 * time.Millisecond
 	leaseValidity = time.Second
 	leaseTimeout  = 800 * time.Millisecond
-	// callMargin is how long a relay's answer may take beyond its hold.
+	// callMargin is how much longer than its hold time the response of a relay may take.
 	callMargin = 350 * time.Millisecond
-	// wholeMargin is the same for a page of a whole table, which hundreds of readers may ask
-	// for at once. That the relay is lost other calls show sooner.
+	// wholeMargin is the same for a page of a whole table, which hundreds of readers may request at
+	// once. Other calls detect the loss of a relay sooner.
 	wholeMargin = 2 * time.Second
-	// maxAge is how long ago a relay may have heard of the store.
+	// maxAge is the maximum time since a relay last got an answer from the store.
 	maxAge = 900 * time.Millisecond
-	// heardFor is how long an answer of the relay proves that it is there.
-	heardFor = 1200 * time.Millisecond
-	// pacePerNode is the least time between two answers of a relay that bring no urgent news, so
-	// that the work for its readers stays bounded however many they are.
+	// relayAnswerValidity is how long an answer of the relay counts as proof that it is up.
+	relayAnswerValidity = 1200 * time.Millisecond
+	// pacePerNode is the minimum time between two responses of a relay without urgent changes, so
+	// that its load stays bounded however many readers it has.
 	pacePerNode = time.Millisecond
-	// longestPace bounds the age of news.
-	longestPace = 2 * time.Second
-	// suspension is the least time for which a relay that failed is left alone;
-	// up to half as much is added by chance.
-	suspension = 1500 * time.Millisecond
-	// lookers is how many nodes look for themselves when the relay has not heard of
-	// the store for long.
-	lookers = 8
-	// lookAgain is after which time every node looks for itself once more.
-	lookAgain = 2 * time.Second
-	// refusalShared is how long a call that the store failed speaks for the node's
-	// other tables.
-	refusalShared = 400 * time.Millisecond
-	// probeTimeout bounds a call that finds out whether the store answers again; as much as a call
-	// may take beyond its wait, so that a slow store is not taken for one that is away.
+	// maxPace bounds the delay of changes.
+	maxPace = 2 * time.Second
+	// minSuspension is the minimum time for which a failed relay is avoided. Up to half as much is
+	// added at random.
+	minSuspension = 1500 * time.Millisecond
+	// storeProbers is how many nodes call the store themselves when the relay has not reached it
+	// for long.
+	storeProbers = 8
+	// reprobeInterval is the time after which every node may call the store itself again.
+	reprobeInterval = 2 * time.Second
+	// sharedFailurePeriod is how long the failure of the store for one table counts for the other
+	// tables of the node.
+	sharedFailurePeriod = 400 * time.Millisecond
+	// probeTimeout bounds a call that checks whether the store answers again. It equals the time
+	// that a call may take beyond its wait, so that a slow store is not considered unavailable.
 	probeTimeout = 900 * time.Millisecond
-	// maxHoldMs bounds, in milliseconds, how long a reader may have its question held.
+	// maxHoldMs is the maximum time, in milliseconds, for which a reader may have its request held.
 	maxHoldMs = 15_000
 )
 
-// Upstream is where a node reads the tables: Store or Peer.
+// Upstream is what a node reads the tables from: Store or Peer.
 type Upstream interface {
 	upstream()
-	// String is store or the relay's address.
+	// String returns "store" or the address of the relay.
 	String() string
 }
 
@@ -78,48 +79,48 @@
 type Peer struct {
 	// Address is the relay's ip:port for peers.
 	Address string
-	// Token tells one holder of the group's lease from the next.
+	// Token distinguishes successive holders of the lease of the group.
 	Token uint64
 }
 
 func (Store) upstream() {}
 func (Peer) upstream()  {}
 
-// String returns store.
+// String returns "store".
 func (Store) String() string { return "store" }
 
-// String returns the relay's address.
+// String returns the address of the relay.
 func (p Peer) String() string { return p.Address }
 
-// Caller calls other nodes, as *peer.Client does.
+// Caller calls other nodes; *peer.Client implements it.
 type Caller interface {
 	// Call sends a message and decodes the answer into response, a pointer. Its error is a
-	// *fault.Error; ctx bounds it.
+	// *fault.Error. ctx bounds the call.
 	Call(ctx context.Context, address, method string, request, response any) error
 }
 
-// Options are the parts of a relay.
+// Options configures a Relay.
 type Options struct {
 	Group  Group
 	Node   string
 	Leases table.Table
-	// Address is where this node's peers reach it (ip:port), Process tells this
+	// Address is the ip:port at which other nodes reach this one. Process distinguishes this
 	// process from earlier ones of the node.
 	Address string
 	Process string
 	Client  Caller
-	// Reluctance is how much later than others this node becomes the relay.
+	// TakeoverDelay returns how much later than others this node becomes the relay.
 	Reluctance func() time.Duration
-	// FirstStart is set when the whole system starts for the first time: nobody waits
-	// for it yet.
+	// FirstStart is set when the whole system starts for the first time, so that no requests wait
+	// for this node yet.
 	FirstStart bool
-	// Now is the clock of the group's lease; see lease.Options.
+	// Now is the clock of the group lease; see lease.Options.
 	Now func() time.Time
 	Log logr.Logger
 }
 
-// Relay is a node's part in its group, as reader and as relay. Its methods may
-// be called concurrently.
+// Relay is the member of a group that runs on one node, as a reader or as the relay. It is safe for
+// concurrent use.
 type Relay struct {
 	lessor  *lease.Lessor
 	client  Caller
@@ -128,58 +129,58 @@
 
 	mu      sync.Mutex
 	mirrors map[Table]*mirror
-	// heard is when the store answered this node last, answered when its relay did.
-	heard    time.Time
-	answered time.Time
-	// failed is the relay that is left alone until suspended; gone is closed when
-	// the current one fails.
-	failed    Peer
-	suspended time.Time
-	gone      chan struct{}
-	// found is closed when this node has found where to read again.
-	found   chan struct{}
-	last    Upstream
-	stopped bool
-	// nodes is how many nodes there are, as far as is known. refusedAt is when the
-	// store last failed a call of this node, refusedTable for which table.
-	nodes        int
-	refusedAt    time.Time
-	refusedTable Table
-	// stale is the relay whose word of the store was too old when this node asked it last.
-	stale Peer
-	// peers are addresses of other readers, for the case that the store is lost;
-	// hint is the relay that they named, sought when they were asked last.
-	peers  addressSet
-	hint   Peer
-	sought time.Time
-	// firstStart and standbys decide whether this node turns to the store by itself; see
-	// Direct.
+	// storeAnswered is when the store last answered this node, relayAnswered when its relay did.
+	storeAnswered time.Time
+	relayAnswered time.Time
+	// failed is the relay that is avoided until suspendedUntil. upstreamLost is closed when the
+	// current upstream fails.
+	failed         Peer
+	suspendedUntil time.Time
+	upstreamLost   chan struct{}
+	// found is closed when this node has found an upstream again.
+	found        chan struct{}
+	lastUpstream Upstream
+	stopped      bool
+	// nodes is the number of nodes as far as known. storeFailedAt is when the store last failed a
+	// call of this node, and storeFailedTable the table of that call.
+	nodes            int
+	storeFailedAt    time.Time
+	storeFailedTable Table
+	// staleRelay is the relay whose data was too old when this node last called it.
+	staleRelay Peer
+	// peers are addresses of other readers, used when the store is lost. namedRelay is the relay
+	// that they named, lastSeek when they were last queried.
+	peers      addressSet
+	namedRelay Peer
+	lastSeek   time.Time
+	// firstStart and standbys decide whether this node reads the store on its own; see
+	// FallsBackToStore.
 	firstStart bool
 	standbys   []string
-	// began is when this process started, rowSeen is set once it knows the lease's row, started
-	// once it was told of a table.
-	began   time.Time
-	rowSeen bool
-	started bool
-	// reader is a node without the lease that reads the store, from which this one
-	// reads while there is no relay. lookingSince is when the look for one began, zero
-	// for none, lookedAt when others were asked last, looks how many looks in vain there
-	// were before this one.
-	reader       Peer
-	lookingSince time.Time
-	lookedAt     time.Time
-	looks        int
+	// processStarted is when this process started. leaseRowRead is set once it has read the lease
+	// row, tableReceived once it has received data of a table.
+	processStarted time.Time
+	leaseRowRead   bool
+	tableReceived  bool
+	// reader is a node that reads the store without holding the lease, from which this node reads
+	// while there is no relay. searchStarted is when the search for one began (zero: none),
+	// lastSearch when other nodes were last queried, and failedSearches how many searches failed
+	// before this one.
+	reader         Peer
+	searchStarted  time.Time
+	lastSearch     time.Time
+	failedSearches int
 }
 
-// New returns a node's part in its group. Run starts it.
+// New returns the member of a group for one node. Run starts it.
 func New(o Options) *Relay {
 	r := &Relay{
-		client: o.Client, address: o.Address, log: o.Log.WithValues("group", o.Group), mirrors: make(map[Table]*mirror), gone: make(chan struct{}), found: make(chan struct{}),
-		firstStart: o.FirstStart, began: time.Now(),
+		client: o.Client, address: o.Address, log: o.Log.WithValues("group", o.Group), mirrors: make(map[Table]*mirror), upstreamLost: make(chan struct{}), found: make(chan struct{}),
+		firstStart: o.FirstStart, processStarted: time.Now(),
 	}
 	r.lessor = lease.New(o.Leases, o.Group.LeaseKey(), o.Node, o.Address, o.Process, lease.Options{
-		Validity: leaseValidity, Interval: leaseInterval, CallTimeout: leaseTimeout, Reluctance: o.Reluctance, Heard: r.relayHeard,
-		Nodes: r.Nodes, LookFirst: true, LookAtOnce: !o.FirstStart, Regained: r.regainStore, Now: o.Now,
+		Validity: leaseValidity, Interval: leaseInterval, CallTimeout: leaseTimeout, Reluctance: o.Reluctance, Heard: r.skipLeaseCheck,
+		Nodes: r.Nodes, LookFirst: true, LookAtOnce: !o.FirstStart, Regained: r.storeRecovered, Now: o.Now,
 	}, o.Log)
 	return r
 }
@@ -187,8 +188,8 @@
 // Run takes part in the group until ctx ends.
 func (r *Relay) Run(ctx context.Context) { r.lessor.Run(ctx) }
 
-// Release gives the group's lease back and refuses readers from here on, so that
-// another node takes over. This node reads from that one, or from another reader.
+// Release gives up the group lease and rejects readers from then on, so that another node takes
+// over. This node then reads from that node or from another reader.
 func (r *Relay) Release(ctx context.Context) {
 	r.mu.Lock()
 	r.stopped = true
@@ -196,34 +197,34 @@
 	r.lessor.Release(ctx)
 }
 
-// Upstream returns where this node reads the tables now.
+// Upstream returns what this node currently reads the tables from.
 func (r *Relay) Upstream() Upstream {
 	record, known := r.lessor.Holder()
 	holds, looked := r.lessor.Holds(), r.lessor.Looked()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rowSeen = r.rowSeen || looked
+	r.leaseRowRead = r.leaseRowRead || looked
 	if r.nodes == 0 {
 		r.nodes = record.Nodes
 	}
 	up := r.choose(record, known && !holds)
-	if up != r.last {
+	if up != r.lastUpstream {
 		r.log.Info("tables' upstream changed", "upstream", up.String(), "holds", holds)
-		r.last = up
+		r.lastUpstream = up
 	}
 	return up
 }
 
-// choose picks the upstream; other is set when the newest lease known is held by
-// another process. A relay that peers named goes before an older lease, also
-// before one that this node believes to hold. mu is held.
+// choose selects the upstream. other is set if the newest known lease is held by another process. A
+// relay named by peers takes precedence over an older lease, even one that this node believes to
+// hold. The caller holds mu.
 func (r *Relay) choose(record lease.Record, other bool) Upstream {
 	relay := Peer{Address: record.Address, Token: record.Token}
-	if r.hint.Token > record.Token {
-		relay, other = r.hint, true
+	if r.namedRelay.Token > record.Token {
+		relay, other = r.namedRelay, true
 	}
 	reading := r.reader.Address != ""
-	failed := relay == r.failed && (reading || time.Now().Before(r.suspended))
+	failed := relay == r.failed && (reading || time.Now().Before(r.suspendedUntil))
 	switch {
 	case other && relay.Address != r.address && !failed:
 		return relay
@@ -234,22 +235,22 @@
 	}
 }
 
-// SetNodes tells how many nodes there are.
+// SetNodes sets the number of nodes.
 func (r *Relay) SetNodes(nodes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.nodes = nodes
 }
 
-// Nodes returns how many nodes there are, as far as is known.
+// Nodes returns the number of nodes as far as known.
 func (r *Relay) Nodes() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.nodes
 }
 
-// Pace is how long this node gathers news that are not urgent: nothing where it reads the store
-// itself, the longer the more nodes read from the same relay.
+// Pace returns how long this node batches changes that are not urgent: zero if it reads the store
+// itself, otherwise proportional to the number of nodes that read from the same relay.
 func (r *Relay) Pace() time.Duration {
 	if _, follows := r.Upstream().(Peer); !follows {
 		return 0
@@ -259,7 +260,7 @@
 	return r.pace()
 }
 
-// pace is Pace of a node that follows a relay; mu is held.
+// pace is Pace for a node that follows a relay. The caller holds mu.
 func (r *Relay) pace() time.Duration {
-	return min(time.Duration(r.nodes)*pacePerNode, longestPace)
+	return min(time.Duration(r.nodes)*pacePerNode, maxPace)
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -21,19 +21,19 @@
 	"lilacvane/internal/wire"
 )
 
-// fakeStore is a store with the group's lease and one table.
+// fakeStore is a store with the lease of the group and one table.
 type fakeStore struct {
 	mu    sync.Mutex
 	lease table.Row
 	model storeModel
 	down  atomic.Bool
 	reads atomic.Int64
-	// looks counts the reads of the lease's row.
-	looks atomic.Int64
+	// leaseReads counts the reads of the lease row.
+	leaseReads atomic.Int64
 }
 
 func (s *fakeStore) Get(context.Context, string) (table.Row, error) {
-	s.looks.Add(1)
+	s.leaseReads.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lease, nil
@@ -83,14 +83,14 @@
 	s.model.write(key, true)
 }
 
-// resetter is a listener whose connections a test can reset.
-type resetter struct {
+// resettableListener is a listener whose connections a test can reset.
+type resettableListener struct {
 	net.Listener
 	mu   sync.Mutex
 	open []net.Conn
 }
 
-func (r *resetter) Accept() (net.Conn, error) {
+func (r *resettableListener) Accept() (net.Conn, error) {
 	c, err := r.Listener.Accept()
 	if err == nil {
 		r.mu.Lock()
@@ -100,7 +100,7 @@
 	return c, err
 }
 
-func (r *resetter) reset() {
+func (r *resettableListener) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.open {
@@ -113,20 +113,21 @@
 // member is a node of a group with one table.
 type member struct {
 	*Relay
-	source   *Source
-	listener *resetter
-	asked    atomic.Int64
-	// kill ends its work and its connections.
+	source      *Source
+	listener    *resettableListener
+	followCalls atomic.Int64
+	// kill stops the node and closes its connections.
 	kill func()
 }
 
 const testTable Table = "things"
 
-func start(t *testing.T, store *fakeStore, name string, change ...func(*Options)) *member {
+// startMember starts a node of the group.
+func startMember(t *testing.T, store *fakeStore, name string, change ...func(*Options)) *member {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	m := &member{listener: &resetter{Listener: listener}}
+	m := &member{listener: &resettableListener{Listener: listener}}
 	options := Options{
 		Group: "group", Node: name, Leases: store, Address: listener.Addr().String(), Process: name, Client: peer.NewClient(name, nil), Log: logr.Discard(),
 	}
@@ -137,7 +138,7 @@
 	m.source = m.Relay.Source(testTable, store)
 	server := peer.NewServer(name)
 	peer.Handle(server, wire.MethodFollow, func(ctx context.Context, request wire.FollowRequest) (wire.FollowResponse, error) {
-		m.asked.Add(1)
+		m.followCalls.Add(1)
 		return m.Follow(ctx, request)
 	})
 	peer.Handle(server, wire.MethodRelay, m.Which)
@@ -153,19 +154,19 @@
 	return m
 }
 
-// pair starts a relay that has read the table and a node that follows it.
-func pair(t *testing.T, store *fakeStore) (relay, follower *member) {
+// startPair starts a relay that has read the table, and a node that follows it.
+func startPair(t *testing.T, store *fakeStore) (relay, follower *member) {
 	t.Helper()
-	relay = start(t, store, "one")
-	until(t, func() bool { return relay.lessor.Holds() })
+	relay = startMember(t, store, "one")
+	waitUntil(t, func() bool { return relay.lessor.Holds() })
 	_, err := relay.source.Read(t.Context())
 	assert.NilError(t, err)
-	follower = start(t, store, "two")
-	until(t, func() bool { _, follows := follower.Upstream().(Peer); return follows })
+	follower = startMember(t, store, "two")
+	waitUntil(t, func() bool { _, follows := follower.Upstream().(Peer); return follows })
 	return relay, follower
 }
 
-func until(t *testing.T, condition func() bool) {
+func waitUntil(t *testing.T, condition func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if condition() {
@@ -175,11 +176,11 @@
 	}, poll.WithDelay(5*time.Millisecond), poll.WithTimeout(30*time.Second))
 }
 
-// TestFollowerLeavesTheStoreAlone: what a follower reads comes from the relay.
-func TestFollowerLeavesTheStoreAlone(t *testing.T) {
+// TestFollowerDoesNotReadStore checks that a follower reads from the relay.
+func TestFollowerDoesNotReadStore(t *testing.T) {
 	store := &fakeStore{}
 	store.write("a")
-	relay, follower := pair(t, store)
+	relay, follower := startPair(t, store)
 	before := store.reads.Load()
 	batch, err := follower.source.Read(t.Context())
 	assert.NilError(t, err)
@@ -194,35 +195,35 @@
 	assert.Equal(t, store.reads.Load(), before+1)
 }
 
-// TestResetConnectionKeepsTheRelay: a connection that is reset is no sign that the
-// relay is gone. It failed first: all followers of a relay whose connections were
-// reset turned to the store for two seconds.
+// TestResetConnectionKeepsTheRelay checks that a connection reset does not count as the loss of the
+// relay. Otherwise all followers of a relay whose connections are reset read the store for two
+// seconds.
 func TestResetConnectionKeepsTheRelay(t *testing.T) {
 	store := &fakeStore{}
-	relay, follower := pair(t, store)
+	relay, follower := startPair(t, store)
 	batch, err := follower.source.Read(t.Context())
 	assert.NilError(t, err)
-	before, asked := store.reads.Load(), relay.asked.Load()
+	before, asked := store.reads.Load(), relay.followCalls.Load()
 	done := make(chan error)
 	go func() {
 		_, err := follower.source.Watch(t.Context(), batch.Revision, 400*time.Millisecond)
 		done <- err
 	}()
-	until(t, func() bool { return relay.asked.Load() > asked })
+	waitUntil(t, func() bool { return relay.followCalls.Load() > asked })
 	relay.listener.reset()
 	assert.NilError(t, <-done)
 	assert.Equal(t, store.reads.Load(), before)
-	assert.Equal(t, relay.asked.Load(), asked+2)
+	assert.Equal(t, relay.followCalls.Load(), asked+2)
 }
 
-// TestStoreIsReadWhenRelayIsOld: a relay that has not heard of the store for too
-// long is passed over.
+// TestStoreIsReadWhenRelayIsOld checks that a relay which has not reached the store for too long is
+// not used.
 func TestStoreIsReadWhenRelayIsOld(t *testing.T) {
 	store := &fakeStore{}
 	store.write("a")
-	relay, follower := pair(t, store)
+	relay, follower := startPair(t, store)
 	relay.mu.Lock()
-	relay.heard = time.Now().Add(-time.Hour)
+	relay.storeAnswered = time.Now().Add(-time.Hour)
 	relay.mu.Unlock()
 	before := store.reads.Load()
 	batch, err := follower.source.Read(t.Context())
@@ -232,80 +233,80 @@
 	assert.Equal(t, follower.Upstream(), Store{})
 }
 
-// TestManyNodesLeaveStoreThatIsAway: while the relay has not heard of the store, a
-// node finds out once whether it is away for itself too, for all of its tables; of
-// many nodes only some look again soon.
+// TestManyNodesLeaveStoreThatIsAway checks that while the relay does not reach the store, a node
+// checks once for all of its tables whether it can reach the store itself, and that only some nodes
+// of a large fleet retry soon.
 func TestManyNodesLeaveStoreThatIsAway(t *testing.T) {
 	store := &fakeStore{}
 	store.write("a")
-	relay, follower := pair(t, store)
+	relay, follower := startPair(t, store)
 	_, err := follower.source.Read(t.Context())
 	assert.NilError(t, err)
-	follower.SetNodes(1000 * lookers)
+	follower.SetNodes(1000 * storeProbers)
 	store.down.Store(true)
 	relay.mu.Lock()
-	relay.heard = time.Now().Add(-time.Hour)
+	relay.storeAnswered = time.Now().Add(-time.Hour)
 	relay.mu.Unlock()
 	before := store.reads.Load()
 	_, err = follower.source.Read(t.Context())
 	assert.Assert(t, err != nil)
-	assert.Equal(t, store.reads.Load(), before+1, "the store is looked at by itself first")
-	assert.Assert(t, follower.refused("another table") && !follower.refused(testTable))
-	assert.Assert(t, !follower.mayLook())
+	assert.Equal(t, store.reads.Load(), before+1, "the node did not call the store itself first")
+	assert.Assert(t, follower.otherTableFailed("another table") && !follower.otherTableFailed(testTable))
+	assert.Assert(t, !follower.mayProbeStore())
 	store.down.Store(false)
-	_, err = follower.source.direct(t.Context(), store.Read)
+	_, err = follower.source.readStore(t.Context(), store.Read)
 	assert.NilError(t, err)
-	assert.Assert(t, follower.mayLook() && !follower.refused("another table"))
+	assert.Assert(t, follower.mayProbeStore() && !follower.otherTableFailed("another table"))
 }
 
-// TestFollowersDoNotRelay: a node that follows a relay refuses to be one, so that
-// no two nodes wait for each other's news.
+// TestFollowersDoNotRelay checks that a node which follows a relay rejects readers, so that no two
+// nodes wait for data from each other.
 func TestFollowersDoNotRelay(t *testing.T) {
-	_, follower := pair(t, &fakeStore{})
+	_, follower := startPair(t, &fakeStore{})
 	_, err := follower.source.Read(t.Context())
 	assert.NilError(t, err)
 	_, err = follower.Follow(t.Context(), wire.FollowRequest{Table: string(testTable), Whole: true})
 	assert.Assert(t, fault.IsCode(err, fault.CodeNotReady), "%v", err)
 }
 
-// TestReleasedRelayRefuses: a relay that stops sends its readers away at once.
+// TestReleasedRelayRefuses checks that a stopping relay rejects its readers at once.
 func TestReleasedRelayRefuses(t *testing.T) {
 	store := &fakeStore{}
-	relay, follower := pair(t, store)
+	relay, follower := startPair(t, store)
 	relay.Release(t.Context())
 	before := store.reads.Load()
 	_, err := follower.source.Read(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, store.reads.Load(), before+1)
-	until(t, func() bool { return follower.lessor.Holds() })
+	waitUntil(t, func() bool { return follower.lessor.Holds() })
 }
 
-// TestManyRowsArePackedOnce: a batch of many rows reaches the followers whole, and
-// those at the same revision are told the same bytes.
+// TestManyRowsArePackedOnce checks that a batch of many rows reaches the followers completely, and
+// that followers at the same revision are sent the same bytes.
 func TestManyRowsArePackedOnce(t *testing.T) {
 	store := &fakeStore{}
 	const rows = 2000
 	for i := range rows {
 		store.write(fmt.Sprintf("a-rather-long-key-%d", i))
 	}
-	relay, follower := pair(t, store)
+	relay, follower := startPair(t, store)
 	batch, err := follower.source.Read(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, len(batch.Rows), rows)
 	first := relay.mirror(testTable).pager.last.list[0].packed
-	_, err = start(t, store, "three").source.Read(t.Context())
+	_, err = startMember(t, store, "three").source.Read(t.Context())
 	assert.NilError(t, err)
 	assert.Assert(t, &first[0] == &relay.mirror(testTable).pager.last.list[0].packed[0])
 }
 
-// TestReadersPaceThemselves: the more nodes read from a relay, the longer each gathers news that
-// are not urgent, up to a bound; the relay gathers nothing.
+// TestReadersPaceThemselves checks that the time for which readers batch changes that are not
+// urgent grows with the number of nodes up to a bound, and that the relay does not batch.
 func TestReadersPaceThemselves(t *testing.T) {
-	relay, follower := pair(t, &fakeStore{})
+	relay, follower := startPair(t, &fakeStore{})
 	for _, test := range []struct {
 		nodes int
 		pace  time.Duration
-	}{{0, 0}, {7, 7 * time.Millisecond}, {985, 985 * time.Millisecond}, {5000, longestPace}} {
+	}{{0, 0}, {7, 7 * time.Millisecond}, {985, 985 * time.Millisecond}, {5000, maxPace}} {
 		relay.SetNodes(test.nodes)
 		follower.SetNodes(test.nodes)
 		assert.Equal(t, follower.Pace(), test.pace)
--- a/internal/relay/seek.go
+++ b/internal/relay/seek.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// maxPeers bounds the addresses that a node keeps.
+	// maxPeers is the maximum number of addresses that a node keeps.
 	maxPeers = 16
-	// peersTold is how many addresses are told to a reader.
-	peersTold = 4
-	// seekInterval is the least time between two looks, seekTimeout bounds one.
+	// maxPeersSent is the maximum number of addresses sent to a reader.
+	maxPeersSent = 4
+	// seekInterval is the minimum time between two searches for a replacement, and seekTimeout
+	// bounds one.
 	seekInterval = 250 * time.Millisecond
 	seekTimeout  = 300 * time.Millisecond
 )
 
-// addressSet keeps the addresses met last, at most maxPeers.
+// addressSet holds the most recently added addresses, at most maxPeers.
 type addressSet []string
 
 func (s *addressSet) add(address string) {
@@ -33,15 +34,15 @@
 	}
 }
 
-// pick returns up to count addresses by chance.
+// pick returns up to count addresses at random.
 func (s addressSet) pick(count int) []string {
 	picked := slices.Clone(s)
 	rand.Shuffle(len(picked), func(i, j int) { picked[i], picked[j] = picked[j], picked[i] })
 	return picked[:min(count, len(picked))]
 }
 
-// meet keeps another reader's address.
-func (r *Relay) meet(addresses ...string) {
+// addPeers records the addresses of other readers.
+func (r *Relay) addPeers(addresses ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, address := range addresses {
@@ -51,65 +52,66 @@
 	}
 }
 
-func (r *Relay) known(count int) []string {
+// samplePeers returns up to count known addresses at random.
+func (r *Relay) samplePeers(count int) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.peers.pick(count)
 }
 
-// seekDue reports whether peers may be asked again, and notes that they are. The more nodes there
-// are, the less often each asks, as all ask the same few standbys.
+// seekDue reports whether peers may be queried again, and records the time if so. The interval
+// grows with the number of nodes, because all query the same few standbys.
 func (r *Relay) seekDue() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if time.Since(r.sought) < max(seekInterval, r.pace()/2) {
+	if time.Since(r.lastSeek) < max(seekInterval, r.pace()/2) {
 		return false
 	}
-	r.sought = time.Now()
+	r.lastSeek = time.Now()
 	return true
 }
 
-// seek looks for another node to read from than a relay, as this node, or the relay, does not
-// reach the store: the store may answer others. The relay is left as soon as one is found.
-func (r *Relay) seek(ctx context.Context, relay Peer) {
+// seekReplacement searches for another node to read from when this node or its relay does not reach
+// the store, which may still answer others. The relay is dropped as soon as a replacement is found.
+func (r *Relay) seekReplacement(ctx context.Context, relay Peer) {
 	if !r.seekDue() {
 		return
 	}
 	r.mu.Lock()
-	addresses := r.readers()
+	addresses := r.searchCandidates()
 	r.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, seekTimeout)
 	defer cancel()
-	var asking sync.WaitGroup
+	var queries sync.WaitGroup
 	for _, address := range addresses {
-		asking.Go(func() {
-			named, err := r.askWhich(ctx, address)
+		queries.Go(func() {
+			named, err := r.queryUpstream(ctx, address)
 			if err == nil && named.Address != "" && named.Address != r.address && named != relay {
-				r.changeTo(named, relay, address)
+				r.switchUpstream(named, relay, address)
 			}
 		})
 	}
-	asking.Wait()
+	queries.Wait()
 }
 
-// changeTo reads from a node that a peer named in place of a relay.
-func (r *Relay) changeTo(named, relay Peer, peer string) {
+// switchUpstream replaces a relay by a node that a peer named.
+func (r *Relay) switchUpstream(named, relay Peer, peer string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case named.Token > r.hint.Token && named.Token > relay.Token:
-		r.hint = named
+	case named.Token > r.namedRelay.Token && named.Token > relay.Token:
+		r.namedRelay = named
 	case named.Token == 0 && (r.failed != relay || r.reader == Peer{}):
 		r.reader, r.failed = named, relay
 	default:
 		return
 	}
 	r.log.Info("source named by a peer in place of the relay", "peer", peer, "source", named.Address, "token", named.Token, "relay", relay.Address)
-	r.tellFound()
+	r.notifyFound()
 }
 
-// askWhich asks one node where it reads the tables.
-func (r *Relay) askWhich(ctx context.Context, address string) (Peer, error) {
+// queryUpstream asks one node what it reads the tables from.
+func (r *Relay) queryUpstream(ctx context.Context, address string) (Peer, error) {
 	ctx, cancel := context.WithTimeout(ctx, seekTimeout)
 	defer cancel()
 	var response wire.RelayResponse
@@ -117,31 +119,31 @@
 	return Peer{Address: response.Address, Token: response.Token}, err
 }
 
-// seekAt asks one node for the relay. It returns whether that named one, or a reader of
-// the store while this node looks for one.
-func (r *Relay) seekAt(ctx context.Context, address string) bool {
-	named, err := r.askWhich(ctx, address)
+// queryCandidate asks one node for the relay. It reports whether that node named one, or named a
+// reader of the store while this node is searching for one.
+func (r *Relay) queryCandidate(ctx context.Context, address string) bool {
+	named, err := r.queryUpstream(ctx, address)
 	if err != nil {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case named.Address == "" || named.Address == r.address || (named == r.failed && time.Now().Before(r.suspended)):
+	case named.Address == "" || named.Address == r.address || (named == r.failed && time.Now().Before(r.suspendedUntil)):
 		return false
-	case named.Token > r.hint.Token:
-		r.hint = named
+	case named.Token > r.namedRelay.Token:
+		r.namedRelay = named
 		r.log.Info("relay named by a peer", "peer", address, "relay", named.Address, "token", named.Token)
-	case named.Token == 0 && r.looking():
+	case named.Token == 0 && r.searching():
 		r.reader = named
 		r.log.Info("reader named by a peer", "peer", address, "reader", named.Address)
 	}
-	r.foundReader()
-	r.tellFound()
+	r.endSearch()
+	r.notifyFound()
 	return true
 }
 
-// Which answers another node's question for the relay.
+// ReportUpstream handles another node's query for the relay.
 func (r *Relay) Which(context.Context, wire.Empty) (wire.RelayResponse, error) {
 	switch up := r.Upstream().(type) {
 	case Peer:
@@ -153,7 +155,7 @@
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if r.reads() {
+		if r.readsStore() {
 			return wire.RelayResponse{Address: r.address}, nil
 		}
 	}
--- a/internal/relay/tell.go
+++ b/internal/relay/serve.go
@@ -9,26 +9,26 @@
 	"lilacvane/internal/wire"
 )
 
-// Follow answers another node's call. It fails with fault.CodeNotReady when this
-// node follows a relay itself, is stopping or has not read the table.
+// Follow handles a read by another node. It fails with fault.CodeNotReady if this node follows a
+// relay itself, is stopping or has not read the table.
 func (r *Relay) Follow(ctx context.Context, request wire.FollowRequest) (wire.FollowResponse, error) {
 	if _, direct := r.Upstream().(Store); !direct || r.isStopped() {
 		return wire.FollowResponse{}, fault.New(fault.CodeNotReady, "relay table", "this node does not relay")
 	}
-	r.meet(request.From)
+	r.addPeers(request.From)
 	if age := r.age(); age > maxAge {
-		// The reader would pass over what it is told: it is not kept waiting for that.
+		// The reader would discard the data, so it is answered at once.
 		return wire.FollowResponse{AgeMs: age.Milliseconds()}, nil
 	}
 	m := r.mirror(Table(request.Table))
 	hold := time.Duration(min(request.HoldMs, maxHoldMs)) * time.Millisecond
 	if request.Whole {
-		hold = wholeWait
+		hold = snapshotWait
 	}
 	ctx, cancel := context.WithTimeout(ctx, hold)
 	defer cancel()
 	if request.Whole && request.Paged {
-		return r.tellPage(ctx, m, request.FromKey)
+		return r.followPage(ctx, m, request.FromKey)
 	}
 	batch, err := read(ctx, m, request)
 	if err != nil {
@@ -39,26 +39,26 @@
 		return wire.FollowResponse{}, err
 	}
 	if len(batch.Rows) > 0 {
-		response.Peers = r.known(peersTold)
+		response.Peers = r.samplePeers(maxPeersSent)
 	}
 	return response, nil
 }
 
-// tellPage answers the question for a page of a table.
-func (r *Relay) tellPage(ctx context.Context, m *mirror, from string) (wire.FollowResponse, error) {
+// followPage handles a request for a page of a table.
+func (r *Relay) followPage(ctx context.Context, m *mirror, from string) (wire.FollowResponse, error) {
 	all, err := m.pager.get(ctx, m)
 	if err != nil {
 		return wire.FollowResponse{}, err
 	}
 	response := wire.FollowResponse{AgeMs: r.age().Milliseconds()}
 	all.put(&response, from)
-	response.Peers = r.known(peersTold)
+	response.Peers = r.samplePeers(maxPeersSent)
 	return response, nil
 }
 
 func read(ctx context.Context, m *mirror, request wire.FollowRequest) (feed.Batch, error) {
 	if request.Whole {
-		return m.whole(ctx)
+		return m.awaitSnapshot(ctx)
 	}
 	return m.after(ctx, request.After)
 }
@@ -69,7 +69,7 @@
 	return r.stopped
 }
 
-// mirror returns the mirror of a table, which is empty and unread at first.
+// mirror returns the mirror of a table, which is unread at first.
 func (r *Relay) mirror(name Table) *mirror {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/relay/group_test.go
+++ b/internal/relay/simulation_test.go
@@ -19,14 +19,15 @@
 )
 
 const (
-	// storeLatency and peerLatency are how long a call takes in a simulated group.
+	// storeLatency and peerLatency are the durations of calls in a simulated group.
 	storeLatency = 4 * time.Millisecond
 	peerLatency  = time.Millisecond
-	// simulatedStandbys is how many nodes of a simulated group turn to the store first.
+	// simulatedStandbys is the number of nodes of a simulated group that fall back to the store
+	// first.
 	simulatedStandbys = 8
 )
 
-// simulatedStore is a store with a lease and some tables, which single nodes may not reach.
+// simulatedStore is a store with a lease and some tables. Single nodes can be cut off from it.
 type simulatedStore struct {
 	mu      sync.Mutex
 	lease   table.Row
@@ -34,7 +35,7 @@
 	changed chan struct{}
 	// silent is set while no call is answered.
 	silent atomic.Bool
-	// slow is how much longer each way of a call takes, in nanoseconds.
+	// slow is the additional latency of each direction of a call, in nanoseconds.
 	slow atomic.Int64
 }
 
@@ -47,7 +48,7 @@
 	return s
 }
 
-// write changes a table and returns the revision.
+// write changes a table and returns the new revision.
 func (s *simulatedStore) write(name Table) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +58,7 @@
 	return s.tables[name].revision
 }
 
-// storeView is the store as one node reaches it.
+// storeView is the store as seen by one node.
 type storeView struct {
 	*simulatedStore
 	table Table
@@ -65,7 +66,7 @@
 	cut *atomic.Bool
 }
 
-// reach waits for the store; it fails when that does not answer before ctx ends.
+// reach waits for the store. It fails if the store does not answer before ctx ends.
 func (v storeView) reach(ctx context.Context) error {
 	if v.silent.Load() || v.cut.Load() {
 		<-ctx.Done()
@@ -133,7 +134,7 @@
 	}
 }
 
-// simulatedGroup is a group of nodes whose calls pass through memory, in a synctest bubble.
+// simulatedGroup is a group of nodes in a synctest bubble whose calls are passed in memory.
 type simulatedGroup struct {
 	store   *simulatedStore
 	nodes   []*simulatedNode
@@ -145,37 +146,37 @@
 	*Relay
 	group     *simulatedGroup
 	followers map[Table]*feed.Follower
-	// cut is set while the node does not reach the store, gone while nobody reaches the node,
-	// mute while its peers get no answer.
+	// cut is set while the node does not reach the store, gone while no node reaches it, and mute
+	// while it exchanges no messages with its peers.
 	cut, gone, mute atomic.Bool
 }
 
-// simulatedTables are the tables that a node follows, and how.
+// simulatedTables are the tables that each node follows, with the options of their followers.
 var simulatedTables = map[Table]feed.Options{
 	"configuration": {Wait: 400 * time.Millisecond, Timeout: 900 * time.Millisecond},
 	"runners":       {Wait: 2 * time.Second, Interval: 200 * time.Millisecond, Timeout: 900 * time.Millisecond},
 	"objects":       {Wait: 10 * time.Second, Timeout: 900 * time.Millisecond},
 }
 
-// newSimulatedGroup starts nodes that run until ctx ends; done waits for their end.
+// newSimulatedGroup starts nodes that run until ctx ends; done waits for them to stop.
 func newSimulatedGroup(ctx context.Context, count int) (g *simulatedGroup, done func()) {
 	g = &simulatedGroup{store: newSimulatedStore("configuration", "runners", "objects"), address: make(map[string]*simulatedNode)}
 	var running sync.WaitGroup
 	for i := range count {
 		n := &simulatedNode{group: g, followers: make(map[Table]*feed.Follower)}
-		late := time.Duration(0)
+		takeoverDelay := time.Duration(0)
 		if i >= simulatedStandbys {
-			late = time.Second
+			takeoverDelay = time.Second
 		}
 		address := fmt.Sprintf("10.0.0.%d:1", i)
 		n.Relay = New(Options{
 			Group: "group", Node: fmt.Sprint("node-", i), Leases: storeView{simulatedStore: g.store, cut: &n.cut}, Address: address, Process: fmt.Sprint("process-", i),
-			Client: n, Reluctance: func() time.Duration { return late }, Now: time.Now, Log: logr.Discard(),
+			Client: n, Reluctance: func() time.Duration { return takeoverDelay }, Now: time.Now, Log: logr.Discard(),
 		})
 		for name, options := range simulatedTables {
 			options.Name, options.Pace, options.Woken = string(name), n.Pace, n.Found
 			source := n.Source(name, storeView{simulatedStore: g.store, table: name, cut: &n.cut})
-			n.followers[name] = feed.NewFollower(source, ignored{}, options, logr.Discard())
+			n.followers[name] = feed.NewFollower(source, discardHandler{}, options, logr.Discard())
 		}
 		g.nodes, g.address[address] = append(g.nodes, n), n
 	}
@@ -191,22 +192,22 @@
 			running.Go(func() { follower.Run(ctx) })
 		}
 		if i == 0 {
-			// The others find a relay that has read all tables.
+			// The other nodes find a relay that has read all tables.
 			time.Sleep(2 * time.Second)
 		}
 	}
 	return g, running.Wait
 }
 
-// ignored is a handler that takes nothing.
-type ignored struct{}
+// discardHandler discards all rows.
+type discardHandler struct{}
 
-func (ignored) Whole([]feed.Row, time.Duration) {}
-func (ignored) Changed([]feed.Row)              {}
+func (discardHandler) Whole([]feed.Row, time.Duration) {}
+func (discardHandler) Changed([]feed.Row)              {}
 
 func (n *simulatedNode) address() string { return n.Relay.address }
 
-// Call calls another node of the group.
+// Call passes a call to another node of the group.
 func (n *simulatedNode) Call(ctx context.Context, address, method string, request, response any) error {
 	failed := func(cause error) error { return fault.At(fault.CodeNotReady, method, address, fault.Unknown, cause) }
 	other := n.group.address[address]
@@ -234,7 +235,7 @@
 	return err
 }
 
-// holder returns the node that holds the group's lease.
+// holder returns the node that holds the lease of the group.
 func (g *simulatedGroup) holder() *simulatedNode {
 	for _, n := range g.nodes {
 		if !n.gone.Load() && n.lessor.Valid() {
@@ -244,9 +245,9 @@
 	return nil
 }
 
-// lateness changes the configuration and returns how long the last of the nodes that reach
-// the store, and are reached, takes to have it; up to a bound.
-func (g *simulatedGroup) lateness(bound time.Duration) time.Duration {
+// propagationDelay changes the configuration and returns the time until the last node that is
+// connected to the store and its peers has applied the change, up to a bound.
+func (g *simulatedGroup) propagationDelay(bound time.Duration) time.Duration {
 	revision, written := g.store.write("configuration"), time.Now()
 	for time.Since(written) < bound && !g.allHave(revision) {
 		time.Sleep(10 * time.Millisecond)
@@ -256,8 +257,8 @@
 
 func (g *simulatedGroup) allHave(revision uint64) bool {
 	for _, n := range g.nodes {
-		inTouch := !n.cut.Load() && !n.gone.Load() && !n.mute.Load()
-		if inTouch && n.followers["configuration"].Taken() < revision {
+		connected := !n.cut.Load() && !n.gone.Load() && !n.mute.Load()
+		if connected && n.followers["configuration"].Taken() < revision {
 			return false
 		}
 	}
--- a/internal/relay/source.go
+++ b/internal/relay/source.go
@@ -12,8 +12,8 @@
 	"lilacvane/internal/wire"
 )
 
-// Source is a table read from wherever the node reads it now. It is a
-// feed.Source and keeps the node's mirror of the table.
+// Source reads a table from the node's current upstream. It implements feed.Source and updates the
+// node's mirror of the table.
 type Source struct {
 	relay  *Relay
 	table  Table
@@ -21,59 +21,59 @@
 	mirror *mirror
 }
 
-// Source returns a table's source; store reads it from the store itself.
+// Source returns the source of a table. store reads the table from the store itself.
 func (r *Relay) Source(name Table, store feed.Source) *Source {
 	return &Source{relay: r, table: name, store: store, mirror: r.mirror(name)}
 }
 
-// Read returns all rows, from the store when the relay does not tell them.
+// Read returns all rows, from the store if no relay provides them.
 func (s *Source) Read(ctx context.Context) (feed.Batch, error) {
 	batch, err := s.fetch(ctx, wire.FollowRequest{Whole: true, Paged: true}, s.store.Read)
 	if err == nil {
 		s.mirror.replace(batch)
-		s.lighten()
+		s.dropMirrorRows()
 	}
 	return batch, err
 }
 
-// Watch returns the changes after a revision, from the store when the relay does
-// not tell them. It fails with fault.CodeCompacted when they are no longer kept.
+// Watch returns the changes after a revision, from the store if no relay provides them. It fails
+// with fault.CodeCompacted if they are no longer kept.
 func (s *Source) Watch(ctx context.Context, after uint64, wait time.Duration) (feed.Batch, error) {
 	request := wire.FollowRequest{After: after, HoldMs: wait.Milliseconds()}
 	batch, err := s.fetch(ctx, request, func(ctx context.Context) (feed.Batch, error) {
 		if err := s.fill(ctx); err != nil {
 			return feed.Batch{}, err
 		}
-		if s.relay.lost() != nil {
+		if s.relay.storeRecovery() != nil {
 			return s.probe(ctx, after)
 		}
 		return s.store.Watch(ctx, after, wait)
 	})
 	if err == nil {
 		s.mirror.apply(batch)
-		s.lighten()
+		s.dropMirrorRows()
 	}
 	return batch, err
 }
 
-// probe reads the changes of a store that failed this node's last call. It does not wait for
-// any, so that it is soon known whether the store answers again.
+// probe reads the changes from a store that failed the last call of this node. It does not wait for
+// changes, so that it is soon known whether the store answers again.
 func (s *Source) probe(ctx context.Context, after uint64) (feed.Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	return s.store.Watch(ctx, after, 0)
 }
 
-// lighten drops the rows of the mirror if they are many and this node tells nobody of them.
-func (s *Source) lighten() {
+// dropMirrorRows drops the rows of a large mirror if this node serves them to nobody.
+func (s *Source) dropMirrorRows() {
 	if _, reads := s.relay.Upstream().(Store); !reads {
-		s.mirror.lighten(keptSize)
+		s.mirror.dropRows(maxKeptBytes)
 	}
 }
 
-// fill reads the rows of a mirror that does not keep them, before this node tells others.
+// fill reads the rows of a mirror that has dropped them, before this node serves them to others.
 func (s *Source) fill(ctx context.Context) error {
-	if !s.mirror.isLight() {
+	if !s.mirror.lacksRows() {
 		return nil
 	}
 	batch, err := s.store.Read(ctx)
@@ -83,68 +83,69 @@
 	return s.mirror.fill(batch)
 }
 
-// fetch asks the relay, and the store when there is none or it fails.
+// fetch calls the relay, and the store if there is none or it fails.
 func (s *Source) fetch(ctx context.Context, request wire.FollowRequest, store func(context.Context) (feed.Batch, error)) (feed.Batch, error) {
 	relay, ok := s.relay.Upstream().(Peer)
 	if !ok {
 		var err error
-		if relay, ok, err = s.relay.find(ctx); err != nil {
+		if relay, ok, err = s.relay.awaitReader(ctx); err != nil {
 			return feed.Batch{}, err
 		}
 	}
 	if ok {
-		batch, err := s.ask(ctx, relay, request)
+		batch, err := s.callRelay(ctx, relay, request)
 		if err != nil && connectionLost(err) {
-			// A connection that was reset does not show that the relay is gone.
-			batch, err = s.ask(ctx, relay, request)
+			// A connection reset does not show that the relay is down.
+			batch, err = s.callRelay(ctx, relay, request)
 		}
 		if err == nil || fault.IsCode(err, fault.CodeCompacted) || ctx.Err() != nil {
 			return batch, err
 		}
 		if fault.IsCode(err, fault.CodeStale) {
-			s.relay.noteStale(relay, s.table, err)
-			if !s.relay.Direct() || !s.relay.mayLook() {
-				s.relay.seek(ctx, relay)
+			s.relay.recordStaleRelay(relay, s.table, err)
+			if !s.relay.FallsBackToStore() || !s.relay.mayProbeStore() {
+				s.relay.seekReplacement(ctx, relay)
 				return batch, err
 			}
 		}
 		if relay.Token == 0 {
-			// Another node may already be named by it, or by others.
-			s.relay.leaveReader(relay)
+			// The reader or other nodes may already name another one.
+			s.relay.dropReader(relay)
 			return feed.Batch{}, err
 		}
-		s.relay.fail(relay, s.table, err)
-		if !s.relay.Direct() {
+		s.relay.suspendRelay(relay, s.table, err)
+		if !s.relay.FallsBackToStore() {
 			return feed.Batch{}, err
 		}
 	}
-	return s.direct(ctx, store)
+	return s.readStore(ctx, store)
 }
 
-// direct asks the store itself. A call that began while the store failed others ends as soon as
-// the store answers one of them: it may wait on a connection that stays silent.
-func (s *Source) direct(ctx context.Context, store func(context.Context) (feed.Batch, error)) (feed.Batch, error) {
-	if s.relay.refused(s.table) {
+// readStore calls the store itself. A call that began while the store failed others is canceled and
+// repeated as soon as the store answers one of them, because it may be waiting on a dead
+// connection.
+func (s *Source) readStore(ctx context.Context, store func(context.Context) (feed.Batch, error)) (feed.Batch, error) {
+	if s.relay.otherTableFailed(s.table) {
 		return feed.Batch{}, fault.New(fault.CodeStoreUnavailable, "ask store", "the store has just failed another table's call")
 	}
-	asked, stop := endWith(ctx, s.relay.lost())
+	callCtx, stop := withCancelOn(ctx, s.relay.storeRecovery())
 	defer stop()
-	batch, err := store(asked)
+	batch, err := store(callCtx)
 	switch {
 	case err == nil:
-		s.relay.noteStore()
-	case asked.Err() != nil && ctx.Err() == nil:
-		return s.direct(ctx, store)
+		s.relay.recordStoreAnswer()
+	case callCtx.Err() != nil && ctx.Err() == nil:
+		return s.readStore(ctx, store)
 	case !fault.IsCode(err, fault.CodeCompacted):
-		s.relay.noteRefusal(s.table)
-		s.relay.seek(context.WithoutCancel(ctx), s.relay.failedRelay())
+		s.relay.recordStoreFailure(s.table)
+		s.relay.seekReplacement(context.WithoutCancel(ctx), s.relay.failedRelay())
 	}
 	return batch, err
 }
 
-// endWith returns a context that ends with ctx, or as soon as a channel is closed. stop releases
-// it.
-func endWith(ctx context.Context, closed <-chan struct{}) (ended context.Context, stop context.CancelFunc) {
+// withCancelOn returns a context that ends with ctx or as soon as the channel is closed. stop
+// releases it.
+func withCancelOn(ctx context.Context, closed <-chan struct{}) (ended context.Context, stop context.CancelFunc) {
 	ended, stop = context.WithCancel(ctx)
 	if closed == nil {
 		return ended, stop
@@ -159,16 +160,16 @@
 	return ended, stop
 }
 
-// connectionLost reports whether a call ended with its connection, and not by its
-// time or by an answer.
+// connectionLost reports whether a call failed because its connection broke, rather than by a
+// timeout or by an error response.
 func connectionLost(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// ask asks the relay, page by page for all rows. What changes meanwhile is told again by the
-// changes after the batch's revision, which is that of its oldest page.
-func (s *Source) ask(ctx context.Context, relay Peer, request wire.FollowRequest) (feed.Batch, error) {
-	batch, next, err := s.askPage(ctx, relay, request)
+// callRelay calls the relay, page by page for all rows. Changes made meanwhile are sent again with
+// the changes after the revision of the batch, which is that of its oldest page.
+func (s *Source) callRelay(ctx context.Context, relay Peer, request wire.FollowRequest) (feed.Batch, error) {
+	batch, next, err := s.requestPage(ctx, relay, request)
 	for err == nil && next != "" {
 		if next <= request.FromKey {
 			return feed.Batch{}, fault.At(fault.CodeInvalid, "follow relay", relay.Address, fault.NotDone,
@@ -176,7 +177,7 @@
 		}
 		var more feed.Batch
 		request.FromKey = next
-		more, next, err = s.askPage(ctx, relay, request)
+		more, next, err = s.requestPage(ctx, relay, request)
 		batch.Rows = append(batch.Rows, more.Rows...)
 		batch.Revision = min(batch.Revision, more.Revision)
 		batch.Age = max(batch.Age, more.Age)
@@ -184,9 +185,9 @@
 	return batch, err
 }
 
-// askPage calls the relay, and returns the first key of the next page. The call ends early
-// when another one shows that the relay is gone.
-func (s *Source) askPage(ctx context.Context, relay Peer, request wire.FollowRequest) (batch feed.Batch, next string, err error) {
+// requestPage calls the relay and returns the first key of the next page. The call is canceled if
+// another call shows that the relay is lost.
+func (s *Source) requestPage(ctx context.Context, relay Peer, request wire.FollowRequest) (batch feed.Batch, next string, err error) {
 	request.Table, request.From = string(s.table), s.relay.address
 	margin := callMargin
 	if request.Whole {
@@ -194,7 +195,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.HoldMs)*time.Millisecond+margin)
 	defer cancel()
-	ctx, stop := endWith(ctx, s.relay.goneChannel())
+	ctx, stop := withCancelOn(ctx, s.relay.lossChannel())
 	defer stop()
 	var response wire.FollowResponse
 	if err := s.relay.client.Call(ctx, relay.Address, wire.MethodFollow, request, &response); err != nil {
@@ -205,8 +206,8 @@
 		return feed.Batch{}, "", fault.At(fault.CodeStale, "follow relay", relay.Address, fault.NotDone,
 			fault.New(fault.CodeStale, "hear store", "the relay heard of the store %v ago", age))
 	}
-	s.relay.noteRelay()
-	s.relay.meet(response.Peers...)
+	s.relay.recordRelayAnswer()
+	s.relay.addPeers(response.Peers...)
 	rows, err := rowsOf(response, relay)
 	return feed.Batch{Rows: rows, Revision: response.Revision, Age: age}, response.Next, err
 }
