--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -1,5 +1,5 @@
-// Package feed follows a table of the platform: it reads the table whole, then
-// its changes, and never steps back behind the newest revision it has seen.
+// Package feed follows a table of the platform: it reads the whole table, then its
+// changes, and never goes back behind the newest revision that it has seen.
 package feed
 
 import (
@@ -23,60 +23,57 @@
 	Deleted bool
 }
 
-// Batch is the whole of a table, or its changes, up to Revision. Revisions are
-// drawn from one counter for all tables.
+// Batch is a whole table, or its changes, up to Revision. Revisions come from one counter for all
+// tables.
 type Batch struct {
 	Rows     []Row
 	Revision uint64
-	// Age is how long ago the store told it; zero where the store itself answered.
+	// Age is the time since the store provided the data; zero if the store itself answered.
 	Age time.Duration
 }
 
 // Source reads one table.
 type Source interface {
-	// Read returns all rows as of one revision, which may be older than others
-	// that were seen.
+	// Read returns all rows as of one revision, which may be older than revisions seen before.
 	Read(ctx context.Context) (Batch, error)
-	// Watch returns the changes after a revision as soon as there are any, and
-	// an empty batch after wait. It fails with fault.CodeCompacted when the
-	// changes are no longer kept.
+	// Watch returns the changes after a revision as soon as there are any, and an empty batch after
+	// wait. It fails with fault.CodeCompacted if the changes are no longer kept.
 	Watch(ctx context.Context, after uint64, wait time.Duration) (Batch, error)
 }
 
-// Handler takes what was read.
+// Handler processes the data of a followed table.
 type Handler interface {
-	// Whole takes all rows. gap is how long nothing was heard before; zero for
+	// ApplySnapshot processes all rows. gap is the time since the source last answered; zero for
 	// the first read.
 	Whole(rows []Row, gap time.Duration)
-	// Changed takes changed rows in the order of their changes, each key once, as
-	// it is at the end of the batch.
+	// ApplyChanges processes changed rows in the order of their changes. Each key occurs once, with
+	// its state at the end of the batch.
 	Changed(rows []Row)
 }
 
-// Options tune a follower.
+// Options configures a Follower.
 type Options struct {
-	// Name names the table in logs.
+	// Name is the name of the table in logs.
 	Name string
 	// Wait is how long one watch call waits for a change.
 	Wait time.Duration
-	// Interval is the least time between two watch calls, so that changes are
-	// gathered.
+	// Interval is the minimum time between two watch calls, so that changes are batched.
 	Interval time.Duration
-	// Pace returns what Wait, and Interval where there is one, are at least: the more nodes
-	// ask the same source, the longer. Not set for nothing.
+	// Pace returns the minimum of Wait, and of Interval if that is set. It grows with the number of
+	// nodes that call the same source. A nil Pace is zero.
 	Pace func() time.Duration
-	// Woken returns a channel that is closed once the source may answer again, which ends the
-	// pause after an error. Not set for a source that does not tell.
+	// RetrySignal returns a channel that is closed once the source may answer again, which ends the
+	// backoff after an error. It is nil for a source without such a signal.
 	Woken func() <-chan struct{}
 	// Timeout is how long a call may take beyond its wait.
 	Timeout time.Duration
-	// ReadTimeout is the same of a read of the whole table, where that takes longer.
+	// ReadTimeout is the same for a read of the whole table, if that takes longer.
 	ReadTimeout time.Duration
 }
 
 const (
-	firstBackoff = 50 * time.Millisecond
-	lastBackoff  = 800 * time.Millisecond
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 800 * time.Millisecond
 )
 
 // Follower follows one table.
@@ -86,25 +83,25 @@
 	options Options
 	log     logr.Logger
 
-	// newest is the newest revision seen; nothing older is taken over.
-	newest uint64
-	// position is the revision up to which changes were taken over, if the
-	// table was read whole.
+	// newestRevision is the newest revision seen; older data is not applied.
+	newestRevision uint64
+	// position is the revision up to which changes were applied, if whole is set: the whole table
+	// was read.
 	position uint64
 	whole    bool
-	// mutex guards the fields up to stop. heard is when the source last answered, told when the
-	// store had told that, taken the revision up to which the handler has taken changes, taking that of the newest rows
-	// that it was given. reread is set when the table is to be read anew; stop ends the
-	// call that is under way.
-	mutex   sync.Mutex
-	heard   time.Time
-	told    time.Time
-	taken   uint64
-	taking  uint64
-	reread  bool
-	stop    context.CancelFunc
-	lost    bool
-	backoff time.Duration
+	// mutex guards the fields up to cancelCall. heard is when the source last answered, and asOf
+	// when the store provided that answer. applied is the revision up to which the handler has
+	// processed changes, and delivering that of the newest rows passed to it. reread is set when
+	// the table is to be read anew. cancelCall cancels the current call.
+	mutex      sync.Mutex
+	heard      time.Time
+	asOf       time.Time
+	applied    uint64
+	delivering uint64
+	reread     bool
+	cancelCall context.CancelFunc
+	sourceLost bool
+	backoff    time.Duration
 }
 
 // NewFollower returns a follower. Run starts it.
@@ -115,16 +112,16 @@
 // Run follows the table until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		started, woken := time.Now(), f.woken()
+		started, woken := time.Now(), f.retrySignal()
 		err := f.step(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if f.takeReread() {
+		if f.consumeReread() {
 			f.whole = false
 			continue
 		}
-		f.note(err)
+		f.logSourceState(err)
 		if err != nil {
 			f.backOff(ctx, woken)
 			continue
@@ -135,18 +132,18 @@
 	}
 }
 
-func (f *Follower) woken() <-chan struct{} {
+func (f *Follower) retrySignal() <-chan struct{} {
 	if f.options.Woken == nil {
 		return nil
 	}
 	return f.options.Woken()
 }
 
-// backOff pauses after an error, at least for firstBackoff, until woken is closed.
+// backOff pauses after an error until woken is closed, but at least for minBackoff.
 func (f *Follower) backOff(ctx context.Context, woken <-chan struct{}) {
 	pause := f.nextBackoff()
-	wait.For(ctx, min(pause, firstBackoff))
-	timer := time.NewTimer(pause - min(pause, firstBackoff))
+	wait.For(ctx, min(pause, minBackoff))
+	timer := time.NewTimer(pause - min(pause, minBackoff))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -155,10 +152,10 @@
 	}
 }
 
-// wait is how long a watch call waits for a change now.
+// wait returns how long a watch call currently waits for a change.
 func (f *Follower) wait() time.Duration { return max(f.options.Wait, f.pace()) }
 
-// interval is the least time between two watch calls now.
+// interval returns the current minimum time between two watch calls.
 func (f *Follower) interval() time.Duration {
 	if f.options.Interval == 0 {
 		return 0
@@ -180,18 +177,18 @@
 	return f.watch(ctx)
 }
 
-// Reread lets the table be read anew, at once.
+// Reread causes the table to be read anew, at once.
 func (f *Follower) Reread() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.reread = true
-	if f.stop != nil {
-		f.stop()
+	if f.cancelCall != nil {
+		f.cancelCall()
 	}
 }
 
-// takeReread reports whether the table is to be read anew, once.
-func (f *Follower) takeReread() bool {
+// consumeReread reports whether the table is to be read anew, and resets the request.
+func (f *Follower) consumeReread() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	reread := f.reread
@@ -199,12 +196,13 @@
 	return reread
 }
 
-// watching bounds a call that Reread ends.
-func (f *Follower) watching(ctx context.Context) (context.Context, context.CancelFunc) {
+// watchContext returns a context for a watch call, which ends at the timeout of the call or on
+// Reread.
+func (f *Follower) watchContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(ctx, f.wait()+f.options.Timeout)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.stop = cancel
+	f.cancelCall = cancel
 	if f.reread {
 		cancel()
 	}
@@ -218,15 +216,15 @@
 	if err != nil {
 		return err
 	}
-	if batch.Revision < f.newest {
-		return fault.New(fault.CodeStale, "read table", "revision %d is older than %d", batch.Revision, f.newest)
+	if batch.Revision < f.newestRevision {
+		return fault.New(fault.CodeStale, "read table", "revision %d is older than %d", batch.Revision, f.newestRevision)
 	}
 	gap := time.Duration(0)
 	if heard := f.Heard(); !heard.IsZero() {
 		gap = time.Since(heard)
 	}
 	f.log.Info("table read", "revision", batch.Revision, "rows", len(batch.Rows), "gapMs", gap.Milliseconds())
-	f.take(batch.Revision)
+	f.setDelivering(batch.Revision)
 	f.handler.Whole(batch.Rows, gap)
 	f.whole = true
 	f.advance(batch)
@@ -234,7 +232,7 @@
 }
 
 func (f *Follower) watch(ctx context.Context) error {
-	ctx, cancel := f.watching(ctx)
+	ctx, cancel := f.watchContext(ctx)
 	defer cancel()
 	batch, err := f.source.Watch(ctx, f.position, f.wait())
 	if fault.IsCode(err, fault.CodeCompacted) {
@@ -249,17 +247,17 @@
 		return fault.New(fault.CodeStale, "watch table", "revision %d is older than %d", batch.Revision, f.position)
 	}
 	if len(batch.Rows) > 0 {
-		f.take(batch.Revision)
-		f.handler.Changed(newest(batch.Rows))
+		f.setDelivering(batch.Revision)
+		f.handler.Changed(latestPerKey(batch.Rows))
 	}
 	f.advance(batch)
 	return nil
 }
 
-// newest keeps the last change of each key. A key that was removed and written
-// again, as all runners' are after an outage of the store, must not be taken for
-// removed by a handler that looks at removals last.
-func newest(rows []Row) []Row {
+// latestPerKey keeps the last change of each key. A key that was removed and written again, as the
+// keys of all runners are after a store outage, must not count as removed in a handler that
+// processes removals last.
+func latestPerKey(rows []Row) []Row {
 	last := make(map[string]int, len(rows))
 	for i, row := range rows {
 		last[row.Key] = i
@@ -275,72 +273,72 @@
 
 func (f *Follower) advance(batch Batch) {
 	f.position = batch.Revision
-	f.newest = max(f.newest, batch.Revision)
+	f.newestRevision = max(f.newestRevision, batch.Revision)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.heard = time.Now()
-	f.told = f.heard.Add(-batch.Age)
-	f.taken = batch.Revision
+	f.asOf = f.heard.Add(-batch.Age)
+	f.applied = batch.Revision
 }
 
-// take notes the revision of rows that are about to be handed over.
-func (f *Follower) take(revision uint64) {
+// setDelivering records the revision of rows that are about to be passed to the handler.
+func (f *Follower) setDelivering(revision uint64) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.taking = revision
+	f.delivering = revision
 }
 
-// Taken returns the revision up to which the handler has taken all changes.
+// AppliedRevision returns the revision up to which the handler has processed all changes.
 func (f *Follower) Taken() uint64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.taken
+	return f.applied
 }
 
-// Taking returns a revision up to which no change was handed over after it: the handler may
-// still be taking those before.
+// DeliveringRevision returns a revision up to which all changes have been passed to the handler.
+// The handler may still be processing them.
 func (f *Follower) Taking() uint64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.taking
+	return f.delivering
 }
 
-// Heard returns when the source last answered. The handler has taken that
-// answer.
+// LastResponse returns when the source last answered. The handler has processed that answer.
 func (f *Follower) Heard() time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.heard
 }
 
-// Told returns when the store told the newest answer, as far as the source knows: the handler has
-// taken all that was acknowledged before. It is the zero time as long as the table was not read.
+// AsOf returns when the store provided the newest answer, as far as the source knows. The handler
+// has processed all changes acknowledged before that time. It is the zero time until the table has
+// been read.
 func (f *Follower) Told() time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.told
+	return f.asOf
 }
 
-// Read reports whether the table was read.
+// Read reports whether the table has been read.
 func (f *Follower) Read() bool { return !f.Heard().IsZero() }
 
-// note logs the loss and the return of the source once each.
-func (f *Follower) note(err error) {
+// logSourceState logs the loss and the recovery of the source once each.
+func (f *Follower) logSourceState(err error) {
 	if err == nil {
-		if f.lost {
+		if f.sourceLost {
 			f.log.Info("dependency regained", "position", f.position)
 		}
-		f.lost = false
+		f.sourceLost = false
 		f.backoff = 0
 		return
 	}
-	if !f.lost {
+	if !f.sourceLost {
 		f.log.Info("dependency lost", "position", f.position, "error", err.Error())
 	}
-	f.lost = true
+	f.sourceLost = true
 }
 
 func (f *Follower) nextBackoff() time.Duration {
-	f.backoff = min(max(2*f.backoff, firstBackoff), lastBackoff)
+	f.backoff = min(max(2*f.backoff, minBackoff), maxBackoff)
 	return f.backoff/2 + rand.N(f.backoff/2)
 }
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -13,7 +13,7 @@
 	"lilacvane/internal/fault"
 )
 
-// scriptedSource answers calls in turn.
+// scriptedSource returns prepared answers in order.
 type scriptedSource struct {
 	reads   []Batch
 	watches []Batch
@@ -37,7 +37,7 @@
 	return batch, nil
 }
 
-// recorder keeps what a handler was given.
+// recorder records what a handler receives.
 type recorder struct {
 	whole   int
 	changed []string
@@ -60,8 +60,8 @@
 	return NewFollower(source, handler, Options{Name: "test", Wait: time.Second, Timeout: time.Second}, logr.Discard())
 }
 
-// TestOldReadAfterLostHistoryIsPassedOver: when the history is gone the table is
-// read anew, but a read that is older than what was seen changes nothing.
+// TestOldReadAfterLostHistoryIsPassedOver checks that the table is read anew when the history is no
+// longer kept, but a read older than what was seen is ignored.
 func TestOldReadAfterLostHistoryIsPassedOver(t *testing.T) {
 	source := &scriptedSource{
 		reads:   []Batch{{Rows: []Row{{Key: "a"}}, Revision: 5}, {Rows: nil, Revision: 3}, {Rows: []Row{{Key: "b"}}, Revision: 9}},
@@ -82,8 +82,8 @@
 	assert.DeepEqual(t, got.changed, []string{"b"})
 }
 
-// TestEmptyTableIsReadOnce: a table of a store without any row is known after one
-// read. It failed first: revision zero was taken for never read.
+// TestEmptyTableIsReadOnce checks that a table in a store without any rows counts as read after one
+// read. Revision zero must not be mistaken for a table that was never read.
 func TestEmptyTableIsReadOnce(t *testing.T) {
 	source := &scriptedSource{reads: []Batch{{}}, watches: []Batch{{}}, errs: []error{nil}}
 	f := follow(source, &recorder{})
@@ -92,8 +92,8 @@
 	assert.NilError(t, f.step(t.Context()))
 }
 
-// TestRowsThatCameBackStay: a row that is removed and written again within one
-// batch, as runners do after an outage of the store, is told once, as it is now.
+// TestRowsThatCameBackStay checks that a row which is removed and written again within one batch,
+// as happens for runners after a store outage, is passed to the handler once, in its last state.
 func TestRowsThatCameBackStay(t *testing.T) {
 	source := &scriptedSource{
 		reads: []Batch{{Revision: 4}},
@@ -112,7 +112,7 @@
 	})
 }
 
-// heldSource holds watches until they end.
+// heldSource blocks watch calls until their context ends.
 type heldSource struct {
 	scriptedSource
 	held chan struct{}
@@ -124,13 +124,13 @@
 	return Batch{}, ctx.Err()
 }
 
-// wholeHandler tells of each whole table.
+// wholeHandler signals each whole table.
 type wholeHandler struct{ whole chan struct{} }
 
 func (h wholeHandler) Whole([]Row, time.Duration) { h.whole <- struct{}{} }
 func (h wholeHandler) Changed([]Row)              {}
 
-// TestTableIsReadAnewAtOnce: a table that is to be read anew is not waited for.
+// TestTableIsReadAnewAtOnce checks that Reread interrupts a watch call.
 func TestTableIsReadAnewAtOnce(t *testing.T) {
 	source := &heldSource{scriptedSource: scriptedSource{reads: []Batch{{Revision: 1}, {Revision: 1}}}, held: make(chan struct{})}
 	handler := wholeHandler{whole: make(chan struct{}, 1)}
@@ -147,30 +147,30 @@
 	<-done
 }
 
-// TestPaceLengthensWaits: a pace lengthens the wait for changes, and the time between two calls
-// only of a table whose changes are gathered.
+// TestPaceLengthensWaits checks that a pace lengthens the wait for changes, and the time between
+// two calls only for tables whose changes are batched.
 func TestPaceLengthensWaits(t *testing.T) {
 	pace := time.Duration(0)
 	at := func() time.Duration { return pace }
-	gathered := NewFollower(nil, nil, Options{Wait: time.Second, Interval: 200 * time.Millisecond, Pace: at}, logr.Discard())
-	prompt := NewFollower(nil, nil, Options{Wait: 400 * time.Millisecond, Pace: at}, logr.Discard())
-	assert.Equal(t, gathered.interval(), 200*time.Millisecond)
+	batched := NewFollower(nil, nil, Options{Wait: time.Second, Interval: 200 * time.Millisecond, Pace: at}, logr.Discard())
+	immediate := NewFollower(nil, nil, Options{Wait: 400 * time.Millisecond, Pace: at}, logr.Discard())
+	assert.Equal(t, batched.interval(), 200*time.Millisecond)
 	pace = 700 * time.Millisecond
-	assert.Equal(t, gathered.interval(), pace)
-	assert.Equal(t, gathered.wait(), time.Second)
-	assert.Equal(t, prompt.interval(), time.Duration(0))
-	assert.Equal(t, prompt.wait(), pace)
+	assert.Equal(t, batched.interval(), pace)
+	assert.Equal(t, batched.wait(), time.Second)
+	assert.Equal(t, immediate.interval(), time.Duration(0))
+	assert.Equal(t, immediate.wait(), pace)
 }
 
-// failingSource fails until it is mended, and counts its calls.
+// failingSource fails until it is repaired, and counts its reads.
 type failingSource struct {
-	mended atomic.Bool
-	calls  atomic.Int64
+	repaired atomic.Bool
+	calls    atomic.Int64
 }
 
 func (s *failingSource) Read(context.Context) (Batch, error) {
 	s.calls.Add(1)
-	if !s.mended.Load() {
+	if !s.repaired.Load() {
 		return Batch{}, fault.New(fault.CodeStoreUnavailable, "read table", "away")
 	}
 	return Batch{Revision: 1}, nil
@@ -181,8 +181,8 @@
 	return Batch{Revision: after}, nil
 }
 
-// TestFollowerSleptThoughItsSourceWasBack: a follower that backs off reads again as soon as it
-// is woken, and not in a loop while it is not.
+// TestFollowerSleptThoughItsSourceWasBack checks that a follower in backoff reads again as soon as
+// it is signaled, and does not loop before that.
 func TestFollowerSleptThoughItsSourceWasBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source, woken := &failingSource{}, make(chan struct{})
@@ -192,9 +192,9 @@
 		go f.Run(ctx)
 		time.Sleep(10 * time.Second)
 		assert.Assert(t, source.calls.Load() < 40, "%d calls in 10 s", source.calls.Load())
-		source.mended.Store(true)
+		source.repaired.Store(true)
 		close(woken)
-		time.Sleep(2 * firstBackoff)
+		time.Sleep(2 * minBackoff)
 		assert.Assert(t, f.Read())
 		cancel()
 		synctest.Wait()
