--- a/internal/wire/bodies_test.go
+++ b/internal/wire/bodies_test.go
@@ -11,9 +11,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestNoMessageCarriesARequest: nodes tell each other counts and names, never what a client
-// sent, so no node hands a request on and none of it is stored outside its homes. A
-// message with bytes of a row carries the platform's tables.
+// TestNoMessageCarriesARequest checks that nodes exchange counts and names but never what a client
+// sent, so that no node forwards a request and none of its content is stored outside its homes.
+// Messages with the bytes of a row carry tables of the platform.
 func TestNoMessageCarriesARequest(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	assert.NilError(t, err)
@@ -23,17 +23,17 @@
 			fields += checkFields(t, path)
 		}
 	}
-	assert.Assert(t, fields > 50, "%d fields read", fields)
+	assert.Assert(t, fields > 50, "only %d fields found", fields)
 }
 
-// checkFields looks at the messages of a file and returns how many fields they have.
+// checkFields checks the fields of the messages in a file and returns their number.
 func checkFields(t *testing.T, path string) int {
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 	assert.NilError(t, err)
 	fields := 0
 	ast.Inspect(file, func(node ast.Node) bool {
 		if declared, ok := node.(*ast.TypeSpec); ok && declared.Name.Name == "envelope" {
-			// What is around each message holds the message itself.
+			// The envelope contains the message itself.
 			return false
 		}
 		structure, ok := node.(*ast.StructType)
@@ -44,7 +44,7 @@
 			for _, name := range field.Names {
 				fields++
 				for _, forbidden := range []string{"Body", "Prompt", "Header", "Messages", "Text"} {
-					assert.Assert(t, !strings.Contains(name.Name, forbidden), "%s: field %s", path, name.Name)
+					assert.Assert(t, !strings.Contains(name.Name, forbidden), "%s: forbidden field %s", path, name.Name)
 				}
 			}
 		}
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -1,7 +1,7 @@
-// Package wire defines the messages that nodes exchange and their CBOR codec.
-// Every message travels in an envelope with a protocol version. The decoder
-// bounds size, nesting and element counts, so a hostile or broken message costs
-// a bounded amount and yields a typed error.
+// Package wire defines the messages that nodes exchange and their CBOR codec. Every
+// message is sent in an envelope with a protocol version. The decoder limits size,
+// nesting and element counts, so that a malicious or corrupt message has a bounded
+// cost and results in a typed error.
 package wire
 
 import (
@@ -10,8 +10,8 @@
 	"lilacvane/internal/fault"
 )
 
-// Version is the protocol version this build speaks. A message of a newer
-// version is refused, one of an older version is read.
+// Version is the protocol version of this build. Messages of newer versions are rejected, those of
+// older versions are accepted.
 const Version = 1
 
 // Limits of one message.
@@ -62,8 +62,7 @@
 	return encoder.Marshal(envelope{Version: Version, Body: body})
 }
 
-// Decode reads a message from its envelope into target. Errors name the peer
-// the bytes came from.
+// Decode decodes a message from its envelope into target. Errors name the peer that sent it.
 func Decode(content []byte, peer string, target any) error {
 	const step = "decode message"
 	if len(content) > MaximumMessageBytes {
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -11,7 +11,7 @@
 	"lilacvane/internal/fault"
 )
 
-// TestRoundTrip: what is encoded is decoded the same.
+// TestRoundTrip checks that decoding an encoded message returns an equal message.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sent := SyncRequest{
@@ -33,7 +33,7 @@
 	})
 }
 
-// TestBadMessages: broken, oversized, deeply nested and newer messages give a
+// TestBadMessages checks that corrupt, oversized, deeply nested and newer messages result in a
 // typed error that names the peer.
 func TestBadMessages(t *testing.T) {
 	whole, err := Encode(ExplainRequest{Subject: "s", Limit: 9})
@@ -63,8 +63,8 @@
 	}
 }
 
-// FuzzDecode: no input makes the decoder panic, and what it takes it can write
-// again.
+// FuzzDecode checks that no input makes the decoder panic, and that every decoded message can be
+// encoded again.
 func FuzzDecode(f *testing.F) {
 	for _, message := range []any{
 		SyncRequest{Service: "s", Waiting: []UnitWaiting{{Model: "m"}}, Running: []RunnerUsage{{Runner: "r", Models: map[string]int{"m": 1}}}},
--- a/internal/wire/messages.go
+++ b/internal/wire/messages.go
@@ -24,7 +24,7 @@
 	Changes   []Change  `cbor:"5,keyasint" json:"changes"`
 }
 
-// Size is the size of an entry's objects in bytes.
+// Size returns the size of the objects of an entry in bytes.
 func (e Entry) Size() int {
 	size := 0
 	for _, change := range e.Changes {
@@ -33,10 +33,10 @@
 	return size
 }
 
-// MethodExplain asks a node for the decisions it remembers about a subject.
+// MethodExplain asks a node for the decisions it has logged about a subject.
 const MethodExplain = "explain"
 
-// ExplainRequest asks a node for the decisions it logged about a subject.
+// ExplainRequest is the request of MethodExplain.
 type ExplainRequest struct {
 	Subject string `cbor:"1,keyasint"`
 	Limit   int    `cbor:"2,keyasint"`
@@ -50,17 +50,18 @@
 	Step     string    `cbor:"4,keyasint" json:"step"`
 	Reason   string    `cbor:"5,keyasint" json:"reason"`
 	Revision uint64    `cbor:"6,keyasint" json:"revision"`
-	// Obstacles are why no runner could take a request, where it is about one that waited.
+	// Obstacles are the reasons why no runner could take a request, for decisions about a request
+	// that waited.
 	Obstacles []Obstacle `cbor:"7,keyasint,omitempty" json:"obstacles,omitempty"`
 }
 
-// Obstacle tells how many runners could not take a request for one reason.
+// Obstacle is the number of runners that could not take a request for one reason.
 type Obstacle struct {
 	Reason  string `cbor:"1,keyasint" json:"reason"`
 	Runners int    `cbor:"2,keyasint" json:"runners"`
 	// Holding is how many of the runners held what the request names.
 	Holding int `cbor:"3,keyasint" json:"holding"`
-	// AgeMs is how long the node had not heard of the runner that it heard of longest ago.
+	// AgeMs is the longest time since the node last heard of one of these runners.
 	AgeMs int64 `cbor:"4,keyasint" json:"ageMs"`
 }
 
@@ -69,8 +70,8 @@
 	Decisions []Decision `cbor:"1,keyasint"`
 }
 
-// MethodFleet asks the holder of a service's lease for its runners and for the
-// nodes that reported to it lately.
+// MethodFleet asks the holder of a service's lease for its runners and for the nodes that reported
+// to it recently.
 const MethodFleet = "control/fleet"
 
 // FleetRequest names the service.
@@ -78,62 +79,62 @@
 	Service string `cbor:"1,keyasint"`
 }
 
-// FleetResponse is the holder's account.
+// FleetResponse is the state of the service as known to the holder.
 type FleetResponse struct {
 	Members []Member       `cbor:"1,keyasint,omitempty"`
 	Runners []RunnerStatus `cbor:"2,keyasint,omitempty"`
 	Store   *StoreStatus   `cbor:"3,keyasint,omitempty"`
 }
 
-// StoreStatus is what a service's lease holder knows of the weight store.
+// StoreStatus is what the lease holder of a service knows about the weight store.
 type StoreStatus struct {
 	Service string `cbor:"1,keyasint" json:"service"`
-	// Limit is how many loads may be under way at once, Capacity how many the store
-	// carries at full speed; zero while no load was slowed.
+	// Limit is the maximum number of concurrent loads. Capacity is the number of loads that the
+	// store serves at full speed; zero until a load was slowed.
 	Limit    int     `cbor:"2,keyasint" json:"limit"`
 	Capacity float64 `cbor:"3,keyasint" json:"capacity"`
-	// UnderWay is how many loads there are, Planned how many models are waited for
-	// that nothing loads yet.
+	// UnderWay is the number of loads in progress. Planned is the number of models that requests
+	// wait for and that are not being loaded yet.
 	UnderWay int `cbor:"4,keyasint" json:"underWay"`
 	Planned  int `cbor:"5,keyasint" json:"planned"`
 }
 
-// Member is a node that reported to a lease holder lately.
+// Member is a node that reported to a lease holder recently.
 type Member struct {
 	Node string `cbor:"1,keyasint" json:"node"`
 	Zone string `cbor:"2,keyasint" json:"zone"`
 	// Region is empty when it is not known.
 	Region string `cbor:"5,keyasint,omitempty" json:"region,omitempty"`
-	// Address is its peers' ip:port.
+	// Address is the ip:port for its peers.
 	Address string `cbor:"3,keyasint" json:"address"`
 	// Holds lists the services whose lease it holds.
 	Holds []string `cbor:"4,keyasint,omitempty" json:"holds,omitempty"`
 }
 
-// RunnerStatus is a runner as the lease holder of its service accounts it.
+// RunnerStatus is the state of a runner as known to the lease holder of its service.
 type RunnerStatus struct {
 	Runner  string `cbor:"1,keyasint" json:"runner"`
 	Service string `cbor:"2,keyasint" json:"service"`
 	Zone    string `cbor:"3,keyasint" json:"zone"`
 	Address string `cbor:"4,keyasint" json:"address"`
-	// State is ready, draining, zone_out, resting (it wants nothing from the holder for a while),
+	// State is ready, draining, zone_out, resting (it accepts nothing from the holder for a while),
 	// silent or unknown (it has not reported yet).
 	State string `cbor:"5,keyasint" json:"state"`
-	// Running is the requests that nodes have under way there.
+	// Running is the number of requests that nodes have in progress there.
 	Running int `cbor:"6,keyasint" json:"running"`
-	// FreeMB is the memory that neither is taken nor may become taken.
+	// FreeMB is the memory that is not in use and cannot come into use.
 	FreeMB   float64         `cbor:"7,keyasint" json:"freeMB"`
 	Sequence uint64          `cbor:"8,keyasint" json:"sequence"`
 	Units    []ReplicaStatus `cbor:"9,keyasint,omitempty" json:"units"`
-	// ColdMs is how much longer it stays cold, as the node that was asked knows; zero when
-	// it is not.
+	// ColdMs is how much longer it stays cold according to the node that was asked; zero if it is
+	// not cold.
 	ColdMs int64 `cbor:"10,keyasint,omitempty" json:"coldMs,omitempty"`
-	// RestMs is how much longer it wants nothing from the node that was asked; zero when it
-	// does not rest.
+	// RestMs is how much longer it accepts nothing from the node that was asked; zero if it does
+	// not rest.
 	RestMs int64 `cbor:"11,keyasint,omitempty" json:"restMs,omitempty"`
 }
 
-// ReplicaStatus is one unit on a runner: ready, loading, unloading or uncertain.
+// ReplicaStatus is the state of one unit on a runner: ready, loading, unloading or uncertain.
 type ReplicaStatus struct {
 	Unit  string `cbor:"1,keyasint" json:"unit"`
 	State string `cbor:"2,keyasint" json:"state"`
--- a/internal/wire/numbers_test.go
+++ b/internal/wire/numbers_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFieldNumbersAreUnique: the codec leaves out every field whose number another one of
-// the message has, and says nothing.
+// TestFieldNumbersAreUnique checks that no two fields of a message have the same number. The codec
+// silently omits such fields.
 func TestFieldNumbersAreUnique(t *testing.T) {
 	for _, message := range []any{
 		SyncRequest{}, SyncResponse{}, FleetResponse{}, ExplainResponse{}, Entry{}, Decision{}, Obstacle{}, Member{},
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestReportsTellRegionAndPermits: a node's report carries both where it is and the
-// permits that it wants.
+// TestReportsTellRegionAndPermits checks that the report of a node carries both its region and the
+// permits it wants.
 func TestReportsTellRegionAndPermits(t *testing.T) {
 	sent := SyncRequest{Service: "s", Node: "n", Region: "north", Permits: []PermitsWanted{{Runner: "r", Count: 2}}}
 	content, err := Encode(sent)
--- a/internal/wire/pack.go
+++ b/internal/wire/pack.go
@@ -8,11 +8,10 @@
 	"lilacvane/internal/fault"
 )
 
-// packLevel is low, as rows repeat the same names and the time of a small
-// machine counts.
+// packLevel is low because rows repeat the same names and small machines have little CPU time.
 const packLevel = flate.BestSpeed
 
-// PackRows compresses rows. Runners' rows shrink to about a fifth.
+// PackRows compresses rows. The rows of runners shrink to about a fifth.
 func PackRows(rows []TableRow) ([]byte, error) {
 	content, err := encoder.Marshal(rows)
 	if err != nil {
@@ -32,8 +31,8 @@
 	return packed.Bytes(), nil
 }
 
-// UnpackRows undoes PackRows. What would unpack to more than MaximumMessageBytes
-// is refused. Errors name the peer the bytes came from.
+// UnpackRows decompresses the rows of PackRows. Input that unpacks to more than MaximumMessageBytes
+// is rejected. Errors name the peer that sent the bytes.
 func UnpackRows(packed []byte, peer string) ([]TableRow, error) {
 	const step = "unpack rows"
 	content, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), MaximumMessageBytes+1))
--- a/internal/wire/pack_test.go
+++ b/internal/wire/pack_test.go
@@ -11,7 +11,7 @@
 	"lilacvane/internal/fault"
 )
 
-// TestPackedRows: rows come out as they went in, and much smaller.
+// TestPackedRows checks that rows survive packing unchanged and become much smaller.
 func TestPackedRows(t *testing.T) {
 	var rows []TableRow
 	size := 0
@@ -29,8 +29,8 @@
 	assert.DeepEqual(t, unpacked, rows)
 }
 
-// TestBadPackedRows: what is broken, or would take too much memory, is refused
-// with the peer's name.
+// TestBadPackedRows checks that input which is corrupt or would take too much memory is rejected
+// with the name of the peer.
 func TestBadPackedRows(t *testing.T) {
 	var bomb bytes.Buffer
 	writer, err := flate.NewWriter(&bomb, flate.BestSpeed)
@@ -47,7 +47,7 @@
 	}
 }
 
-// FuzzUnpackRows: no bytes from a peer make the node fail.
+// FuzzUnpackRows checks that no input from a peer makes UnpackRows panic.
 func FuzzUnpackRows(f *testing.F) {
 	packed, err := PackRows([]TableRow{{Key: "a", Value: []byte("b"), Revision: 1}, {Key: "c", Deleted: true}})
 	assert.NilError(f, err)
--- a/internal/wire/sync.go
+++ b/internal/wire/sync.go
@@ -2,21 +2,21 @@
 
 import "lilacvane/internal/limit"
 
-// MethodSync is the call by which a node tells the holder of a service's control
-// lease what its requests need, and learns what the runners hold.
+// MethodSync is the call by which a node reports the demand of its requests to the holder of the
+// control lease of a service, and learns what the runners hold.
 const MethodSync = "control/sync"
 
-// SyncRequest is a node's demand.
+// SyncRequest is the demand of a node.
 type SyncRequest struct {
 	Service string `cbor:"1,keyasint"`
 	Node    string `cbor:"2,keyasint"`
-	// Zone and Address (ip:port for peers) tell where the node is.
+	// Zone and Address (ip:port for peers) are the location of the node.
 	Zone    string `cbor:"10,keyasint,omitempty"`
 	Address string `cbor:"11,keyasint,omitempty"`
-	// Region is the node's; empty when it is not known.
+	// Region is the region of the node; empty if it is not known.
 	Region string `cbor:"16,keyasint,omitempty"`
-	// Token and Version name the newest account the node has; the answer holds
-	// what changed since.
+	// Token and Version identify the newest response that the node has. The answer contains what
+	// has changed since.
 	Token   uint64 `cbor:"3,keyasint"`
 	Version uint64 `cbor:"4,keyasint"`
 	// HoldMs is how long the answer may wait for a change, in milliseconds.
@@ -24,39 +24,40 @@
 	Waiting []UnitWaiting `cbor:"6,keyasint,omitempty"`
 	Usage   []UnitUsage   `cbor:"7,keyasint,omitempty"`
 	Running []RunnerUsage `cbor:"8,keyasint,omitempty"`
-	// Report is set when Waiting and Running are the whole of the node's demand.
+	// Report is set when Waiting and Running are the complete demand of the node.
 	Report bool `cbor:"9,keyasint,omitempty"`
-	// Suspects are runners that left a request of the node without an answer.
+	// Suspects are runners that did not answer a request of the node.
 	Suspects []string `cbor:"12,keyasint,omitempty"`
-	// Spare is the part, 0 to 1, that the node's machine has of what a holder should
-	// have (settings.Capacity).
+	// Spare is the spare capacity of the machine of the node as a share, 0 to 1, of what a holder
+	// should have (settings.Capacity).
 	Spare float64 `cbor:"13,keyasint,omitempty"`
-	// Limits is told with reports to the holder that divides limits.
+	// Limits is sent with reports to the holder that divides limits.
 	Limits *LimitReport `cbor:"14,keyasint,omitempty"`
-	// Permits are wanted for requests that only runners could serve that are cold, or named a limit.
+	// Permits are requested for requests that can only be served by runners that are cold or stated
+	// a limit.
 	Permits []PermitsWanted `cbor:"15,keyasint,omitempty"`
-	// Poison is told to the holder that counts the ends of runners under requests.
+	// Poison is sent to the holder that counts the crashes of runners under requests.
 	Poison *PoisonReport `cbor:"17,keyasint,omitempty"`
 	// Partial is set while the node knows only some of the runners.
 	Partial bool `cbor:"19,keyasint,omitempty"`
-	// Leaving are runners that said in answers that they leave, which the platform's list does
-	// not tell yet.
+	// Leaving are runners that announced in answers that they are leaving, which the list of the
+	// platform does not show yet.
 	Leaving []RunnerLeaving `cbor:"18,keyasint,omitempty"`
-	// Limited are runners that named limits in answers.
+	// Limited are runners that stated limits in answers.
 	Limited []RunnerLimit `cbor:"20,keyasint,omitempty"`
 }
 
-// RunnerLimit is the limit that a runner named in an answer.
+// RunnerLimit is the limit that a runner stated in an answer.
 type RunnerLimit struct {
 	// Runner identifies the incarnation.
 	Runner string `cbor:"1,keyasint"`
-	// Rate is how many requests a second it takes from all nodes together.
+	// Rate is the number of requests per second that it accepts from all nodes together.
 	Rate float64 `cbor:"2,keyasint"`
 	// AgeMs is how long ago it said so last, in milliseconds.
 	AgeMs int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// RunnerLeaving is a runner that said in an answer that it leaves.
+// RunnerLeaving is a runner that announced in an answer that it is leaving.
 type RunnerLeaving struct {
 	// Runner identifies the incarnation.
 	Runner string `cbor:"1,keyasint"`
@@ -64,100 +65,100 @@
 	AgeMs int64 `cbor:"2,keyasint,omitempty"`
 }
 
-// PermitsWanted is how many permits a node wants for a runner that is cold, or named a limit.
+// PermitsWanted is the number of permits that a node requests for a runner that is cold or stated a
+// limit.
 type PermitsWanted struct {
 	Runner string `cbor:"1,keyasint"`
 	Count  int    `cbor:"2,keyasint"`
-	// Rate is the limit that the runner named, in requests a second; zero for none.
+	// Rate is the limit that the runner stated, in requests per second; zero for none.
 	Rate float64 `cbor:"3,keyasint,omitempty"`
 }
 
-// PermitsLent is how many permits the holder lends for such a runner. They may be spent
-// within a set time (coldstart.Validity) after the node sent its question.
+// PermitsLent is the number of permits that the holder lends for such a runner. They may be spent
+// within a fixed time (coldstart.Validity) after the node sent its request.
 type PermitsLent struct {
 	Runner string `cbor:"1,keyasint"`
 	Count  int    `cbor:"2,keyasint,omitempty"`
-	// NextMs is the time until it can lend another one, in milliseconds.
+	// NextMs is the time until the holder can lend another permit, in milliseconds.
 	NextMs int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// UnitWaiting is what waits for a unit at the node.
+// UnitWaiting is the requests that wait for a unit at the node.
 type UnitWaiting struct {
 	Model   string `cbor:"1,keyasint"`
 	Adapter string `cbor:"2,keyasint,omitempty"`
 	Count   int    `cbor:"3,keyasint"`
-	// LeftMs is the time until the first of them is given up, in milliseconds.
+	// LeftMs is the time until the first of them times out, in milliseconds.
 	LeftMs   int64 `cbor:"4,keyasint"`
 	Priority int   `cbor:"5,keyasint"`
-	// Homes are the regions in which alone they may be served (place.Homes.Names).
+	// Homes are the only regions in which they may be served (place.Homes.Names).
 	Homes []string `cbor:"6,keyasint,omitempty"`
 }
 
-// UnitUsage is how often a unit was asked for since the node's last report.
+// UnitUsage is the number of requests for a unit since the last report of the node.
 type UnitUsage struct {
 	Model    string `cbor:"1,keyasint"`
 	Adapter  string `cbor:"2,keyasint,omitempty"`
 	Requests int    `cbor:"3,keyasint"`
-	// Tokens is the size of their prompts.
+	// Tokens is the total size of their prompts.
 	Tokens int `cbor:"4,keyasint"`
-	// Homes are the regions in which alone they may be served (place.Homes.Names).
+	// Homes are the only regions in which they may be served (place.Homes.Names).
 	Homes []string `cbor:"5,keyasint,omitempty"`
 }
 
-// RunnerUsage is the node's requests under way at a runner, by model.
+// RunnerUsage is the number of requests that the node has in progress at a runner, by model.
 type RunnerUsage struct {
 	Runner string         `cbor:"1,keyasint"`
 	Models map[string]int `cbor:"2,keyasint"`
-	// Adapters counts those for adapters apart, by model/adapter.
+	// Adapters counts the requests for adapters separately, by model/adapter.
 	Adapters map[string]int `cbor:"3,keyasint,omitempty"`
 }
 
-// SyncResponse is the holder's account of the runners.
+// SyncResponse is the state of the runners as known to the holder.
 type SyncResponse struct {
 	Token   uint64       `cbor:"1,keyasint"`
 	Version uint64       `cbor:"2,keyasint"`
 	Runners []RunnerView `cbor:"4,keyasint,omitempty"`
-	// ListRevision is the revision of the platform's list up to which the holder has taken all
-	// changes; see RunnerView.Listed.
+	// ListRevision is the revision of the list of the platform up to which the holder has applied
+	// all changes; see RunnerView.Listed.
 	ListRevision uint64 `cbor:"19,keyasint,omitempty"`
-	// Planned are the models that the node waits for and that nothing loads yet,
-	// with the time until they are expected.
+	// Planned are the models that the node waits for and that are not being loaded yet, with the
+	// time until they are expected.
 	Planned []UnitComing `cbor:"9,keyasint,omitempty"`
-	// Nodes is how many nodes reported lately.
+	// Nodes is the number of nodes that reported recently.
 	Nodes int `cbor:"5,keyasint"`
-	// BestSpare is the largest Spare among the nodes that reported lately, the holder
-	// left out.
+	// BestSpare is the largest Spare among the nodes that reported recently, excluding the holder.
 	BestSpare float64 `cbor:"14,keyasint,omitempty"`
-	// Standbys are addresses of the nodes that turn to the store first when a holder is
-	// lost; told in answer to reports.
+	// Standbys are addresses of the nodes that fall back to the store first when a holder is lost.
+	// Sent in answer to reports.
 	Standbys []string `cbor:"15,keyasint,omitempty"`
-	// LeaseRenewal, LeaseYielded and LeaseQuietMs are the holder's word of its lease
-	// (lease.Word), of the lease Token.
+	// LeaseRenewal, LeaseYielded and LeaseQuietMs are what the holder reports about its lease
+	// (lease.Word), the one with Token.
 	LeaseRenewal uint64 `cbor:"10,keyasint,omitempty"`
 	LeaseYielded bool   `cbor:"11,keyasint,omitempty"`
 	LeaseQuietMs int64  `cbor:"12,keyasint,omitempty"`
-	// ActsInMs is the time until the holder gives orders, in milliseconds: while it
-	// waits out the turn gap.
+	// ActsInMs is the time until the holder gives orders, in milliseconds, while it waits for the
+	// turn gap to pass.
 	ActsInMs int64 `cbor:"13,keyasint,omitempty"`
-	// Valid is set while the holder's last renewal of the lease is valid.
+	// Valid is set while the last lease renewal of the holder is valid.
 	Valid bool `cbor:"6,keyasint,omitempty"`
-	// StoreLimit and StoreCapacity are what the holder has learned of the weight
-	// store (weightstore.Estimate), for the next holder to go on from.
+	// StoreLimit and StoreCapacity are what the holder has learned about the weight store
+	// (weightstore.Estimate), from which the next holder continues.
 	StoreLimit    int     `cbor:"7,keyasint,omitempty"`
 	StoreCapacity float64 `cbor:"8,keyasint,omitempty"`
-	// LoadEnds are the runners that ended as they loaded models, for the next holder to go on
-	// from; told in answer to reports.
+	// LoadCrashes are the crashes of runners while they loaded models, from which the next holder
+	// continues. Sent in answer to reports.
 	LoadEnds []LoadEnds `cbor:"21,keyasint,omitempty"`
-	// Limits answers the request's.
+	// Limits answers the Limits of the request.
 	Limits *limit.Grant `cbor:"16,keyasint,omitempty"`
-	// Permits answer those wanted.
+	// Permits answers the Permits of the request.
 	Permits []PermitsLent `cbor:"17,keyasint,omitempty"`
-	// Leaving and Limited are those that the holder knows of, from its own answers and other nodes.
+	// Leaving and Limited are those known to the holder, from its own answers and from other nodes.
 	Leaving []RunnerLeaving `cbor:"18,keyasint,omitempty"`
 	Limited []RunnerLimit   `cbor:"20,keyasint,omitempty"`
 }
 
-// LoadEnds is how many runners ended, one after the other, as they loaded a model.
+// ModelCrashes is the number of runners that crashed, one after the other, while loading a model.
 type LoadEnds struct {
 	Model string `cbor:"1,keyasint"`
 	Count int    `cbor:"2,keyasint"`
@@ -172,20 +173,21 @@
 	Coming []UnitComing `cbor:"3,keyasint,omitempty"`
 	// Silent is set while the runner does not answer the holder.
 	Silent bool `cbor:"4,keyasint,omitempty"`
-	// Listed is told to a node that knows only some runners and waits for a model here.
+	// Listed is sent to a node that knows only some runners and waits for a model on this one.
 	Listed *ListedRunner `cbor:"5,keyasint,omitempty"`
 }
 
-// ListedRunner is what the platform lists of a runner, as of SyncResponse.ListRevision.
+// ListedRunner is the entry of a runner in the list of the platform as of
+// SyncResponse.ListRevision.
 type ListedRunner struct {
-	// Born is the start of its process in Unix milliseconds; zero when it did not tell.
+	// Born is the start time of its process in Unix milliseconds; zero if unknown.
 	Born int64 `cbor:"1,keyasint,omitempty"`
 	// Address is ip:port.
 	Address string `cbor:"2,keyasint"`
 	Zone    string `cbor:"3,keyasint,omitempty"`
 	Region  string `cbor:"4,keyasint,omitempty"`
 	Slots   int    `cbor:"5,keyasint,omitempty"`
-	// Revision is that of its row.
+	// Revision is the revision of its row.
 	Revision uint64 `cbor:"6,keyasint,omitempty"`
 }
 
@@ -195,14 +197,14 @@
 	Adapters []string `cbor:"2,keyasint,omitempty"`
 }
 
-// UnitComing is a unit being loaded.
+// PendingUnit is a unit being loaded.
 type UnitComing struct {
 	Model   string `cbor:"1,keyasint"`
 	Adapter string `cbor:"2,keyasint,omitempty"`
-	// InMs is the time until it is expected to be loaded, in milliseconds.
+	// InMs is the time until the load is expected to complete, in milliseconds.
 	InMs int64 `cbor:"3,keyasint"`
-	// Homes are those of the requests that a planned load is for (place.Homes.Names).
+	// Homes are the homes of the requests that a planned load serves (place.Homes.Names).
 	Homes []string `cbor:"4,keyasint,omitempty"`
-	// Firm is set where a planned load cannot be sooner, as the model's loads rest.
+	// Firm is set if a planned load cannot happen sooner because loads of the model are paused.
 	Firm bool `cbor:"5,keyasint,omitempty"`
 }
