--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,5 +1,5 @@
-// Package link makes and accepts the TCP connections of a node. Each kind of
-// connection has bounds of its own on how long its other end may be silent.
+// Package link creates and accepts the TCP connections of a node. Each kind of
+// connection has its own bounds on how long the other end may be silent.
 package link
 
 import (
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// Kind is what a connection is used for.
+// Kind is the purpose of a connection.
 type Kind uint8
 
-// The kinds.
+// The kinds of connections.
 const (
-	// Runner carries requests, orders and questions to runners.
+	// Runner connections carry requests, orders and queries to runners.
 	Runner Kind = iota
-	// Store carries calls of the platform's store.
+	// Store connections carry calls to the store of the platform.
 	Store
-	// Peer carries calls between nodes; both ends have its bounds.
+	// Peer connections carry calls between nodes; both ends have the bounds of this kind.
 	Peer
-	// Client is accepted from clients and callers.
+	// Client connections are accepted from clients and callers.
 	Client
 	kinds
 )
 
-// String returns the kind as it stands in logs and figures.
+// String returns the name of the kind in logs and metrics.
 func (k Kind) String() string {
 	switch k {
 	case Runner:
@@ -40,78 +40,78 @@
 	}
 }
 
-// Bounds are the times of a kind.
+// Bounds are the timeouts of a kind.
 type Bounds struct {
-	// Connect bounds a connection attempt.
-	Connect time.Duration
-	// Unacknowledged ends a connection whose bytes, or probes, the other machine
-	// has not acknowledged for so long.
-	Unacknowledged time.Duration
-	// Idle is the time without a byte after which the kernel probes the other
-	// machine, Interval the time between two probes; both in whole seconds.
-	Idle     time.Duration
-	Interval time.Duration
-	// Rest is how long a Transport keeps a connection without a call for the next one.
-	Rest time.Duration
+	// ConnectTimeout bounds a connection attempt.
+	ConnectTimeout time.Duration
+	// AckTimeout ends a connection if the other machine does not acknowledge bytes or probes for
+	// this long.
+	AckTimeout time.Duration
+	// ProbeIdle is the time without traffic after which the kernel probes the other machine, and
+	// ProbeInterval the time between two probes. Both are whole seconds.
+	ProbeIdle     time.Duration
+	ProbeInterval time.Duration
+	// MaxIdle is how long a Transport keeps an idle connection for the next call.
+	MaxIdle time.Duration
 }
 
 const (
-	// runnerConnect leaves time for another runner within the shortest objectives.
-	runnerConnect = 350 * time.Millisecond
-	// RunnerSending is how long the bytes of a request may stay unacknowledged: four
-	// to five retransmissions of Linux, whose first comes after 200 ms.
+	// runnerConnectTimeout leaves time to try another runner within the shortest latency
+	// objectives.
+	runnerConnectTimeout = 350 * time.Millisecond
+	// RunnerSending is how long the bytes of a request may stay unacknowledged: four to five
+	// retransmissions on Linux, the first of which is sent after 200 ms.
 	RunnerSending = 1200 * time.Millisecond
-	// connect covers one lost packet of a connection attempt, which Linux sends again
-	// after a second.
-	connect = 2 * time.Second
-	// probeIdle is longer than the pauses of a healthy exchange, so that probes are
-	// few.
+	// connectTimeout allows for one lost packet during a connection attempt, which Linux
+	// retransmits after a second.
+	connectTimeout = 2 * time.Second
+	// probeIdle is longer than the pauses of a healthy exchange, so that few probes are sent.
 	probeIdle     = 2 * time.Second
 	probeInterval = time.Second
-	// patience lets two probes go unanswered: on a link that loses packets now and
-	// then, no sound connection is given up.
-	patience = 4500 * time.Millisecond
-	// clientIdle, clientInterval and clientPatience are longer than a cut from which a
-	// client comes back to its answer.
-	clientIdle     = 5 * time.Second
-	clientInterval = 2 * time.Second
-	clientPatience = 10 * time.Second
-	// ProvedFor is how long the end of an answer shows that its connection works: one may
-	// lose its path at any time while it rests, and nothing tells so until it is used.
+	// ackTimeout tolerates two unanswered probes, so that no healthy connection is dropped on a
+	// link with occasional packet loss.
+	ackTimeout = 4500 * time.Millisecond
+	// clientProbeIdle, clientProbeInterval and clientAckTimeout are longer than an interruption
+	// after which a client resumes reading its answer.
+	clientProbeIdle     = 5 * time.Second
+	clientProbeInterval = 2 * time.Second
+	clientAckTimeout    = 10 * time.Second
+	// TrustedIdle is how long the end of an answer shows that its connection works. An idle
+	// connection may lose its path at any time, and nothing indicates that until it is used.
 	ProvedFor = 50 * time.Millisecond
-	// peerRest is longer than the pauses between a node's calls: one that answers hundreds of
-	// nodes could not take a new connection from each several times a second.
-	peerRest = 30 * time.Second
-	// probes is not reached, as the time without an acknowledgement ends a connection
-	// first; it does where the kernel has no such bound.
-	probes = 3
+	// peerMaxIdle is longer than the pauses between the calls of a node: a node that answers
+	// hundreds of others could not accept a new connection from each several times a second.
+	peerMaxIdle = 30 * time.Second
+	// maxProbes is not reached where AckTimeout is supported, because that ends a connection first.
+	// It takes effect on kernels without that option.
+	maxProbes = 3
 )
 
-// Bounds returns the times of a kind.
+// Bounds returns the timeouts of a kind.
 func (k Kind) Bounds() Bounds {
 	switch k {
 	case Runner:
-		return Bounds{Connect: runnerConnect, Unacknowledged: RunnerSending, Idle: probeIdle, Interval: probeInterval}
+		return Bounds{ConnectTimeout: runnerConnectTimeout, AckTimeout: RunnerSending, ProbeIdle: probeIdle, ProbeInterval: probeInterval}
 	case Client:
-		return Bounds{Unacknowledged: clientPatience, Idle: clientIdle, Interval: clientInterval}
+		return Bounds{AckTimeout: clientAckTimeout, ProbeIdle: clientProbeIdle, ProbeInterval: clientProbeInterval}
 	case Store:
-		return Bounds{Connect: connect, Unacknowledged: patience, Idle: probeIdle, Interval: probeInterval, Rest: ProvedFor}
+		return Bounds{ConnectTimeout: connectTimeout, AckTimeout: ackTimeout, ProbeIdle: probeIdle, ProbeInterval: probeInterval, MaxIdle: ProvedFor}
 	default:
-		return Bounds{Connect: connect, Unacknowledged: patience, Idle: probeIdle, Interval: probeInterval, Rest: peerRest}
+		return Bounds{ConnectTimeout: connectTimeout, AckTimeout: ackTimeout, ProbeIdle: probeIdle, ProbeInterval: probeInterval, MaxIdle: peerMaxIdle}
 	}
 }
 
 func (b Bounds) keepAlive() net.KeepAliveConfig {
-	return net.KeepAliveConfig{Enable: true, Idle: b.Idle, Interval: b.Interval, Count: probes}
+	return net.KeepAliveConfig{Enable: true, Idle: b.ProbeIdle, Interval: b.ProbeInterval, Count: maxProbes}
 }
 
-// Dialer returns a dialer with the kind's bounds.
+// Dialer returns a dialer with the bounds of the kind.
 func (k Kind) Dialer() *net.Dialer {
 	b := k.Bounds()
-	return &net.Dialer{Timeout: b.Connect, KeepAliveConfig: b.keepAlive(), Control: b.control}
+	return &net.Dialer{Timeout: b.ConnectTimeout, KeepAliveConfig: b.keepAlive(), Control: b.control}
 }
 
-// Listen opens a listening socket whose connections have the kind's bounds.
+// Listen opens a listening socket whose connections have the bounds of the kind.
 func (k Kind) Listen(ctx context.Context, address string) (net.Listener, error) {
 	b := k.Bounds()
 	listen := net.ListenConfig{KeepAliveConfig: b.keepAlive()}
@@ -119,49 +119,49 @@
 	if err != nil {
 		return nil, err
 	}
-	return bounded{Listener: listener, unacknowledged: b.Unacknowledged}, nil
+	return boundedListener{Listener: listener, ackTimeout: b.AckTimeout}, nil
 }
 
-// bounded sets the bound of each connection it accepts: not every kernel hands it
-// on from the listening socket.
-type bounded struct {
+// boundedListener sets AckTimeout on each accepted connection, because not every kernel inherits it
+// from the listening socket.
+type boundedListener struct {
 	net.Listener
-	unacknowledged time.Duration
+	ackTimeout time.Duration
 }
 
 // Accept waits for the next connection.
-func (b bounded) Accept() (net.Conn, error) {
+func (b boundedListener) Accept() (net.Conn, error) {
 	conn, err := b.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	setUnacknowledged(conn, b.unacknowledged)
+	setAckTimeout(conn, b.ackTimeout)
 	return conn, nil
 }
 
-// tcpUserTimeout is the option's number on Linux.
+// tcpUserTimeout is the number of TCP_USER_TIMEOUT on Linux.
 const tcpUserTimeout = 0x12
 
 func (b Bounds) control(_, _ string, raw syscall.RawConn) error {
-	return limitUnacknowledged(raw, b.Unacknowledged)
+	return setAckTimeoutRaw(raw, b.AckTimeout)
 }
 
-func limitUnacknowledged(raw syscall.RawConn, limit time.Duration) error {
+func setAckTimeoutRaw(raw syscall.RawConn, limit time.Duration) error {
 	return raw.Control(func(descriptor uintptr) {
-		// A kernel without the option only notices a lost peer later.
+		// A kernel without the option only detects a lost peer later.
 		_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, int(limit.Milliseconds()))
 	})
 }
 
-// Wait makes a connection bear lost probes once its own bytes are out, and Send
-// bounds again how long bytes may stay unacknowledged. They do nothing to what is
-// not a TCP connection, or is closed.
-func Wait(conn net.Conn) { setUnacknowledged(conn, patience) }
+// RelaxAckTimeout makes a connection tolerate lost probes once its own bytes are sent.
+// RestoreAckTimeout limits again how long bytes may stay unacknowledged. Neither has an effect on
+// closed connections or on those that are not TCP.
+func Wait(conn net.Conn) { setAckTimeout(conn, ackTimeout) }
 
-// Send undoes Wait.
-func Send(conn net.Conn) { setUnacknowledged(conn, RunnerSending) }
+// RestoreAckTimeout undoes RelaxAckTimeout.
+func Send(conn net.Conn) { setAckTimeout(conn, RunnerSending) }
 
-func setUnacknowledged(conn net.Conn, limit time.Duration) {
+func setAckTimeout(conn net.Conn, limit time.Duration) {
 	control, ok := conn.(syscall.Conn)
 	if !ok {
 		return
@@ -170,10 +170,9 @@
 	if err != nil {
 		return
 	}
-	// The error says that the connection is closed, which its user learns as well.
-	_ = limitUnacknowledged(raw, limit)
+	// The error means that the connection is closed, which its user notices as well.
+	_ = setAckTimeoutRaw(raw, limit)
 }
 
-// Lost reports whether an error says that the other machine stopped to
-// acknowledge.
+// AckTimedOut reports whether an error means that the other machine stopped acknowledging.
 func Lost(err error) bool { return errors.Is(err, syscall.ETIMEDOUT) }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -9,30 +9,30 @@
 	"gotest.tools/v3/assert"
 )
 
-// option reads an option of a connection's socket.
+// option returns a socket option of a connection.
 func option(t *testing.T, conn net.Conn, level, name int) int {
 	t.Helper()
 	raw, err := conn.(syscall.Conn).SyscallConn()
 	assert.NilError(t, err)
 	value := 0
-	var problem error
+	var optionErr error
 	assert.NilError(t, raw.Control(func(descriptor uintptr) {
-		value, problem = syscall.GetsockoptInt(int(descriptor), level, name)
+		value, optionErr = syscall.GetsockoptInt(int(descriptor), level, name)
 	}))
-	assert.NilError(t, problem)
+	assert.NilError(t, optionErr)
 	return value
 }
 
 func assertBounds(t *testing.T, conn net.Conn, b Bounds) {
 	t.Helper()
 	assert.Equal(t, option(t, conn, syscall.SOL_SOCKET, syscall.SO_KEEPALIVE), 1)
-	assert.Equal(t, option(t, conn, syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE), int(b.Idle/time.Second))
-	assert.Equal(t, option(t, conn, syscall.IPPROTO_TCP, syscall.TCP_KEEPINTVL), int(b.Interval/time.Second))
-	assert.Equal(t, option(t, conn, syscall.IPPROTO_TCP, tcpUserTimeout), int(b.Unacknowledged.Milliseconds()))
+	assert.Equal(t, option(t, conn, syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE), int(b.ProbeIdle/time.Second))
+	assert.Equal(t, option(t, conn, syscall.IPPROTO_TCP, syscall.TCP_KEEPINTVL), int(b.ProbeInterval/time.Second))
+	assert.Equal(t, option(t, conn, syscall.IPPROTO_TCP, tcpUserTimeout), int(b.AckTimeout.Milliseconds()))
 }
 
-// TestSocketsHaveTheirBounds: both ends of a connection have the options of their
-// kind, also those that a listening socket hands on.
+// TestSocketsHaveTheirBounds checks that both ends of a connection, including accepted ones, have
+// the socket options of their kind.
 func TestSocketsHaveTheirBounds(t *testing.T) {
 	for _, kind := range []Kind{Runner, Store, Peer, Client} {
 		listener, err := kind.Listen(t.Context(), "127.0.0.1:0")
@@ -49,18 +49,18 @@
 	}
 }
 
-// TestNoProbeIsTheLast: a bound that a lost probe would reach alone would end sound
-// connections on a link that loses packets.
+// TestNoProbeIsTheLast checks that a single lost probe does not reach the timeout. Otherwise
+// healthy connections would be dropped on links with packet loss.
 func TestNoProbeIsTheLast(t *testing.T) {
 	for _, kind := range []Kind{Store, Peer, Client} {
 		b := kind.Bounds()
-		assert.Assert(t, b.Unacknowledged > b.Idle+b.Interval, "%s", kind)
+		assert.Assert(t, b.AckTimeout > b.ProbeIdle+b.ProbeInterval, "%s", kind)
 	}
-	assert.Assert(t, patience > probeIdle+probeInterval)
+	assert.Assert(t, ackTimeout > probeIdle+probeInterval)
 }
 
-// TestWaitBearsLostProbes: a connection that waits for an answer has the longer
-// bound until it sends again; one that is closed is left alone.
+// TestWaitBearsLostProbes checks that a connection waiting for an answer has the longer timeout
+// until it sends again, and that closed connections are ignored.
 func TestWaitBearsLostProbes(t *testing.T) {
 	listener, err := Peer.Listen(t.Context(), "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -68,7 +68,7 @@
 	conn, err := Runner.Dialer().DialContext(t.Context(), "tcp", listener.Addr().String())
 	assert.NilError(t, err)
 	Wait(conn)
-	assert.Equal(t, option(t, conn, syscall.IPPROTO_TCP, tcpUserTimeout), int(patience.Milliseconds()))
+	assert.Equal(t, option(t, conn, syscall.IPPROTO_TCP, tcpUserTimeout), int(ackTimeout.Milliseconds()))
 	Send(conn)
 	assert.Equal(t, option(t, conn, syscall.IPPROTO_TCP, tcpUserTimeout), int(RunnerSending.Milliseconds()))
 	assert.NilError(t, conn.Close())
--- a/internal/link/record.go
+++ b/internal/link/record.go
@@ -10,26 +10,26 @@
 // Reason is why a connection was dropped.
 type Reason uint8
 
-// The reasons.
+// The reasons for dropping a connection.
 const (
-	// Unacknowledged means that the other machine stopped to acknowledge.
+	// Unacknowledged means that the other machine stopped acknowledging.
 	Unacknowledged Reason = iota
-	// Mute means that nothing came back on a connection that had rested.
+	// Mute means that no answer came on a connection that had been idle.
 	Mute
-	// Distrusted means that others that rested as long were silent.
+	// Distrusted means that other connections that had been idle as long were silent.
 	Distrusted
-	// Ended means that the other end closed it, or sent something, while it rested.
+	// Ended means that the other end closed it, or sent data, while it was idle.
 	Ended
-	// Expired means that it rested as long as it may.
+	// Expired means that it reached its maximum idle time.
 	Expired
-	// Spare means that enough others rest.
+	// Spare means that there are enough other idle connections.
 	Spare
-	// Unproved means that it rested for too long to be known to work, which its user asked for.
+	// Unproved means that it was idle for too long to be known to work, which its user required.
 	Unproved
 	reasons
 )
 
-// String returns the reason as it stands in logs and figures.
+// String returns the name of the reason in logs and metrics.
 func (r Reason) String() string {
 	switch r {
 	case Unacknowledged:
@@ -49,16 +49,15 @@
 	}
 }
 
-// Record counts connections that were dropped, and logs the silent ones. The zero
-// value counts without a log, a nil one does nothing. Its methods may be called
-// concurrently.
+// Record counts dropped connections and logs silent ones. The zero value counts without logging; a
+// nil Record does nothing. It is safe for concurrent use.
 type Record struct {
 	log     atomic.Pointer[logr.Logger]
 	dropped [kinds][reasons]atomic.Uint64
 	dialed  [kinds]atomic.Uint64
 }
 
-// Log sets where silent connections are told.
+// Log sets the logger for silent connections.
 func (r *Record) Log(log logr.Logger) { r.log.Store(&log) }
 
 // Dialed counts a new connection.
@@ -75,8 +74,8 @@
 	}
 }
 
-// Silent counts a connection that was found silent in a step at a peer, and tells
-// it. after is the time since it was last used.
+// Silent counts and logs a connection that was found silent in a step at a peer. after is the time
+// since it was last used.
 func (r *Record) Silent(kind Kind, reason Reason, step, peer string, after time.Duration, cause error) {
 	if r == nil {
 		return
@@ -88,7 +87,7 @@
 	}
 }
 
-// Each calls visit with all counts of dropped connections.
+// Each calls visit with every count of dropped connections.
 func (r *Record) Each(visit func(kind Kind, reason Reason, count uint64)) {
 	for kind := range kinds {
 		for reason := range reasons {
@@ -97,7 +96,7 @@
 	}
 }
 
-// Kinds calls visit with the number of connections that were made, by kind.
+// Kinds calls visit with the number of connections made, for each kind that dials.
 func (r *Record) Kinds(visit func(kind Kind, dialed uint64)) {
 	for kind := range Client {
 		visit(kind, r.dialed[kind].Load())
--- a/internal/link/transport.go
+++ b/internal/link/transport.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// muteLimit is the least time without an answer that tells of a silent connection:
-// an answer of a peer that works comes within some milliseconds.
-const muteLimit = 200 * time.Millisecond
+// minSilence is the minimum time without an answer that indicates a silent connection. A working
+// peer answers within a few milliseconds.
+const minSilence = 200 * time.Millisecond
 
-// Transport sends HTTP requests of one kind. A connection that rested and is found
-// silent makes it drop all that rest. Its methods may be called concurrently.
+// Transport sends HTTP requests over connections of one kind. If an idle connection turns out to be
+// silent, it drops all idle ones. It is safe for concurrent use.
 type Transport struct {
 	kind   Kind
 	base   *http.Transport
 	record *Record
 
 	mutex sync.Mutex
-	// dropped is when resting connections were dropped last.
+	// dropped is when the idle connections were last dropped.
 	dropped time.Time
 }
 
-// NewTransport returns a transport that keeps resting connections, in all and for
-// each peer, as long as the kind's may rest. record may be nil.
+// NewTransport returns a transport that keeps up to idleAll idle connections, and up to idlePerPeer
+// for each peer, for the MaxIdle of the kind. record may be nil.
 func NewTransport(kind Kind, record *Record, idleAll, idlePerPeer int) *Transport {
 	t := &Transport{kind: kind, record: record}
 	dialer := kind.Dialer()
@@ -39,28 +39,28 @@
 		return conn, err
 	}
 	t.base = &http.Transport{
-		MaxIdleConns: idleAll, MaxIdleConnsPerHost: idlePerPeer, IdleConnTimeout: kind.Bounds().Rest, DisableCompression: true, DialContext: dial,
+		MaxIdleConns: idleAll, MaxIdleConnsPerHost: idlePerPeer, IdleConnTimeout: kind.Bounds().MaxIdle, DisableCompression: true, DialContext: dial,
 	}
 	return t
 }
 
-// CloseIdleConnections drops what rests.
+// CloseIdleConnections closes the idle connections.
 func (t *Transport) CloseIdleConnections() { t.base.CloseIdleConnections() }
 
-// use is the connection that carries a request.
-type use struct {
+// connectionUse is the use of a connection by a request.
+type connectionUse struct {
 	mutex    sync.Mutex
-	at       time.Time
-	rested   bool
+	takenAt  time.Time
+	wasIdle  bool
 	answered bool
 }
 
-func (u *use) trace() *httptrace.ClientTrace {
+func (u *connectionUse) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			u.mutex.Lock()
 			defer u.mutex.Unlock()
-			u.at, u.rested, u.answered = time.Now(), info.WasIdle, false
+			u.takenAt, u.wasIdle, u.answered = time.Now(), info.WasIdle, false
 		},
 		GotFirstResponseByte: func() {
 			u.mutex.Lock()
@@ -73,24 +73,24 @@
 // RoundTrip sends a request.
 func (t *Transport) RoundTrip(request *http.Request) (*http.Response, error) {
 	ctx := request.Context()
-	u := &use{}
+	u := &connectionUse{}
 	response, err := t.base.RoundTrip(request.WithContext(httptrace.WithClientTrace(ctx, u.trace())))
 	if err != nil {
-		t.judge(ctx, request, u, err)
+		t.checkSilence(ctx, request, u, err)
 	}
 	return response, err
 }
 
-// judge tells from a failed call whether its connection was silent.
-func (t *Transport) judge(ctx context.Context, request *http.Request, u *use, err error) {
+// checkSilence determines from a failed call whether its connection was silent.
+func (t *Transport) checkSilence(ctx context.Context, request *http.Request, u *connectionUse, err error) {
 	u.mutex.Lock()
-	at, mute := u.at, u.rested && !u.answered
+	at, mute := u.takenAt, u.wasIdle && !u.answered
 	u.mutex.Unlock()
 	if at.IsZero() {
 		return
 	}
 	waited := time.Since(at)
-	mute = mute && waited >= muteLimit && errors.Is(ctx.Err(), context.DeadlineExceeded)
+	mute = mute && waited >= minSilence && errors.Is(ctx.Err(), context.DeadlineExceeded)
 	reason := Mute
 	if Lost(err) {
 		reason = Unacknowledged
@@ -98,12 +98,12 @@
 		return
 	}
 	t.record.Silent(t.kind, reason, request.Method+" "+request.URL.Path, request.URL.Host, waited, err)
-	t.distrust(at)
+	t.dropIdle(at)
 }
 
-// distrust drops what rests, unless that was done since the silent connection was
-// taken up: what rests now is newer.
-func (t *Transport) distrust(taken time.Time) {
+// dropIdle drops the idle connections unless that was done after the silent connection was taken:
+// the current idle ones are newer then.
+func (t *Transport) dropIdle(taken time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.dropped.After(taken) {
--- a/internal/link/transport_test.go
+++ b/internal/link/transport_test.go
@@ -15,12 +15,11 @@
 	"lilacvane/internal/lab/faultproxy"
 )
 
-// startSilenceable returns a server behind a proxy, and a client with connections
-// that rest at it.
-func startSilenceable(t *testing.T, kind Kind, resting int) (client *http.Client, proxy *faultproxy.Proxy, record *Record) {
+// startSilenceable returns a server behind a proxy, and a client with idle connections to it.
+func startSilenceable(t *testing.T, kind Kind, idle int) (client *http.Client, proxy *faultproxy.Proxy, record *Record) {
 	t.Helper()
 	var together sync.WaitGroup
-	together.Add(resting)
+	together.Add(idle)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/together" {
 			together.Done()
@@ -36,7 +35,7 @@
 	client = &http.Client{Transport: NewTransport(kind, record, 16, 16)}
 	t.Cleanup(client.CloseIdleConnections)
 	var calls sync.WaitGroup
-	for range resting {
+	for range idle {
 		calls.Go(func() { assert.Check(t, get(t.Context(), client, proxy, "/together", time.Minute)) })
 	}
 	calls.Wait()
@@ -44,8 +43,8 @@
 }
 
 // get reports whether a call was answered in time.
-func get(ctx context.Context, client *http.Client, proxy *faultproxy.Proxy, path string, patience time.Duration) bool {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+func get(ctx context.Context, client *http.Client, proxy *faultproxy.Proxy, path string, timeout time.Duration) bool {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+proxy.Address()+path, nil)
 	if err != nil {
@@ -62,37 +61,37 @@
 
 func (r *Record) count(kind Kind, reason Reason) uint64 { return r.dropped[kind][reason].Load() }
 
-// TestOneSilentConnectionIsEnough: of many resting connections that went silent,
-// one call pays; the next ones are answered on new connections.
+// TestOneSilentConnectionIsEnough checks that if many idle connections went silent, only one call
+// fails and the next ones use new connections.
 func TestOneSilentConnectionIsEnough(t *testing.T) {
-	const resting = 4
-	client, proxy, record := startSilenceable(t, Peer, resting)
-	assert.Equal(t, proxy.SilenceOpen(), resting)
-	assert.Assert(t, !get(t.Context(), client, proxy, "/", 2*muteLimit))
-	for range resting {
+	const idle = 4
+	client, proxy, record := startSilenceable(t, Peer, idle)
+	assert.Equal(t, proxy.SilenceOpen(), idle)
+	assert.Assert(t, !get(t.Context(), client, proxy, "/", 2*minSilence))
+	for range idle {
 		assert.Assert(t, get(t.Context(), client, proxy, "/", time.Minute))
 	}
 	assert.Equal(t, record.count(Peer, Mute), uint64(1))
 }
 
-// TestBrokenOffCallsTellNothing: calls that their caller gives up, or that had no
-// time for an answer, do not drop what rests.
+// TestBrokenOffCallsTellNothing checks that calls which are canceled, or time out too early for an
+// answer, do not drop the idle connections.
 func TestBrokenOffCallsTellNothing(t *testing.T) {
 	client, proxy, record := startSilenceable(t, Peer, 3)
 	proxy.Set(faultproxy.Silence)
 	ctx, cancel := context.WithCancel(t.Context())
-	time.AfterFunc(2*muteLimit, cancel)
+	time.AfterFunc(2*minSilence, cancel)
 	assert.Assert(t, !get(ctx, client, proxy, "/", time.Minute))
-	assert.Assert(t, !get(t.Context(), client, proxy, "/", muteLimit/4))
+	assert.Assert(t, !get(t.Context(), client, proxy, "/", minSilence/4))
 	proxy.Heal()
 	dialed := record.dialed[Peer].Load()
 	assert.Assert(t, get(t.Context(), client, proxy, "/", time.Minute))
-	assert.Equal(t, record.dialed[Peer].Load(), dialed, "the connection that still rested was dropped")
+	assert.Equal(t, record.dialed[Peer].Load(), dialed, "the idle connection was dropped")
 	assert.Equal(t, record.count(Peer, Mute), uint64(0))
 }
 
-// TestSilenceAfterAnyRest: connections that rested for a drawn time, and for longer than an answer
-// proves them, go silent. One call to a peer pays, none to the store does.
+// TestSilenceAfterAnyRest checks connections that go silent after a random idle time longer than
+// TrustedIdle. At most one call to a peer may fail, and none to the store.
 func TestSilenceAfterAnyRest(t *testing.T) {
 	const seeds, calls = 8, 4
 	for _, test := range []struct {
@@ -102,16 +101,16 @@
 		t.Run(test.kind.String(), func(t *testing.T) {
 			for seed := range uint64(seeds) {
 				client, proxy, _ := startSilenceable(t, test.kind, 4)
-				rest := 2*ProvedFor + time.Duration(rand.New(rand.NewPCG(seed, 0)).Int64N(int64(2*ProvedFor)))
-				time.Sleep(rest)
+				idleTime := 2*ProvedFor + time.Duration(rand.New(rand.NewPCG(seed, 0)).Int64N(int64(2*ProvedFor)))
+				time.Sleep(idleTime)
 				proxy.SilenceOpen()
 				lost := 0
 				for range calls {
-					if !get(t.Context(), client, proxy, "/", 2*muteLimit) {
+					if !get(t.Context(), client, proxy, "/", 2*minSilence) {
 						lost++
 					}
 				}
-				assert.Assert(t, lost <= test.lost, "seed %d: %d calls lost after a rest of %s", seed, lost, rest)
+				assert.Assert(t, lost <= test.lost, "seed %d: %d calls lost after %s idle", seed, lost, idleTime)
 			}
 		})
 	}
--- a/internal/link/trust.go
+++ b/internal/link/trust.go
@@ -6,60 +6,59 @@
 )
 
 const (
-	// strikeWindow is the time in which silences count together: what silences one
-	// connection without a reset, such as an address translation that lost its table,
-	// strikes all at once, and each is noticed when it is used next. Connections do not
-	// rest for longer than some 20 s.
-	strikeWindow = 20 * time.Second
-	// silentPeers is how many peers must be silent before all are distrusted. One may
-	// have stopped alone.
-	silentPeers = 2
+	// silenceWindow is the time in which silent connections count together. A cause that silences
+	// connections without a reset, such as a NAT that lost its table, affects all at once, but each
+	// is detected at its next use. Connections are not idle for longer than about 20 s.
+	silenceWindow = 20 * time.Second
+	// minSilentPeers is how many peers must be silent before all are distrusted. A single peer may
+	// have stopped by itself.
+	minSilentPeers = 2
 )
 
-// Scope says whose resting connections are not to be used again.
+// Scope is the set of peers whose idle connections must not be used again.
 type Scope uint8
 
 // The scopes.
 const (
-	// Nobody: they were dropped since the silent connection was taken up.
+	// NoPeer: the connections were already dropped after the silent one was taken.
 	Nobody Scope = iota
 	// OnePeer is the peer whose connection was silent.
 	OnePeer
-	// AllPeers are all peers.
+	// AllPeers is all peers.
 	AllPeers
 )
 
-// Trust learns from silent connections whether others that rested as long can be
-// trusted. Its methods may be called concurrently.
+// Trust determines from silent connections whether other connections that were idle as long can be
+// trusted. It is safe for concurrent use.
 type Trust struct {
 	now func() time.Time
 
 	mutex sync.Mutex
-	// silent are peers by the connection to them that was found silent last.
+	// silent maps peers to their last connection that was found silent.
 	silent map[string]silence
-	// dropped is when all peers were distrusted last.
+	// dropped is when all peers were last distrusted.
 	dropped time.Time
 }
 
-// silence is a silent connection: when it was taken up, and when it was found silent.
+// silence describes a silent connection: when it was taken for use, and when it was found silent.
 type silence struct {
 	taken time.Time
 	at    time.Time
 }
 
-// NewTrust returns a Trust that has seen nothing.
+// NewTrust returns a Trust without any observations.
 func NewTrust(now func() time.Time) *Trust {
 	return &Trust{now: now, silent: make(map[string]silence)}
 }
 
-// Silent notes that a connection to the peer, taken up then, was silent, and returns
-// whose resting connections to drop.
+// Silent records that a connection to the peer, taken for use at the given time, was silent. It
+// returns whose idle connections to drop.
 func (t *Trust) Silent(peer string, taken time.Time) Scope {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := t.now()
 	for other, known := range t.silent {
-		if now.Sub(known.at) > strikeWindow {
+		if now.Sub(known.at) > silenceWindow {
 			delete(t.silent, other)
 		}
 	}
@@ -67,7 +66,7 @@
 		return Nobody
 	}
 	t.silent[peer] = silence{taken: taken, at: now}
-	if len(t.silent) < silentPeers {
+	if len(t.silent) < minSilentPeers {
 		return OnePeer
 	}
 	clear(t.silent)
@@ -75,30 +74,31 @@
 	return AllPeers
 }
 
-// Doubts reports whether a connection that has rested since then may be silent too: another
-// peer's was found silent after it. A single silent peer may have stopped alone, so only
-// what must not be lost avoids such a connection. Without that, requests that may not be
-// repeated were lost on them in 5 of 48 runs in which all connections went silent.
-func (t *Trust) Doubts(restedSince time.Time) bool {
+// Suspects reports whether a connection that has been idle since the given time may be silent too,
+// because a connection to another peer was found silent after that. A single silent peer may have
+// stopped by itself, so only requests that must not be lost avoid such connections. Without this
+// check, requests that may not be repeated were lost in 5 of 48 runs in which all connections went
+// silent.
+func (t *Trust) Doubts(idleSince time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, known := range t.silent {
-		if restedSince.Before(known.at) && t.now().Sub(known.at) <= strikeWindow {
+		if idleSince.Before(known.at) && t.now().Sub(known.at) <= silenceWindow {
 			return true
 		}
 	}
 	return false
 }
 
-// Answered notes an answer on a connection that had rested since then: one that rested
-// before a silent one was taken up, and works, shows that the silence is not everywhere. One
-// that rested later may have been made since and shows nothing: counted, it let nodes that
-// had noticed one silent runner go on trusting the others.
-func (t *Trust) Answered(restedSince time.Time) {
+// Answered records an answer on a connection that had been idle since the given time. If it was
+// idle before a silent connection was taken and works, not all connections are silent. One that
+// became idle later may have been made since and shows nothing; counting it made nodes that had
+// detected one silent runner keep trusting the others.
+func (t *Trust) Answered(idleSince time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for peer, known := range t.silent {
-		if restedSince.Before(known.taken) {
+		if idleSince.Before(known.taken) {
 			delete(t.silent, peer)
 		}
 	}
--- a/internal/link/trust_test.go
+++ b/internal/link/trust_test.go
@@ -7,49 +7,47 @@
 	"gotest.tools/v3/assert"
 )
 
-// clock is a time that tests move.
+// clock is a clock that tests advance.
 type clock struct{ at time.Time }
 
 func (c *clock) now() time.Time { return c.at }
 
-func (c *clock) pass(d time.Duration) { c.at = c.at.Add(d) }
+func (c *clock) advance(d time.Duration) { c.at = c.at.Add(d) }
 
 func newClock() *clock { return &clock{at: time.Unix(1000, 0)} }
 
-// TestOnePeerMayBeSilentAlone: however often one peer is silent, others are
-// trusted.
+// TestOnePeerMayBeSilentAlone checks that others are trusted however often one peer is silent.
 func TestOnePeerMayBeSilentAlone(t *testing.T) {
 	c := newClock()
 	trust := NewTrust(c.now)
 	for range 5 {
 		assert.Equal(t, trust.Silent("a", c.now()), OnePeer)
-		c.pass(100 * time.Millisecond)
+		c.advance(100 * time.Millisecond)
 	}
 }
 
-// TestSilenceAtSeveralPeersIsSilenceOfAll: two peers silent in a short time stand
-// for all; two that are silent far apart do not, nor do the same two count twice.
+// TestSilenceAtSeveralPeersIsSilenceOfAll checks that two peers that are silent within the window
+// stand for all. Two that are silent further apart do not, and the same two do not count twice.
 func TestSilenceAtSeveralPeersIsSilenceOfAll(t *testing.T) {
 	c := newClock()
 	trust := NewTrust(c.now)
 	assert.Equal(t, trust.Silent("a", c.now()), OnePeer)
-	c.pass(strikeWindow)
+	c.advance(silenceWindow)
 	assert.Equal(t, trust.Silent("b", c.now()), AllPeers)
 	assert.Equal(t, trust.Silent("c", c.now()), OnePeer)
-	c.pass(strikeWindow + time.Millisecond)
+	c.advance(silenceWindow + time.Millisecond)
 	assert.Equal(t, trust.Silent("d", c.now()), OnePeer)
 }
 
-// TestAnswerOnOlderConnectionRestoresTrust: an answer on a connection that rested
-// across the silence shows that others may be sound; one on a newer connection
-// shows nothing.
+// TestAnswerOnOlderConnectionRestoresTrust checks that an answer on a connection that was idle
+// across the silence shows that others may work, and that one on a newer connection shows nothing.
 func TestAnswerOnOlderConnectionRestoresTrust(t *testing.T) {
 	c := newClock()
 	trust := NewTrust(c.now)
 	before := c.now()
-	c.pass(time.Millisecond)
+	c.advance(time.Millisecond)
 	trust.Silent("a", c.now())
-	c.pass(time.Millisecond)
+	c.advance(time.Millisecond)
 	trust.Answered(c.now())
 	assert.Equal(t, trust.Silent("b", c.now()), AllPeers)
 	trust.Silent("a", c.now())
@@ -57,34 +55,35 @@
 	assert.Equal(t, trust.Silent("b", c.now()), OnePeer)
 }
 
-// TestAnswerOnAConnectionMadeDuringTheSilenceShowsNothing: one that was made after the
-// silent one was taken up, and rested before that was noticed, works as all new ones do.
+// TestAnswerOnAConnectionMadeDuringTheSilenceShowsNothing checks that an answer is ignored if its
+// connection was made after the silent one was taken and became idle before the silence was
+// detected. It works as all new ones do.
 func TestAnswerOnAConnectionMadeDuringTheSilenceShowsNothing(t *testing.T) {
 	c := newClock()
 	trust := NewTrust(c.now)
 	taken := c.now()
-	c.pass(100 * time.Millisecond)
+	c.advance(100 * time.Millisecond)
 	rested := c.now()
-	c.pass(time.Second)
+	c.advance(time.Second)
 	assert.Equal(t, trust.Silent("a", taken), OnePeer)
 	trust.Answered(rested)
 	assert.Equal(t, trust.Silent("b", taken), AllPeers)
 }
 
-// TestOneSilenceIsNoticedOnce: connections that were taken up before others were
-// dropped tell nothing new, however late they are noticed.
+// TestOneSilenceIsNoticedOnce checks that connections taken before others were dropped do not count
+// again, however late they are found silent.
 func TestOneSilenceIsNoticedOnce(t *testing.T) {
 	c := newClock()
 	trust := NewTrust(c.now)
 	taken := c.now()
-	c.pass(time.Second)
+	c.advance(time.Second)
 	assert.Equal(t, trust.Silent("a", taken), OnePeer)
 	assert.Equal(t, trust.Silent("a", taken), Nobody)
-	c.pass(time.Second)
+	c.advance(time.Second)
 	assert.Equal(t, trust.Silent("b", taken), AllPeers)
 	assert.Equal(t, trust.Silent("c", taken), Nobody)
 	assert.Equal(t, trust.Silent("a", taken), Nobody)
 	later := c.now()
-	c.pass(time.Second)
+	c.advance(time.Second)
 	assert.Equal(t, trust.Silent("c", later), OnePeer)
 }
