--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,4 +1,4 @@
-// Package peer carries the messages of package wire between nodes: CBOR bodies
+// Package peer carries the messages of package wire between nodes as CBOR bodies
 // over HTTP on the peer port.
 package peer
 
@@ -20,10 +20,10 @@
 const (
 	pathPrefix = "/peer/"
 	headerFrom = "From-Node"
-	// headerRegion asks a peer, and tells, where it is: with the first call to it.
+	// headerRegion asks a peer for its region, and carries the answer, in the first call to it.
 	headerRegion = "Node-Region"
 	maximumIdle  = 64
-	// idlePerHost covers the calls that one node holds at another.
+	// idlePerHost is enough for the held calls of one node at another.
 	idlePerHost      = 8
 	idleTimeout      = 30 * time.Second
 	readTimeout      = 30 * time.Second
@@ -39,8 +39,7 @@
 	RetryAfter int64      `cbor:"6,keyasint"`
 }
 
-// Server answers the calls of other nodes. Handlers are added with Handle before
-// it is served.
+// Server answers the calls of other nodes. All handlers must be added with Handle before Serve.
 type Server struct {
 	mux    *http.ServeMux
 	node   string
@@ -48,7 +47,7 @@
 	server *http.Server
 }
 
-// NewServer returns a server that names itself node in errors.
+// NewServer returns a server that uses node as its name in errors.
 func NewServer(node string) *Server {
 	mux := http.NewServeMux()
 	return &Server{
@@ -57,7 +56,7 @@
 	}
 }
 
-// SetRegion tells the region of the node. It is called before the server is served.
+// SetRegion sets the region of the node. It must be called before Serve.
 func (s *Server) SetRegion(region place.Region) { s.region = region }
 
 // Handle registers the handler of a message.
@@ -80,7 +79,7 @@
 	})
 }
 
-// readMessage decodes a body, which came from a peer, into target.
+// readMessage decodes a body received from a peer into target.
 func readMessage(body io.Reader, from string, target any) error {
 	content, err := io.ReadAll(io.LimitReader(body, wire.MaximumMessageBytes+1))
 	if err != nil {
@@ -89,7 +88,7 @@
 	return wire.Decode(content, from, target)
 }
 
-// writeMessage answers with a message.
+// writeMessage responds with a message.
 func writeMessage(w http.ResponseWriter, status int, message any) {
 	content, err := wire.Encode(message)
 	if err != nil {
@@ -122,32 +121,33 @@
 	return s.server.Serve(listener)
 }
 
-// Close ends the server and its connections.
+// Close closes the server and its connections.
 func (s *Server) Close() error { return s.server.Close() }
 
 // Client calls other nodes.
 type Client struct {
 	http *http.Client
 	node string
-	// meter counts what goes to other regions; not set for nobody.
+	// meter counts the traffic to other regions; it may be nil.
 	meter *traffic.Meter
 }
 
-// NewClient returns a client that names itself node. Calls are bounded by their
-// context. links counts connections; it may be nil.
+// NewClient returns a client that uses node as its name. Calls are bounded by their context. links
+// counts connections; it may be nil.
 func NewClient(node string, links *link.Record) *Client {
 	transport := link.NewTransport(link.Peer, links, maximumIdle, idlePerHost)
 	return &Client{http: &http.Client{Transport: transport}, node: node}
 }
 
-// SetMeter lets calls to other regions be counted. It is called before the first call.
+// SetMeter sets the meter that counts calls to other regions. It must be called before the first
+// call.
 func (c *Client) SetMeter(meter *traffic.Meter) { c.meter = meter }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Call sends a message and decodes the answer into response, a pointer. Errors
-// state whether the peer may have acted.
+// Call sends a message and decodes the answer into response, a pointer. Errors state whether the
+// peer may have acted.
 func (c *Client) Call(ctx context.Context, address, method string, request, response any) error {
 	content, err := wire.Encode(request)
 	if err != nil {
@@ -186,7 +186,7 @@
 	return readMessage(body, address, response)
 }
 
-// countedBody counts what is read of an answer.
+// countedBody counts the bytes read from an answer.
 type countedBody struct {
 	io.Reader
 	count int
@@ -199,7 +199,7 @@
 	return read, err
 }
 
-// purposeOf says what a call is for.
+// purposeOf returns the traffic purpose of a call.
 func purposeOf(method string) traffic.Purpose {
 	switch method {
 	case wire.MethodSync, wire.MethodPoison:
--- a/internal/peer/region_test.go
+++ b/internal/peer/region_test.go
@@ -13,8 +13,8 @@
 	"lilacvane/internal/wire"
 )
 
-// serve starts a peer in a region that answers questions for a tenant's limit, or fails
-// them, and returns its address.
+// serve starts a peer in a region that answers MethodSpend, or fails if fails is set, and returns
+// its address.
 func serve(t *testing.T, region place.Region, fails bool) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,8 +32,9 @@
 	return listener.Addr().String()
 }
 
-// TestCallsToOtherRegionsAreCounted: the first call to a peer learns its region; calls to
-// other regions are counted both ways, failed ones too, those to the own region are not.
+// TestCallsToOtherRegionsAreCounted checks that the first call to a peer learns its region, that
+// calls to other regions are counted in both directions even if they fail, and that calls within
+// the region are not counted.
 func TestCallsToOtherRegionsAreCounted(t *testing.T) {
 	sums := make(map[traffic.Direction]int)
 	client := NewClient("here", nil)
