--- a/internal/table/bounded.go
+++ b/internal/table/bounded.go
@@ -5,29 +5,31 @@
 	"time"
 )
 
-// WithTimeout returns the table with a bound on each call, so that one without an answer leaves
-// time for another one. A commit that ends by it has an unknown outcome.
-func WithTimeout(t Table, limit time.Duration) Table { return bounded{table: t, limit: limit} }
+// WithTimeout returns a table that bounds each call, so that a call without an answer leaves time
+// for another one. A commit that times out has an unknown outcome.
+func WithTimeout(t Table, timeout time.Duration) Table {
+	return timeoutTable{table: t, timeout: timeout}
+}
 
-type bounded struct {
-	table Table
-	limit time.Duration
+type timeoutTable struct {
+	table   Table
+	timeout time.Duration
 }
 
-func (b bounded) Get(ctx context.Context, key string) (Row, error) {
-	ctx, cancel := context.WithTimeout(ctx, b.limit)
+func (t timeoutTable) Get(ctx context.Context, key string) (Row, error) {
+	ctx, cancel := context.WithTimeout(ctx, t.timeout)
 	defer cancel()
-	return b.table.Get(ctx, key)
+	return t.table.Get(ctx, key)
 }
 
-func (b bounded) List(ctx context.Context, prefix, after string, limit int) ([]Row, error) {
-	ctx, cancel := context.WithTimeout(ctx, b.limit)
+func (t timeoutTable) List(ctx context.Context, prefix, after string, limit int) ([]Row, error) {
+	ctx, cancel := context.WithTimeout(ctx, t.timeout)
 	defer cancel()
-	return b.table.List(ctx, prefix, after, limit)
+	return t.table.List(ctx, prefix, after, limit)
 }
 
-func (b bounded) Commit(ctx context.Context, transaction Transaction) (uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, b.limit)
+func (t timeoutTable) Commit(ctx context.Context, transaction Transaction) (uint64, error) {
+	ctx, cancel := context.WithTimeout(ctx, t.timeout)
 	defer cancel()
-	return b.table.Commit(ctx, transaction)
+	return t.table.Commit(ctx, transaction)
 }
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -1,6 +1,6 @@
-// Package table is the seam to the platform's transactional table service. Rows
-// carry revisions, transactions are conditional on them, and every call says
-// whether it was done, not done or is unknown.
+// Package table is the interface to the transactional table service of the platform.
+// Rows have revisions, transactions are conditional on them, and every call states
+// whether it took effect, did not, or that this is unknown.
 package table
 
 import (
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// Row is one row. Revision is zero when the row is absent.
+// Row is one row. Revision is zero if the row does not exist.
 type Row struct {
 	Key      string
 	Value    []byte
 	Revision uint64
-	// ReadAt is the table's own steady clock when the row was read, which all nodes share.
+	// ReadAt is the time of the read on the monotonic clock of the table, which is the same for all
+	// nodes.
 	ReadAt time.Duration
 }
 
-// Condition demands that a row has a revision; zero demands that it is absent.
+// Condition requires that a row has a revision; zero requires that the row does not exist.
 type Condition struct {
 	Key      string
 	Revision uint64
@@ -30,7 +31,7 @@
 	Delete bool
 }
 
-// Transaction is carried out whole if all conditions hold, else not at all.
+// Transaction is applied completely if all conditions hold, otherwise not at all.
 type Transaction struct {
 	Conditions []Condition
 	Writes     []Write
@@ -38,15 +39,14 @@
 
 // Table is one table of the service.
 type Table interface {
-	// Get reads one row. A row that is absent has revision zero. What is read
-	// may be older than what was read before.
+	// Get reads one row. A row that does not exist has revision zero. The result may be older than
+	// that of an earlier read.
 	Get(ctx context.Context, key string) (Row, error)
-	// List reads up to limit rows with the prefix and a key above after, in key
-	// order.
+	// List reads up to limit rows with the prefix and a key above after, in key order.
 	List(ctx context.Context, prefix, after string, limit int) ([]Row, error)
-	// Commit carries out a transaction and returns the revision it gave its
-	// rows. It fails with fault.CodeConflict when a condition does not hold. The
-	// outcome of any other error tells whether it took effect; one that is
-	// unknown may take effect later, as long as its conditions hold.
+	// Commit applies a transaction and returns the revision of its rows. It fails with
+	// fault.CodeConflict if a condition does not hold. The outcome of any other error states
+	// whether the transaction took effect; with an unknown outcome it may take effect later, as
+	// long as its conditions hold.
 	Commit(ctx context.Context, transaction Transaction) (uint64, error)
 }
