--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,6 +1,6 @@
-// Package fault defines the error value used across lilacvane. Every error
-// names the step and the peer at which it arose, whether the work it belongs to
-// was run, and when a caller may come back.
+// Package fault defines the error type of lilacvane. Every error names the step and
+// the peer at which it occurred, whether the work was carried out, and when a caller
+// may retry.
 package fault
 
 import (
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// Outcome says what is known about an operation on another process.
+// Outcome is what is known about an operation on another process.
 type Outcome uint8
 
-// The three outcomes every remote operation can have. Unknown is the zero value
-// so that a forgotten outcome is never mistaken for a definite one.
+// The possible outcomes of a remote operation. Unknown is the zero value, so that an outcome that
+// was not set is never mistaken for a definite one.
 const (
 	Unknown Outcome = iota
 	Done
 	NotDone
 )
 
-// String returns the outcome in the form shown to callers: yes, no or unknown.
+// String returns the outcome as shown to callers: yes, no or unknown.
 func (o Outcome) String() string {
 	switch o {
 	case Done:
@@ -32,11 +32,11 @@
 	}
 }
 
-// Code is a stable, machine-readable reason. Codes are part of the public
-// interface and never change their meaning.
+// Code is a stable, machine-readable error code. Codes are part of the public interface and never
+// change their meaning.
 type Code string
 
-// The codes that lilacvane answers with. docs/INTERFACE.md describes each one.
+// The codes that lilacvane responds with. docs/INTERFACE.md describes each one.
 const (
 	CodeInvalid            Code = "invalid_request"
 	CodeTooLarge           Code = "body_too_large"
@@ -69,10 +69,9 @@
 	CodeInternal           Code = "internal"
 )
 
-// Error is the error value of lilacvane. Step is the operation that failed, Peer
-// the address or name of the process it failed at ("self" for this process), Ran
-// whether the work was carried out, RetryAfter when to come back (zero: not
-// stated).
+// Error is the error type of lilacvane. Step is the operation that failed, Peer the address or name
+// of the process at which it failed (Self for this process), Ran whether the work was carried out,
+// and RetryAfter when to retry (zero: not stated).
 type Error struct {
 	Code       Code
 	Step       string
@@ -83,7 +82,7 @@
 	Cause      error
 }
 
-// Self is the peer name of errors that arose inside this process.
+// Self is the peer name of errors that occurred inside this process.
 const Self = "self"
 
 // Error formats the step, peer, code and message on one line.
@@ -101,25 +100,25 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// New returns an error that arose in this process before any work was run.
+// New returns an error that occurred in this process before any work was carried out.
 func New(code Code, step, format string, arguments ...any) *Error {
 	return &Error{Code: code, Step: step, Peer: Self, Ran: NotDone, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// At returns an error that arose at a peer with the given outcome.
+// At returns an error that occurred at a peer, with the given outcome.
 func At(code Code, step, peer string, ran Outcome, cause error) *Error {
 	return &Error{Code: code, Step: step, Peer: peer, Ran: ran, Cause: cause}
 }
 
-// WithRetryAfter returns a copy of the error that tells the caller when to come back.
+// WithRetryAfter returns a copy of the error that tells the caller when to retry.
 func (e *Error) WithRetryAfter(wait time.Duration) *Error {
 	copied := *e
 	copied.RetryAfter = wait
 	return &copied
 }
 
-// From returns err as an *Error. An error of another type becomes an internal
-// error of the given step whose outcome is unknown.
+// From returns err as an *Error. An error of another type becomes an internal error of the given
+// step with an unknown outcome.
 func From(err error, step string) *Error {
 	if err == nil {
 		return nil
@@ -131,8 +130,8 @@
 	return &Error{Code: CodeInternal, Step: step, Peer: Self, Ran: Unknown, Cause: err}
 }
 
-// OutcomeOf returns the outcome an error states: Done for nil, Unknown for an
-// error of a foreign type.
+// OutcomeOf returns the outcome that an error states: Done for nil, Unknown for an error of another
+// type.
 func OutcomeOf(err error) Outcome {
 	if err == nil {
 		return Done
@@ -144,7 +143,7 @@
 	return Unknown
 }
 
-// IsCode reports whether err carries the code.
+// IsCode reports whether err has the code.
 func IsCode(err error, code Code) bool {
 	var typed *Error
 	return errors.As(err, &typed) && typed.Code == code
--- a/internal/fault/http.go
+++ b/internal/fault/http.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// Body is the JSON form of an error on every HTTP surface.
+// Body is the JSON form of an error in all HTTP interfaces.
 type Body struct {
 	Error BodyError `json:"error"`
 }
 
-// BodyError is the content of Body. RetryAfterSeconds is zero when not stated.
+// BodyError is the content of Body. RetryAfterSeconds is zero if not stated.
 type BodyError struct {
 	Code              Code    `json:"code"`
 	Message           string  `json:"message"`
@@ -49,8 +49,8 @@
 	CodeInterrupted: http.StatusBadGateway, CodeInternal: http.StatusInternalServerError,
 }
 
-// Status returns the HTTP status of a code. Codes without one of their own are
-// 503, so that callers come back.
+// Status returns the HTTP status of a code. Codes without a status of their own get 503, so that
+// callers retry.
 func Status(code Code) int {
 	if status, ok := statusByCode[code]; ok {
 		return status
@@ -58,7 +58,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// Write answers an HTTP request with the error, Retry-After included.
+// Write responds to an HTTP request with the error, including Retry-After.
 func Write(w http.ResponseWriter, e *Error) {
 	w.Header().Set("Content-Type", "application/json")
 	if e.RetryAfter > 0 {
@@ -71,8 +71,8 @@
 
 const maximumErrorBody = 64 << 10
 
-// Read decodes the error body of an HTTP answer from peer. A body that is not an
-// error body becomes an internal error with an unknown outcome.
+// Read decodes the error body of an HTTP response from peer. Any other body becomes an internal
+// error with an unknown outcome.
 func Read(response *http.Response, step, peer string) *Error {
 	var body Body
 	content, _ := io.ReadAll(io.LimitReader(response.Body, maximumErrorBody))
@@ -85,7 +85,7 @@
 	}
 }
 
-// ParseOutcome reads the form that Outcome.String writes.
+// ParseOutcome parses the result of Outcome.String.
 func ParseOutcome(text string) Outcome {
 	switch text {
 	case "yes":
@@ -97,8 +97,8 @@
 	}
 }
 
-// Transport classifies a failed HTTP exchange. Only a connection that was never
-// established is known to have had no effect.
+// Transport classifies a failed HTTP exchange. Only if no connection was established is it certain
+// that the request had no effect.
 func Transport(err error, step, peer string) *Error {
 	ran := Unknown
 	var operation *net.OpError
