--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,5 +1,5 @@
-// Package claim lets at most one attempt run under an idempotency key: the
-// attempt that first writes the key's row in the platform's table.
+// Package claim ensures that at most one attempt runs under an idempotency key: the
+// attempt that first writes the row of the key in the table of the platform.
 package claim
 
 import (
@@ -18,33 +18,32 @@
 	step = "claim key"
 	// Lifetime is how long a key is remembered.
 	Lifetime = 8 * time.Hour
-	// readTries is how often a claim whose answer was lost is read back.
-	readTries   = 3
-	callTimeout = 800 * time.Millisecond
-	// sweepRows is how many old claims are deleted at once.
-	sweepRows = 80
-	prefix    = "key/"
+	// maxReadBacks is how often a claim is read back if the answer to its write was lost.
+	maxReadBacks = 3
+	callTimeout  = 800 * time.Millisecond
+	// sweepBatch is the maximum number of old claims deleted at once.
+	sweepBatch = 80
+	prefix     = "key/"
 )
 
-// record is the row's value.
+// record is the value of a row.
 type record struct {
 	// Attempt is the request that holds the key.
 	Attempt string    `json:"attempt"`
 	At      time.Time `json:"at"`
 }
 
-// Claims takes keys. Its methods may be called concurrently.
+// Claims claims idempotency keys. It is safe for concurrent use.
 type Claims struct {
 	table table.Table
 }
 
-// New returns claims kept in a table.
+// New returns claims stored in a table.
 func New(rows table.Table) *Claims { return &Claims{table: rows} }
 
-// Take claims a key for an attempt. Its error is fault.CodeDuplicate when
-// another attempt holds the key (it ran, or may run), and
-// fault.CodeClaimsUnavailable when the table cannot tell: the attempt must then
-// not be made.
+// Take claims a key for an attempt. It fails with fault.CodeDuplicate if another attempt holds the
+// key (it ran, or may run), and with fault.CodeClaimsUnavailable if the table cannot tell: the
+// attempt must then not be made.
 func (c *Claims) Take(ctx context.Context, key, attempt string) error {
 	rowKey := keyOf(key)
 	value, err := json.Marshal(record{Attempt: attempt, At: time.Now().UTC()})
@@ -60,18 +59,18 @@
 	case err == nil:
 		return nil
 	case fault.IsCode(err, fault.CodeConflict):
-		return c.holder(ctx, rowKey, attempt)
+		return c.checkHolder(ctx, rowKey, attempt)
 	case fault.OutcomeOf(err) == fault.NotDone:
 		return unavailable(err, fault.NotDone)
 	}
 	return c.readBack(ctx, rowKey, attempt, err)
 }
 
-// readBack finds out whether a claim whose answer was lost took effect. A claim
-// that is not there yet may still come, so the attempt is not made.
+// readBack determines whether a claim whose answer was lost took effect. A claim that is not
+// visible yet may still take effect, so the attempt is not made.
 func (c *Claims) readBack(ctx context.Context, rowKey, attempt string, cause error) error {
-	for range readTries {
-		err := c.holder(ctx, rowKey, attempt)
+	for range maxReadBacks {
+		err := c.checkHolder(ctx, rowKey, attempt)
 		if err == nil || fault.IsCode(err, fault.CodeDuplicate) {
 			return err
 		}
@@ -79,8 +78,8 @@
 	return unavailable(cause, fault.NotDone)
 }
 
-// holder returns nil when the attempt holds the key.
-func (c *Claims) holder(ctx context.Context, rowKey, attempt string) error {
+// checkHolder returns nil if the attempt holds the key.
+func (c *Claims) checkHolder(ctx context.Context, rowKey, attempt string) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	row, err := c.table.Get(ctx, rowKey)
@@ -107,10 +106,10 @@
 	return failed.WithRetryAfter(time.Second)
 }
 
-// Sweep deletes claims older than Lifetime, at most a page of them, and returns
-// the key after which the next call goes on.
+// Sweep deletes claims older than Lifetime from one page of rows, and returns the key after which
+// the next call continues.
 func (c *Claims) Sweep(ctx context.Context, after string, now time.Time) (string, error) {
-	rows, err := c.table.List(ctx, prefix, after, sweepRows)
+	rows, err := c.table.List(ctx, prefix, after, sweepBatch)
 	if err != nil || len(rows) == 0 {
 		return "", err
 	}
@@ -129,7 +128,7 @@
 	return after, err
 }
 
-// keyOf gives a key of any length and content a row key.
+// keyOf returns the row key for a key of any length and content.
 func keyOf(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return prefix + hex.EncodeToString(sum[:])
