--- a/internal/relay/search_test.go
+++ b/internal/relay/search_test.go
@@ -58,11 +58,11 @@
 	waitUntil(t, func() bool { return relay.lessor.Holds() })
 	_, err := relay.source.Read(t.Context())
 	assert.NilError(t, err)
-	reads, looks := store.reads.Load(), store.leaseReads.Load()
+	reads, leaseReads := store.reads.Load(), store.leaseReads.Load()
 	joined := startMember(t, store, "two", firstStart)
 	awaitRead(t, joined)
 	assert.Equal(t, store.reads.Load(), reads)
-	assert.Assert(t, store.leaseReads.Load() <= looks+2, "the lease row was read %d times", store.leaseReads.Load()-looks)
+	assert.Assert(t, store.leaseReads.Load() <= leaseReads+2, "the lease row was read %d times", store.leaseReads.Load()-leaseReads)
 	assert.Equal(t, joined.Upstream().String(), relay.address)
 }
 
@@ -214,9 +214,9 @@
 // TestSilentStandbyDoesNotDelaySearch checks that a standby which accepts calls but answers none,
 // like a machine that has just lost power, does not keep a node from querying others.
 func TestSilentStandbyDoesNotDelaySearch(t *testing.T) {
-	mute, err := net.Listen("tcp", "127.0.0.1:0")
+	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	t.Cleanup(func() { _ = mute.Close() })
+	t.Cleanup(func() { _ = silent.Close() })
 	store := &fakeStore{}
 	store.write("a")
 	relay := startMember(t, store, "one")
@@ -225,7 +225,7 @@
 	assert.NilError(t, err)
 	reads := store.reads.Load()
 	joined := startMember(t, store, "two", firstStart, func(o *Options) { o.Reluctance = func() time.Duration { return time.Hour } })
-	joined.SetStandbys([]string{mute.Addr().String(), relay.address})
+	joined.SetStandbys([]string{silent.Addr().String(), relay.address})
 	joined.SetNodes(300)
 	_, err = joined.source.Read(t.Context())
 	assert.NilError(t, err)
