--- a/internal/lab/httpcall/httpcall.go
+++ b/internal/lab/httpcall/httpcall.go
@@ -1,4 +1,4 @@
-// Package httpcall makes the lab's plain HTTP calls.
+// Package httpcall sends the lab's JSON requests over HTTP.
 package httpcall
 
 import (
@@ -10,10 +10,11 @@
 	"net/http"
 )
 
-const maximumError = 4 << 10
+// maxErrorBody is how many bytes of an error response go into the error's text.
+const maxErrorBody = 4 << 10
 
-// Send makes a call with a JSON body, none if body is nil. Any answer but 200 is
-// an error.
+// Send sends a request with body encoded as JSON, or without a body if it is nil. A
+// status other than 200 is an error.
 func Send(ctx context.Context, method, url string, body any) error {
 	var content io.Reader
 	if body != nil {
@@ -33,7 +34,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(response.Body, maximumError))
+		text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBody))
 		return fmt.Errorf("%s %s: %s %s", method, url, response.Status, text)
 	}
 	return nil
