--- a/internal/lab/journal/journal.go
+++ b/internal/lab/journal/journal.go
@@ -1,5 +1,5 @@
-// Package journal writes what emulated engines did as JSON lines, so that tests
-// can check the whole history of a run, killed processes included.
+// Package journal records the events of emulated runners as JSON lines, so that tests
+// can check the whole history of a run, including that of killed processes.
 package journal
 
 import (
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// Event names what happened.
+// Event is the kind of a record.
 type Event string
 
-// The events of an engine.
+// The events of a runner.
 const (
 	EventStart     Event = "start"
 	EventLoad      Event = "load"
@@ -25,23 +25,23 @@
 	EventCanceled  Event = "canceled"
 	EventRefused   Event = "refused"
 	EventViolation Event = "violation"
-	EventRole      Event = "role"
+	EventDraining  Event = "role"
 	EventRevoked   Event = "revoked"
-	// EventCold is the begin of a time in which the engine is cold, EventCrowd a new most
-	// (Detail) of requests within a second of it.
+	// EventCold is the start of a period in which the runner is cold, EventColdPeak a new
+	// maximum (in Detail) of requests within one second of it.
 	EventCold  Event = "cold"
 	EventCrowd Event = "crowd"
-	// EventArrival is a request that reached an engine that leaves or asks for rests; Detail is
-	// what the engine answered.
+	// EventArrival is a request that reached a runner that is draining, sends Retry-After or
+	// announces a rate limit; Detail is a JSON object with the status and these statements.
 	EventArrival Event = "arrival"
-	// EventPoison is a request that reached the engine and ends it if it runs, EventCrash
-	// the end of the engine by it.
+	// EventPoison is a request that reached the runner and would crash it when run;
+	// EventCrash is the crash that a request or a load caused.
 	EventPoison Event = "poison"
 	EventCrash  Event = "crash"
 )
 
-// Record is one line. MemoryMiB is the unit's memory, TotalMiB all memory in use
-// on the engine after the event.
+// Record is one line of a journal. MemoryMiB is the memory of Unit, TotalMiB all memory
+// in use on the runner after the event.
 type Record struct {
 	Time        time.Time `json:"time"`
 	Runner      string    `json:"runner"`
@@ -57,17 +57,17 @@
 	Detail      string    `json:"detail,omitempty"`
 }
 
-// Writer appends records to a stream. It is safe for concurrent use.
+// Writer appends records to an output stream. It is safe for concurrent use.
 type Writer struct {
 	mutex  sync.Mutex
 	output io.Writer
 }
 
-// NewWriter returns a writer on output; nil discards.
+// NewWriter returns a Writer to output, which discards all records if output is nil.
 func NewWriter(output io.Writer) *Writer { return &Writer{output: output} }
 
-// Write appends a record in one write, so that a killed process leaves whole
-// lines.
+// Write sets the record's time and appends it in a single write call, so that a killed
+// process leaves complete lines.
 func (w *Writer) Write(record Record) {
 	if w.output == nil {
 		return
@@ -82,7 +82,7 @@
 	_, _ = w.output.Write(append(content, '\n'))
 }
 
-// Read returns the records of a file.
+// Read returns the records of the journal file at path.
 func Read(path string) ([]Record, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/lab/runnerstub/runner.go
+++ b/internal/lab/runnerstub/runner.go
@@ -150,7 +150,7 @@
 func (r *Runner) Drain() {
 	r.mutex.Lock()
 	r.draining = true
-	r.record(journal.Record{Event: journal.EventRole, Detail: protocol.StateDraining})
+	r.record(journal.Record{Event: journal.EventDraining, Detail: protocol.StateDraining})
 	r.mutex.Unlock()
 	r.Announce()
 }
