--- a/internal/lab/faultproxy/faultproxy.go
+++ b/internal/lab/faultproxy/faultproxy.go
@@ -1,6 +1,6 @@
-// Package faultproxy stands in front of one process's TCP address and harms the
-// connections to it: cut, silenced in one or both ways or for good, reset, or
-// delayed.
+// Package faultproxy is a TCP proxy that injects faults into the connections to one
+// process: it refuses, resets, delays or stalls them, in one or both directions, for a
+// time or for good.
 package faultproxy
 
 import (
@@ -12,23 +12,23 @@
 
 const chunkSize = 16 << 10
 
-// Mode is what a proxy does to connections.
+// Mode is how a proxy treats connections.
 type Mode uint8
 
 // The modes.
 const (
 	// Pass forwards everything.
 	Pass Mode = iota
-	// Refuse closes new connections at once; open ones stay until Reset.
+	// Refuse closes new connections immediately; open ones stay until Reset.
 	Refuse
-	// Silence holds back the bytes of both ways; connections stay open.
+	// Silence holds back the bytes of both directions; connections stay open.
 	Silence
-	// Deaf holds back what the target answers: requests arrive, answers do not.
+	// SilenceResponses holds back what the target sends: requests arrive, responses do not.
 	Deaf
 )
 
-// Proxy forwards what arrives at its address to a target. It is safe for
-// concurrent use.
+// Proxy forwards the connections to its address to a target. It is safe for concurrent
+// use.
 type Proxy struct {
 	target   string
 	listener net.Listener
@@ -38,39 +38,39 @@
 	delay       time.Duration
 	changed     chan struct{}
 	closed      bool
-	connections map[net.Conn]*state
+	connections map[net.Conn]*connectionState
 }
 
-// state is one connection's, read and set under the proxy's lock.
-type state struct {
-	// silent is set when nothing goes on from it any more, whatever the mode.
+// connectionState is the state of one connection, guarded by the proxy's mutex.
+type connectionState struct {
+	// silent connections forward nothing any more, whatever the mode.
 	silent bool
 }
 
-// New listens on address and forwards to target (both ip:port).
+// New starts a proxy that listens on address and forwards to target (both ip:port).
 func New(address, target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{target: target, listener: listener, changed: make(chan struct{}), connections: make(map[net.Conn]*state)}
+	p := &Proxy{target: target, listener: listener, changed: make(chan struct{}), connections: make(map[net.Conn]*connectionState)}
 	go p.accept()
 	return p, nil
 }
 
-// Address is the proxy's own address.
+// Address returns the address that the proxy listens on.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Block refuses connections and closes the open ones.
+// Block refuses new connections and closes the open ones.
 func (p *Proxy) Block() {
 	p.Set(Refuse)
 	p.Reset()
 }
 
-// Heal forwards everything again.
+// Heal makes the proxy forward everything again.
 func (p *Proxy) Heal() { p.Set(Pass) }
 
-// Set changes the mode.
+// Set changes the mode, also for connections that are open.
 func (p *Proxy) Set(mode Mode) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -79,15 +79,15 @@
 	p.changed = make(chan struct{})
 }
 
-// Delay holds each piece of bytes back for a time.
+// Delay sets the time by which each chunk of bytes is delayed.
 func (p *Proxy) Delay(delay time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.delay = delay
 }
 
-// SilenceOpen silences the open connections for good and returns how many they
-// are. New ones work. Neither end is told when the other closes.
+// SilenceOpen stalls the open connections for good and returns their number. New
+// connections work. Neither end of a stalled connection sees the other one close.
 func (p *Proxy) SilenceOpen() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -106,7 +106,7 @@
 	}
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and closes its connections.
 func (p *Proxy) Close() {
 	p.mutex.Lock()
 	p.closed = true
@@ -129,51 +129,51 @@
 func (p *Proxy) forward(connection net.Conn) {
 	defer connection.Close()
 	p.mutex.Lock()
-	refused := p.mode == Refuse
-	s := &state{}
-	if !refused {
+	refuse := p.mode == Refuse
+	s := &connectionState{}
+	if !refuse {
 		p.connections[connection] = s
 	}
 	p.mutex.Unlock()
-	if refused {
+	if refuse {
 		return
 	}
-	defer p.forget(connection)
-	onward, err := p.dial()
+	defer p.remove(connection)
+	upstream, err := p.dial()
 	if err != nil {
 		return
 	}
-	defer onward.Close()
+	defer upstream.Close()
 	done := make(chan struct{}, 2)
-	go p.copy(onward, connection, s, false, done)
-	go p.copy(connection, onward, s, true, done)
+	go p.copy(upstream, connection, s, false, done)
+	go p.copy(connection, upstream, s, true, done)
 	<-done
 }
 
-// dial connects to the target from the proxy's own host, so that the target can
-// tell whom it serves.
+// dial connects to the target from the proxy's own IP address, so that the target can
+// tell its clients apart.
 func (p *Proxy) dial() (net.Conn, error) {
 	dialer := net.Dialer{}
-	if own, ok := p.listener.Addr().(*net.TCPAddr); ok {
-		dialer.LocalAddr = &net.TCPAddr{IP: own.IP}
+	if listenAddress, ok := p.listener.Addr().(*net.TCPAddr); ok {
+		dialer.LocalAddr = &net.TCPAddr{IP: listenAddress.IP}
 	}
 	return dialer.Dial("tcp", p.target)
 }
 
-func (p *Proxy) forget(connection net.Conn) {
+func (p *Proxy) remove(connection net.Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	delete(p.connections, connection)
 }
 
-// copy forwards one way; answers tells whether it is the target's.
-func (p *Proxy) copy(destination io.Writer, origin io.Reader, s *state, answers bool, done chan<- struct{}) {
+// copy forwards one direction; fromTarget says whether it is that from the target.
+func (p *Proxy) copy(destination io.Writer, origin io.Reader, s *connectionState, fromTarget bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buffer := make([]byte, chunkSize)
 	for {
 		count, err := origin.Read(buffer)
 		if count > 0 {
-			if !p.hold(s, answers) {
+			if !p.waitToForward(s, fromTarget) {
 				return
 			}
 			if _, err := destination.Write(buffer[:count]); err != nil {
@@ -181,34 +181,35 @@
 			}
 		}
 		if err != nil {
-			p.keepFromEnd(s)
+			p.holdClose(s)
 			return
 		}
 	}
 }
 
-// keepFromEnd holds the end of a connection that was silenced for good until the
-// proxy ends.
-func (p *Proxy) keepFromEnd(s *state) {
+// holdClose delays the close of a connection that was silenced for good until the proxy
+// is closed.
+func (p *Proxy) holdClose(s *connectionState) {
 	p.mutex.Lock()
 	silent := s.silent
 	p.mutex.Unlock()
 	if silent {
-		p.hold(s, false)
+		p.waitToForward(s, false)
 	}
 }
 
-// hold waits until bytes may go on; false when the proxy ended.
-func (p *Proxy) hold(s *state, answers bool) bool {
+// waitToForward waits until bytes may be forwarded. It returns false when the proxy was
+// closed.
+func (p *Proxy) waitToForward(s *connectionState, fromTarget bool) bool {
 	for {
 		p.mutex.Lock()
-		held := s.silent || p.mode == Silence || (p.mode == Deaf && answers)
+		blocked := s.silent || p.mode == Silence || (p.mode == Deaf && fromTarget)
 		delay, changed, closed := p.delay, p.changed, p.closed
 		p.mutex.Unlock()
 		if closed {
 			return false
 		}
-		if !held {
+		if !blocked {
 			time.Sleep(delay)
 			return true
 		}
