--- a/internal/labcommand/load.go
+++ b/internal/labcommand/load.go
@@ -43,10 +43,10 @@
 		return request, nil
 	}})
 	const microsAMilli = 1000.0
-	fmt.Fprintf(s.Out, "outcomes: %v\n", result.Codes)
+	fmt.Fprintf(s.Out, "outcomes: %v\n", result.Outcomes)
 	for _, quantile := range []float64{50, 95, 99} {
 		fmt.Fprintf(s.Out, "p%g: first part %.1f ms, between parts %.1f ms, whole %.1f ms\n", quantile,
-			float64(result.First.ValueAtQuantile(quantile))/microsAMilli, float64(result.Between.ValueAtQuantile(quantile))/microsAMilli,
+			float64(result.FirstEvent.ValueAtQuantile(quantile))/microsAMilli, float64(result.BetweenEvents.ValueAtQuantile(quantile))/microsAMilli,
 			float64(result.Whole.ValueAtQuantile(quantile))/microsAMilli)
 	}
 	return nil
