--- a/internal/lab/runnerstub/cold.go
+++ b/internal/lab/runnerstub/cold.go
@@ -9,28 +9,30 @@
 	"lilacvane/internal/lab/journal"
 )
 
-// PathCold takes a Cold.
+// PathCold is the path to which a Cold is posted.
 const PathCold = "/lab/cold"
 
-// coldWindow is the sliding window in which requests at a cold runner are counted.
+// coldWindow is the length of the sliding window over which the requests at a cold runner
+// are counted.
 const coldWindow = time.Second
 
-// Cold makes a runner cold for a time from now on; none makes it warm.
+// Cold makes a runner cold from now on for a duration; zero makes it warm.
 type Cold struct {
 	ForMs int64 `json:"forMs"`
-	// Collapse is the number of requests within coldWindow above which it falls over; zero
-	// when it bears any number.
+	// Collapse is the number of requests within coldWindow above which the runner collapses,
+	// that is refuses all further requests; zero for no such number.
 	Collapse int `json:"collapse"`
 }
 
-// coldness counts the requests that arrive while the runner is cold. Runner.mutex guards
-// it.
-type coldness struct {
+// coldPeriod counts the requests that arrive while the runner is cold. It is guarded by
+// Runner.mutex.
+type coldPeriod struct {
 	until    time.Time
 	collapse int
-	// arrivals are those of the last window, most is the largest number of them within one.
+	// arrivals are the times of the requests in the last window, peak is the largest number
+	// of requests in any window so far.
 	arrivals []time.Time
-	most     int
+	peak     int
 }
 
 func (r *Runner) handleCold(w http.ResponseWriter, request *http.Request) {
@@ -42,24 +44,24 @@
 	r.SetCold(cold)
 }
 
-// SetCold makes the runner cold, or warm, as its row then tells.
+// SetCold makes the runner cold or warm and publishes its row, which says so.
 func (r *Runner) SetCold(cold Cold) {
-	lasting := time.Duration(cold.ForMs) * time.Millisecond
+	duration := time.Duration(cold.ForMs) * time.Millisecond
 	r.mutex.Lock()
-	r.cold = coldness{until: time.Now().Add(lasting), collapse: cold.Collapse}
-	r.record(journal.Record{Event: journal.EventCold, Detail: lasting.String()})
+	r.cold = coldPeriod{until: time.Now().Add(duration), collapse: cold.Collapse}
+	r.record(journal.Record{Event: journal.EventCold, Detail: duration.String()})
 	r.mutex.Unlock()
 	r.Announce()
 }
 
-// left is how much longer it is cold, in milliseconds.
-func (c *coldness) left() float64 {
+// remainingMs returns for how much longer the runner is cold, in milliseconds.
+func (c *coldPeriod) remainingMs() float64 {
 	return max(float64(time.Until(c.until))/float64(time.Millisecond), 0)
 }
 
-// arrive counts a request at a cold runner, journals each new most within a window, and
-// lets the runner fall over when it is one too many. mutex is held.
-func (r *Runner) arrive(now time.Time) {
+// countColdArrival counts a request at a cold runner, journals each new peak and makes
+// the runner collapse if there are too many in a window. The caller holds r.mutex.
+func (r *Runner) countColdArrival(now time.Time) {
 	c := &r.cold
 	if !now.Before(c.until) {
 		return
@@ -68,12 +70,12 @@
 	for now.Sub(c.arrivals[0]) > coldWindow {
 		c.arrivals = c.arrivals[1:]
 	}
-	if len(c.arrivals) > c.most {
-		c.most = len(c.arrivals)
-		r.record(journal.Record{Event: journal.EventCrowd, Detail: strconv.Itoa(c.most)})
+	if len(c.arrivals) > c.peak {
+		c.peak = len(c.arrivals)
+		r.record(journal.Record{Event: journal.EventCrowd, Detail: strconv.Itoa(c.peak)})
 	}
 	if c.collapse > 0 && len(c.arrivals) > c.collapse {
-		r.fallen = true
+		r.collapsed = true
 		r.record(journal.Record{Event: journal.EventViolation, Detail: strconv.Itoa(len(c.arrivals)) + " requests in one second while cold"})
 	}
 }
--- a/internal/lab/runnerstub/http.go
+++ b/internal/lab/runnerstub/http.go
@@ -15,21 +15,23 @@
 	"lilacvane/platform/protocol"
 )
 
-// The lab's own calls.
+// The paths of calls that only the lab makes.
 const (
 	PathFaults = "/lab/faults"
 	PathDrain  = "/lab/drain"
 )
 
 const (
-	defaultEvents = 12
-	completions   = "/v1/"
-	// signature is the runner's mark on its answers.
-	signature = "stamp-"
-	queueRoom = 8
+	defaultEvents     = 12
+	completionsPrefix = "/v1/"
+	// signaturePrefix begins the value of the header by which a caller recognizes the runner's
+	// own responses.
+	signaturePrefix = "stamp-"
+	// queueSize is the number of requests admitted beyond the runner's slots.
+	queueSize = 8
 )
 
-// Handler answers the runner's calls and the lab's.
+// Handler serves the runner's interface and the lab's calls.
 func (r *Runner) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+protocol.PathReport, r.handleReport)
@@ -46,13 +48,14 @@
 	mux.HandleFunc("POST "+PathDrain, func(http.ResponseWriter, *http.Request) { r.Drain() })
 	mux.HandleFunc("/", r.handleRequest)
 	return http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
-		r.state(w.Header())
+		r.setStatementHeaders(w.Header())
 		mux.ServeHTTP(w, request)
 	})
 }
 
-// expected answers 421 to a call that is meant for another incarnation.
-func (r *Runner) expected(w http.ResponseWriter, request *http.Request) bool {
+// checkIncarnation returns whether a call is meant for this incarnation of the runner. If
+// not, it responds with 421 (Misdirected Request).
+func (r *Runner) checkIncarnation(w http.ResponseWriter, request *http.Request) bool {
 	wanted := request.Header.Get(protocol.HeaderExpectRunner)
 	if wanted == "" || wanted == r.settings.ID {
 		return true
@@ -63,18 +66,18 @@
 }
 
 func (r *Runner) handleReport(w http.ResponseWriter, request *http.Request) {
-	if !r.expected(w, request) {
+	if !r.checkIncarnation(w, request) {
 		return
 	}
 	r.mutex.Lock()
-	report := r.report()
+	report := r.delayedReport()
 	r.mutex.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(report)
 }
 
 func (r *Runner) handleOrder(w http.ResponseWriter, request *http.Request) {
-	if !r.expected(w, request) {
+	if !r.checkIncarnation(w, request) {
 		return
 	}
 	var order protocol.Order
@@ -90,33 +93,37 @@
 		time.AfterFunc(late, func() {
 			r.mutex.Lock()
 			defer r.mutex.Unlock()
-			r.order(order)
+			r.applyOrder(order)
 		})
 		<-request.Context().Done()
 		return
 	}
-	status := r.order(order)
+	status := r.applyOrder(order)
 	r.mutex.Unlock()
 	w.WriteHeader(status)
 }
 
-// run is one request at the runner.
-type run struct {
+// job is one request at the runner.
+type job struct {
 	runner  *Runner
 	id      string
 	tenant  string
 	model   string
 	adapter string
-	word    string
-	events  int
-	from    int
-	faults  Faults
-	chat    bool
+	// textPrefix begins the text of each event: the first word of the prompt, or the request's
+	// identifier if it carries no prompt that the runner reads.
+	textPrefix string
+	eventCount int
+	// firstEvent is the index of the first event to send; above zero in a resumed stream.
+	firstEvent int
+	faults     Faults
+	// isCompletion is set for the paths of the completion API.
+	isCompletion bool
 }
 
 func (r *Runner) handleRequest(w http.ResponseWriter, request *http.Request) {
 	w.Header().Set(protocol.HeaderRequestID, request.Header.Get(protocol.HeaderRequestID))
-	if !r.expected(w, request) {
+	if !r.checkIncarnation(w, request) {
 		return
 	}
 	r.mutex.Lock()
@@ -124,7 +131,7 @@
 	early := faults.Early && request.ContentLength > 0
 	r.mutex.Unlock()
 	header := w.Header()
-	header.Set(protocol.HeaderSignature, signature+r.settings.ID)
+	header.Set(protocol.HeaderSignature, signaturePrefix+r.settings.ID)
 	if early {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
@@ -133,106 +140,106 @@
 	if err != nil {
 		return
 	}
-	this := r.describe(request, body)
-	this.faults = faults
+	j := r.parseJob(request, body)
+	j.faults = faults
 	crashes := r.crashesBy(request, body)
 	if crashes {
-		r.record(journal.Record{Event: journal.EventPoison, Unit: this.model, Request: this.id})
+		r.record(journal.Record{Event: journal.EventPoison, Unit: j.model, Request: j.id})
 	}
-	status := r.begin(this)
-	r.noteArrival(this, status)
+	status := r.start(j)
+	r.recordArrival(j, status)
 	if status != 0 {
 		header.Set(protocol.HeaderNotRun, "1")
-		r.wantRest(header, status)
+		r.setRetryAfter(header, status)
 		w.WriteHeader(status)
 		return
 	}
 	if crashes {
-		// What runs beside it goes on until then, as in a batch.
-		time.Sleep(crashAfter)
-		r.record(journal.Record{Event: journal.EventCrash, Unit: this.model, Request: this.id})
+		// Other requests continue until the crash, as those of one batch do.
+		time.Sleep(crashDelay)
+		r.record(journal.Record{Event: journal.EventCrash, Unit: j.model, Request: j.id})
 		r.settings.Crash()
 		return
 	}
 	finished := false
-	defer func() { r.end(this, finished) }()
-	r.serve(w, request, this, body, &finished)
+	defer func() { r.finish(j, finished) }()
+	r.serve(w, request, j, body, &finished)
 }
 
-// crashAfter is how long a request that ends the runner runs before it does.
-const crashAfter = 60 * time.Millisecond
+// crashDelay is how long a request that crashes the runner runs before the crash.
+const crashDelay = 60 * time.Millisecond
 
-// crashesBy reports whether a request ends the runner as it begins to run.
+// crashesBy reports whether a request crashes the runner when it is run.
 func (r *Runner) crashesBy(request *http.Request, body []byte) bool {
 	text := r.settings.CrashBy
 	return text != "" && (strings.Contains(request.URL.Path, text) || strings.Contains(string(body), text))
 }
 
-func (r *Runner) describe(request *http.Request, body []byte) *run {
-	this := &run{runner: r, id: request.Header.Get(protocol.HeaderRequestID), tenant: request.Header.Get(protocol.HeaderTenant), events: defaultEvents}
-	this.chat = strings.HasPrefix(request.URL.Path, completions)
-	this.model, this.adapter, _ = strings.Cut(request.Header.Get(protocol.HeaderModel), "/")
+func (r *Runner) parseJob(request *http.Request, body []byte) *job {
+	j := &job{runner: r, id: request.Header.Get(protocol.HeaderRequestID), tenant: request.Header.Get(protocol.HeaderTenant), eventCount: defaultEvents}
+	j.isCompletion = strings.HasPrefix(request.URL.Path, completionsPrefix)
+	j.model, j.adapter, _ = strings.Cut(request.Header.Get(protocol.HeaderModel), "/")
 	if last := request.Header.Get(protocol.HeaderResumeAfter); last != "" {
 		if number, err := strconv.Atoi(last); err == nil {
-			this.from = number + 1
+			j.firstEvent = number + 1
 		}
 	}
 	var completion api.Completion
-	if this.chat && json.Unmarshal(body, &completion) == nil {
+	if j.isCompletion && json.Unmarshal(body, &completion) == nil {
 		text := completion.Prompt
 		for _, message := range completion.Messages {
 			text = message.Content
 		}
-		this.word, _, _ = strings.Cut(text, " ")
+		j.textPrefix, _, _ = strings.Cut(text, " ")
 		if completion.MaxTokens > 0 {
-			this.events = completion.MaxTokens
+			j.eventCount = completion.MaxTokens
 		}
-		return this
+		return j
 	}
-	this.word = this.id
+	j.textPrefix = j.id
 	if _, out, ok := strings.Cut(request.Header.Get(protocol.HeaderTokens), ","); ok {
 		if number, err := strconv.Atoi(out); err == nil && number > 0 {
-			this.events = number
+			j.eventCount = number
 		}
 	}
-	return this
+	return j
 }
 
-// begin admits a request. A status other than zero refuses it as not run.
-func (r *Runner) begin(this *run) int {
+// start admits a request. A status other than zero refuses it as not run.
+func (r *Runner) start(j *job) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	status := r.admit(this)
+	status := r.admit(j)
 	if status != http.StatusMisdirectedRequest {
-		r.arrive(time.Now())
+		r.countColdArrival(time.Now())
 	}
 	return status
 }
 
-// admit is begin. mutex is held.
-func (r *Runner) admit(this *run) int {
-	if r.active >= r.settings.Slots+queueRoom || r.random.Float64() < this.faults.ShedShare || r.fallen {
+// admit is start without the count of arrivals at a cold runner. The caller holds r.mutex.
+func (r *Runner) admit(j *job) int {
+	if r.active >= r.settings.Slots+queueSize || r.random.Float64() < j.faults.ShedShare || r.collapsed {
 		return http.StatusServiceUnavailable
 	}
-	if this.model != "" {
-		m := r.models[this.model]
-		if m == nil || m.leaving {
+	if j.model != "" {
+		m := r.models[j.model]
+		if m == nil || m.unloading {
 			return http.StatusMisdirectedRequest
 		}
 		if !m.ready {
 			return http.StatusServiceUnavailable
 		}
-		if this.adapter != "" && !m.adapters[this.adapter] {
+		if j.adapter != "" && !m.adapters[j.adapter] {
 			return http.StatusMisdirectedRequest
 		}
 		m.active++
 	}
 	r.active++
-	r.record(journal.Record{Event: journal.EventRun, Unit: this.model, Request: this.id, Prompt: this.word, Tenant: this.tenant, Detail: strconv.Itoa(this.from)})
+	r.record(journal.Record{Event: journal.EventRun, Unit: j.model, Request: j.id, Prompt: j.textPrefix, Tenant: j.tenant, Detail: strconv.Itoa(j.firstEvent)})
 	return 0
 }
 
-func (r *Runner) end(this *run, finished bool) {
+func (r *Runner) finish(j *job, finished bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.active--
@@ -240,14 +247,14 @@
 	if finished {
 		event = journal.EventFinished
 	}
-	r.record(journal.Record{Event: event, Unit: this.model, Request: this.id})
-	if m := r.models[this.model]; m != nil {
+	r.record(journal.Record{Event: event, Unit: j.model, Request: j.id})
+	if m := r.models[j.model]; m != nil {
 		m.active--
-		r.tryRemove(this.model)
+		r.removeIfIdle(j.model)
 	}
 }
 
-func (r *Runner) draw(share float64) bool {
+func (r *Runner) chance(share float64) bool {
 	if share <= 0 {
 		return false
 	}
@@ -256,50 +263,51 @@
 	return r.random.Float64() < share
 }
 
-func (r *Runner) serve(w http.ResponseWriter, request *http.Request, this *run, body []byte, finished *bool) {
+func (r *Runner) serve(w http.ResponseWriter, request *http.Request, j *job, body []byte, finished *bool) {
 	ctx := request.Context()
 	r.mutex.Lock()
 	w.Header().Set(protocol.HeaderLoad, fmt.Sprintf("%d,0,%d", r.active, r.settings.Slots))
 	r.mutex.Unlock()
 	switch {
-	case r.draw(this.faults.MuteShare):
+	case r.chance(j.faults.MuteShare):
 		<-ctx.Done()
 		return
-	case r.draw(this.faults.ErrorShare):
+	case r.chance(j.faults.ErrorShare):
 		*finished = true
 		w.WriteHeader(http.StatusInternalServerError)
 		_, _ = w.Write([]byte("runner failed"))
 		return
 	}
-	if !r.rest(ctx, r.promptTime(request)) {
+	if !r.sleep(ctx, r.promptTime(request)) {
 		return
 	}
-	if r.streams(request, body) {
-		r.stream(ctx, w, this, finished)
+	if r.wantsStream(request, body) {
+		r.stream(ctx, w, j, finished)
 		return
 	}
-	r.whole(ctx, w, this, finished)
+	r.respond(ctx, w, j, finished)
 }
 
-// promptTime is the time to read what is not kept of a prompt.
+// promptTime returns the time to process the part of a prompt that is not cached, and
+// caches it.
 func (r *Runner) promptTime(request *http.Request) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	tokens := 0
-	chain := request.Header.Get(protocol.HeaderModel)
+	prefix := request.Header.Get(protocol.HeaderModel)
 	for part := range strings.SplitSeq(request.Header.Get(protocol.HeaderPrompt), ",") {
 		id, size, _ := strings.Cut(part, ":")
 		count, _ := strconv.Atoi(size)
-		chain += "." + id
-		if !r.kept[chain] {
+		prefix += "." + id
+		if !r.cachedPrefixes[prefix] {
 			tokens += count
-			r.kept[chain] = true
+			r.cachedPrefixes[prefix] = true
 		}
 	}
 	return r.slowed(time.Duration(tokens) * r.settings.PromptTime)
 }
 
-func (r *Runner) rest(ctx context.Context, d time.Duration) bool {
+func (r *Runner) sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -313,32 +321,32 @@
 	}
 }
 
-func (r *Runner) streams(request *http.Request, body []byte) bool {
-	if !strings.HasPrefix(request.URL.Path, completions) {
+func (r *Runner) wantsStream(request *http.Request, body []byte) bool {
+	if !strings.HasPrefix(request.URL.Path, completionsPrefix) {
 		return request.Header.Get(protocol.HeaderModel) != ""
 	}
 	var completion api.Completion
 	return json.Unmarshal(body, &completion) == nil && completion.Stream
 }
 
-func (r *Runner) stream(ctx context.Context, w http.ResponseWriter, this *run, finished *bool) {
+func (r *Runner) stream(ctx context.Context, w http.ResponseWriter, j *job, finished *bool) {
 	control := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "text/event-stream")
 	breakAt := -1
-	if r.draw(this.faults.BreakShare) {
-		breakAt = this.from + (this.events-this.from)/2
+	if r.chance(j.faults.BreakShare) {
+		breakAt = j.firstEvent + (j.eventCount-j.firstEvent)/2
 	}
-	for index := this.from; index < this.events; index++ {
+	for index := j.firstEvent; index < j.eventCount; index++ {
 		r.mutex.Lock()
 		pause := r.slowed(r.settings.TokenTime)
 		r.mutex.Unlock()
-		if index == this.from+(this.events-this.from)/2 {
-			pause += time.Duration(this.faults.RestMs) * time.Millisecond
+		if index == j.firstEvent+(j.eventCount-j.firstEvent)/2 {
+			pause += time.Duration(j.faults.RestMs) * time.Millisecond
 		}
-		if !r.rest(ctx, pause) {
+		if !r.sleep(ctx, pause) {
 			return
 		}
-		event := this.event(index)
+		event := j.event(index)
 		if index == breakAt {
 			_, _ = w.Write([]byte(event[:len(event)/2]))
 			_ = control.Flush()
@@ -352,44 +360,44 @@
 	*finished = true
 }
 
-// event is one event of a stream, with its number as identifier.
-func (q *run) event(index int) string {
-	text := fmt.Sprintf("%s-%d ", q.word, index)
-	if !q.chat {
+// event returns an event of a stream, with its index as identifier.
+func (j *job) event(index int) string {
+	text := fmt.Sprintf("%s-%d ", j.textPrefix, index)
+	if !j.isCompletion {
 		return fmt.Sprintf("id: %d\ndata: %s\n\n", index, text)
 	}
 	finish := "null"
-	if index == q.events-1 {
+	if index == j.eventCount-1 {
 		finish = `"stop"`
 	}
 	encoded, _ := json.Marshal(text)
 	return fmt.Sprintf("id: %d\ndata: {\"id\":%q,\"object\":\"text_completion\",\"choices\":[{\"index\":0,\"text\":%s,\"delta\":{\"content\":%s},\"finish_reason\":%s}]}\n\n",
-		index, q.id, encoded, encoded, finish)
+		index, j.id, encoded, encoded, finish)
 }
 
-func (r *Runner) whole(ctx context.Context, w http.ResponseWriter, this *run, finished *bool) {
+func (r *Runner) respond(ctx context.Context, w http.ResponseWriter, j *job, finished *bool) {
 	r.mutex.Lock()
-	work := r.slowed(time.Duration(this.events) * r.settings.TokenTime)
+	work := r.slowed(time.Duration(j.eventCount) * r.settings.TokenTime)
 	r.mutex.Unlock()
-	if !r.rest(ctx, work) {
+	if !r.sleep(ctx, work) {
 		return
 	}
 	*finished = true
-	if r.draw(this.faults.AnswerLostShare) {
+	if r.chance(j.faults.AnswerLostShare) {
 		panic(http.ErrAbortHandler)
 	}
 	var text strings.Builder
-	for index := range this.events {
-		fmt.Fprintf(&text, "%s-%d ", this.word, index)
+	for index := range j.eventCount {
+		fmt.Fprintf(&text, "%s-%d ", j.textPrefix, index)
 	}
 	encoded, _ := json.Marshal(text.String())
-	content := fmt.Sprintf(`{"id":%q,"choices":[{"index":0,"text":%s,"message":{"role":"assistant","content":%s},"finish_reason":"stop"}]}`, this.id, encoded, encoded)
-	r.send(w, this, content)
+	content := fmt.Sprintf(`{"id":%q,"choices":[{"index":0,"text":%s,"message":{"role":"assistant","content":%s},"finish_reason":"stop"}]}`, j.id, encoded, encoded)
+	r.writeResponse(w, j, content)
 }
 
-// send writes a whole answer, with the faults that concern its framing.
-func (r *Runner) send(w http.ResponseWriter, this *run, content string) {
-	if !this.faults.Unframed && !this.faults.Extra {
+// writeResponse writes a response that is not streamed, with the faults of its framing.
+func (r *Runner) writeResponse(w http.ResponseWriter, j *job, content string) {
+	if !j.faults.Unframed && !j.faults.Extra {
 		w.Header().Set("Content-Type", "application/json")
 		_, _ = w.Write([]byte(content))
 		return
@@ -398,28 +406,29 @@
 	if err != nil {
 		return
 	}
-	head := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\n", protocol.HeaderRequestID, this.id, protocol.HeaderSignature, signature+r.settings.ID)
+	head := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\n", protocol.HeaderRequestID, j.id, protocol.HeaderSignature, signaturePrefix+r.settings.ID)
 	if value := w.Header().Get(protocol.HeaderLeaving); value != "" {
 		head += protocol.HeaderLeaving + ": " + value + "\r\n"
 	}
-	if this.faults.Unframed {
+	if j.faults.Unframed {
 		_, _ = buffer.WriteString(head + "Connection: close\r\n\r\n" + content)
 		_ = buffer.Flush()
 		_ = conn.Close()
 		return
 	}
-	answer := head + "Content-Length: " + strconv.Itoa(len(content)) + "\r\n\r\n" + content
-	_, _ = buffer.WriteString(answer)
+	response := head + "Content-Length: " + strconv.Itoa(len(content)) + "\r\n\r\n" + content
+	_, _ = buffer.WriteString(response)
 	_ = buffer.Flush()
-	// The second answer comes when the connection already rests.
-	time.Sleep(extraDelay)
-	_, _ = buffer.WriteString(answer)
+	// The second response arrives when the connection is already idle.
+	time.Sleep(secondResponseDelay)
+	_, _ = buffer.WriteString(response)
 	_ = buffer.Flush()
-	time.Sleep(extraLinger)
+	time.Sleep(closeDelay)
 	_ = conn.Close()
 }
 
+// The pauses of the Extra fault: before the second response and before the close.
 const (
-	extraDelay  = 5 * time.Millisecond
-	extraLinger = 300 * time.Millisecond
+	secondResponseDelay = 5 * time.Millisecond
+	closeDelay          = 300 * time.Millisecond
 )
--- a/internal/lab/runnerstub/runner.go
+++ b/internal/lab/runnerstub/runner.go
@@ -1,7 +1,7 @@
-// Package runnerstub emulates a runner of the platform: orders with expected
-// sequence numbers, weights in memory, host memory and on disk, adapters,
-// requests with a simple model of batch and prompt memory, resumable streams, a
-// lagging report, and the faults runners suffer. It journals all it does.
+// Package runnerstub emulates a runner of the platform: load and unload orders with
+// expected sequence numbers, weights in accelerator memory, in host memory and on disk,
+// adapters, requests with a simple model of batching and prompt caching, resumable
+// streams, a report that lags behind, and injected faults. It journals all events.
 package runnerstub
 
 import (
@@ -17,7 +17,8 @@
 	"lilacvane/platform/protocol"
 )
 
-// Weights describes one model to the emulated runner.
+// Weights are the size and the load times of a model's weights: Load from the weight
+// store, DiskLoad from local disk and HostLoad from host memory.
 type Weights struct {
 	SizeMB   float64       `json:"sizeMB"`
 	Load     time.Duration `json:"load"`
@@ -25,128 +26,129 @@
 	HostLoad time.Duration `json:"hostLoad"`
 }
 
-// Settings of one emulated runner.
+// Settings are the settings of an emulated runner.
 type Settings struct {
 	ID      string
 	Service string
 	Zone    string
 	Slots   int
-	// MemoryMB is the memory for weights; AdapterSlots bounds adapters.
+	// MemoryMB is the memory for weights, AdapterSlots the maximum number of adapters.
 	MemoryMB     float64
 	AdapterSlots int
-	// Models describes the models by name; others take the Default.
+	// Models are the weights of models by name; Default applies to the others.
 	Models  map[string]Weights
 	Default Weights
-	// TokenTime is the time for an event, PromptTime for a token of a prompt
-	// that is not kept.
+	// TokenTime is the time per event, PromptTime the time per prompt token that is not
+	// cached.
 	TokenTime  time.Duration
 	PromptTime time.Duration
-	// AdapterTime is the time of an adapter's load.
+	// AdapterTime is the load time of an adapter.
 	AdapterTime time.Duration
-	// ReportLag is how old a report is.
+	// ReportLag is the age of the state that a report shows.
 	ReportLag time.Duration
 	Seed      uint64
-	// Born is when the runner started, in Unix milliseconds.
+	// Born is the start time of the runner, in Unix milliseconds.
 	Born int64
-	// CrashBy is a text by which a request, in its path or body, ends the runner as it
-	// begins to run, and a model, in its name, as it is loaded; empty for none. Crash ends
+	// CrashBy is a text that crashes the runner: a request with it in its path or body when
+	// it is run, a model with it in its name while it is loaded. Empty for none. Crash ends
 	// the process.
 	CrashBy string
 	Crash   func()
 }
 
-// Faults are what a runner suffers. Shares are 0 to 1.
+// Faults are the faults injected into a runner. Shares are 0 to 1.
 type Faults struct {
-	// OrderLostShare of the orders are not answered and carried out LateMs
-	// later, if their expected number still holds.
+	// OrderLostShare of the orders get no response and are executed LateMs later, if their
+	// expected sequence number is still the current one.
 	OrderLostShare float64 `json:"orderLostShare,omitempty"`
 	LateMs         int     `json:"lateMs,omitempty"`
-	// AnswerLostShare of the requests run and are not answered.
+	// AnswerLostShare of the requests that are not streamed run and get no response.
 	AnswerLostShare float64 `json:"answerLostShare,omitempty"`
 	// ErrorShare of the requests fail with 500.
 	ErrorShare float64 `json:"errorShare,omitempty"`
-	// MuteShare of the requests get no answer for as long as the caller waits.
+	// MuteShare of the requests get no response for as long as the caller waits.
 	MuteShare float64 `json:"muteShare,omitempty"`
-	// ShedShare of the requests are refused as not run.
+	// ShedShare of the requests are refused without being run.
 	ShedShare float64 `json:"shedShare,omitempty"`
-	// Rest is the time, in seconds, after which a refused request may come again; it may be
-	// any text. Empty for none.
+	// Rest is the value of Retry-After in refusals with 503: a number of seconds or, to test
+	// malformed values, any text. Empty for none.
 	Rest string `json:"rest,omitempty"`
-	// Leaving says in all answers that the runner leaves, which its row does not tell.
+	// Leaving announces in all responses that the runner is about to leave, while its row
+	// does not say so.
 	Leaving bool `json:"leaving,omitempty"`
-	// Limit is named in all answers as the requests a second that the runner takes; it may be any
-	// text. Empty for none.
+	// Limit is announced in all responses as the requests per second that the runner accepts;
+	// a number or, to test malformed values, any text. Empty for none.
 	Limit string `json:"limit,omitempty"`
-	// BreakShare of the streams break off in the middle of an event.
+	// BreakShare of the streams are aborted in the middle of an event.
 	BreakShare float64 `json:"breakShare,omitempty"`
-	// RestMs is how long streams rest in their middle.
+	// RestMs is how long streams pause halfway.
 	RestMs int `json:"restMs,omitempty"`
-	// Extra sends a second answer after each, Unframed sends no length, Early
-	// answers 500 before the body of a request is read.
+	// Extra sends each response that is not streamed twice, Unframed sends it without a
+	// length, Early responds with 500 before the body of a request is read.
 	Extra    bool `json:"extra,omitempty"`
 	Unframed bool `json:"unframed,omitempty"`
 	Early    bool `json:"early,omitempty"`
-	// SlowFactor makes loads and answers take so many times as long; zero is one.
+	// SlowFactor multiplies the time of loads and responses; zero means 1.
 	SlowFactor float64 `json:"slowFactor,omitempty"`
 }
 
 type model struct {
-	ready    bool
-	leaving  bool
-	active   int
-	adapters map[string]bool
+	ready     bool
+	unloading bool
+	active    int
+	adapters  map[string]bool
 }
 
-// Runner is one emulated runner. Its mutex guards all fields below it.
+// Runner is an emulated runner. Its mutex guards the fields below it.
 type Runner struct {
 	settings Settings
 	journal  *journal.Writer
-	// Publish writes the runner's row when it changed.
+	// publish writes the runner's row to the store.
 	publish func(protocol.ListedRunner)
 
-	mutex    sync.Mutex
-	random   *rand.Rand
-	sequence uint64
-	busy     bool
-	draining bool
-	models   map[string]*model
-	host     []string
-	disk     []string
-	kept     map[string]bool
-	active   int
-	faults   Faults
-	reports  []pastReport
-	// changedAt is when the account last changed.
+	mutex          sync.Mutex
+	random         *rand.Rand
+	sequence       uint64
+	busy           bool
+	draining       bool
+	models         map[string]*model
+	onHost         []string
+	onDisk         []string
+	cachedPrefixes map[string]bool
+	active         int
+	faults         Faults
+	reports        []pastReport
+	// changedAt is when the current report last changed.
 	changedAt time.Time
-	fallen    bool
-	cold      coldness
+	collapsed bool
+	cold      coldPeriod
 }
 
-// pastReport is an account that was true from a moment until the next change.
+// pastReport is a report that was current from since until the next change.
 type pastReport struct {
 	since  time.Time
 	report protocol.Report
 }
 
-// New returns a runner that holds nothing. publish is called with its row
-// whenever that changes.
+// New returns a runner without models. publish is called with the runner's row whenever
+// that changes.
 func New(settings Settings, j *journal.Writer, publish func(protocol.ListedRunner)) *Runner {
 	r := &Runner{
 		settings: settings, journal: j, publish: publish, random: rand.New(rand.NewPCG(settings.Seed, 1)),
-		models: make(map[string]*model), kept: make(map[string]bool),
+		models: make(map[string]*model), cachedPrefixes: make(map[string]bool),
 	}
 	r.record(journal.Record{Event: journal.EventStart})
 	return r
 }
 
-// SetFaults changes what the runner suffers.
+// SetFaults replaces the injected faults.
 func (r *Runner) SetFaults(faults Faults) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.faults = faults
 }
 
-// Drain says that the runner leaves; it goes on serving.
+// Drain publishes the draining state in the runner's row. The runner continues to serve.
 func (r *Runner) Drain() {
 	r.mutex.Lock()
 	r.draining = true
@@ -160,8 +162,8 @@
 	r.mutex.Lock()
 	row := protocol.ListedRunner{
 		Born: r.settings.Born, Service: r.settings.Service, Zone: r.settings.Zone, Slots: r.settings.Slots, State: protocol.StateReady,
-		Models: r.held(), Available: r.available(), Sequence: r.sequence,
-		ColdLeftMs: r.cold.left(),
+		Models: r.readyModels(), Available: r.available(), Sequence: r.sequence,
+		ColdLeftMs: r.cold.remainingMs(),
 	}
 	if r.draining {
 		row.State = protocol.StateDraining
@@ -190,8 +192,8 @@
 	return d
 }
 
-func (r *Runner) held() []protocol.Held {
-	held := []protocol.Held{}
+func (r *Runner) readyModels() []protocol.Held {
+	models := []protocol.Held{}
 	for name, m := range r.models {
 		if !m.ready {
 			continue
@@ -203,39 +205,40 @@
 			}
 		}
 		slices.Sort(adapters)
-		held = append(held, protocol.Held{Name: name, Adapters: adapters})
+		models = append(models, protocol.Held{Name: name, Adapters: adapters})
 	}
-	slices.SortFunc(held, func(a, b protocol.Held) int { return strings.Compare(a.Name, b.Name) })
-	return held
+	slices.SortFunc(models, func(a, b protocol.Held) int { return strings.Compare(a.Name, b.Name) })
+	return models
 }
 
 func (r *Runner) available() protocol.Available {
-	return protocol.Available{Resident: slices.Clone(r.host), OnDisk: slices.Clone(r.disk)}
+	return protocol.Available{Resident: slices.Clone(r.onHost), OnDisk: slices.Clone(r.onDisk)}
 }
 
-// report returns the account of ReportLag ago. mutex is held.
-func (r *Runner) report() protocol.Report {
-	limit := time.Now().Add(-r.settings.ReportLag)
-	if !r.changedAt.After(limit) {
+// delayedReport returns the report as of ReportLag ago. The caller holds r.mutex.
+func (r *Runner) delayedReport() protocol.Report {
+	cutoff := time.Now().Add(-r.settings.ReportLag)
+	if !r.changedAt.After(cutoff) {
 		r.reports = nil
-		return r.account()
+		return r.currentReport()
 	}
-	for len(r.reports) > 1 && !r.reports[1].since.After(limit) {
+	for len(r.reports) > 1 && !r.reports[1].since.After(cutoff) {
 		r.reports = r.reports[1:]
 	}
 	return r.reports[0].report
 }
 
-// account returns the account of this moment. mutex is held.
-func (r *Runner) account() protocol.Report {
+// currentReport returns the report of the current state. The caller holds r.mutex.
+func (r *Runner) currentReport() protocol.Report {
 	return protocol.Report{
-		Born: r.settings.Born, Models: r.held(), Available: r.available(), Busy: r.busy, Sequence: r.sequence, Active: r.active, Pending: r.pending(),
+		Born: r.settings.Born, Models: r.readyModels(), Available: r.available(), Busy: r.busy, Sequence: r.sequence, Active: r.active, Pending: r.pending(),
 	}
 }
 
-// note keeps the account that a change is about to replace. mutex is held.
-func (r *Runner) note() {
-	r.reports = append(r.reports, pastReport{since: r.changedAt, report: r.account()})
+// saveReport keeps the current report before a change replaces it. The caller holds
+// r.mutex.
+func (r *Runner) saveReport() {
+	r.reports = append(r.reports, pastReport{since: r.changedAt, report: r.currentReport()})
 	r.changedAt = time.Now()
 }
 
@@ -251,8 +254,9 @@
 	return pending
 }
 
-// order takes an order and returns the status of its answer. mutex is held.
-func (r *Runner) order(o protocol.Order) int {
+// applyOrder executes an order and returns the HTTP status of its response. The caller
+// holds r.mutex.
+func (r *Runner) applyOrder(o protocol.Order) int {
 	if o.Owner == "" || o.FenceToken == 0 {
 		return http.StatusBadRequest
 	}
@@ -281,16 +285,16 @@
 		return http.StatusOK
 	}
 	size := r.weights(o.Model).SizeMB
-	r.note()
+	r.saveReport()
 	r.sequence++
-	if total := r.inUse() + size; total > r.settings.MemoryMB {
+	if total := r.memoryInUse() + size; total > r.settings.MemoryMB {
 		r.record(journal.Record{Event: journal.EventViolation, Unit: o.Model, Detail: "order overcommits memory", TotalMiB: int64(total)})
-		r.fallen = true
+		r.collapsed = true
 		return http.StatusAccepted
 	}
 	r.models[o.Model] = &model{adapters: make(map[string]bool)}
 	r.busy = true
-	r.record(journal.Record{Event: journal.EventLoad, Unit: o.Model, MemoryMiB: int64(size), TotalMiB: int64(r.inUse()), Detail: r.source(o.Model) + " owner " + o.Owner})
+	r.record(journal.Record{Event: journal.EventLoad, Unit: o.Model, MemoryMiB: int64(size), TotalMiB: int64(r.memoryInUse()), Detail: r.weightsSource(o.Model) + " owner " + o.Owner})
 	if text := r.settings.CrashBy; text != "" && strings.Contains(o.Model, text) {
 		time.AfterFunc(r.slowed(r.loadTime(o.Model))/2, func() {
 			r.record(journal.Record{Event: journal.EventCrash, Unit: o.Model})
@@ -298,15 +302,15 @@
 		})
 		return http.StatusAccepted
 	}
-	time.AfterFunc(r.slowed(r.loadTime(o.Model)), func() { r.loaded(o.Model) })
+	time.AfterFunc(r.slowed(r.loadTime(o.Model)), func() { r.finishLoad(o.Model) })
 	return http.StatusAccepted
 }
 
-func (r *Runner) source(name string) string {
+func (r *Runner) weightsSource(name string) string {
 	switch {
-	case slices.Contains(r.host, name):
+	case slices.Contains(r.onHost, name):
 		return "host"
-	case slices.Contains(r.disk, name):
+	case slices.Contains(r.onDisk, name):
 		return "disk"
 	default:
 		return "store"
@@ -315,7 +319,7 @@
 
 func (r *Runner) loadTime(name string) time.Duration {
 	weights := r.weights(name)
-	switch r.source(name) {
+	switch r.weightsSource(name) {
 	case "host":
 		return weights.HostLoad
 	case "disk":
@@ -325,15 +329,15 @@
 	}
 }
 
-func (r *Runner) loaded(name string) {
+func (r *Runner) finishLoad(name string) {
 	r.mutex.Lock()
-	r.note()
+	r.saveReport()
 	r.busy = false
 	if m := r.models[name]; m != nil {
 		m.ready = true
-		r.record(journal.Record{Event: journal.EventReady, Unit: name, TotalMiB: int64(r.inUse())})
+		r.record(journal.Record{Event: journal.EventReady, Unit: name, TotalMiB: int64(r.memoryInUse())})
 	}
-	for _, copies := range []*[]string{&r.host, &r.disk} {
+	for _, copies := range []*[]string{&r.onHost, &r.onDisk} {
 		if !slices.Contains(*copies, name) {
 			*copies = append(*copies, name)
 		}
@@ -347,24 +351,25 @@
 	if m == nil {
 		return http.StatusOK
 	}
-	r.note()
+	r.saveReport()
 	r.sequence++
 	r.busy = true
-	m.leaving = true
-	r.tryRemove(o.Model)
+	m.unloading = true
+	r.removeIfIdle(o.Model)
 	return http.StatusAccepted
 }
 
-// tryRemove removes a leaving model whose runs have ended. mutex is held.
-func (r *Runner) tryRemove(name string) {
+// removeIfIdle removes a model that is being unloaded once its requests have ended. The
+// caller holds r.mutex.
+func (r *Runner) removeIfIdle(name string) {
 	m := r.models[name]
-	if m == nil || !m.leaving || m.active > 0 {
+	if m == nil || !m.unloading || m.active > 0 {
 		return
 	}
-	r.note()
+	r.saveReport()
 	delete(r.models, name)
 	r.busy = false
-	r.record(journal.Record{Event: journal.EventGone, Unit: name, TotalMiB: int64(r.inUse())})
+	r.record(journal.Record{Event: journal.EventGone, Unit: name, TotalMiB: int64(r.memoryInUse())})
 	go r.Announce()
 }
 
@@ -373,20 +378,20 @@
 	if m == nil || !m.ready {
 		return http.StatusConflict
 	}
-	r.note()
+	r.saveReport()
 	if o.Operation == protocol.OperationUnload {
 		r.sequence++
 		delete(m.adapters, o.Adapter)
 		r.record(journal.Record{Event: journal.EventGone, Unit: o.Model + "/" + o.Adapter})
 		return http.StatusOK
 	}
-	if _, there := m.adapters[o.Adapter]; there {
+	if _, exists := m.adapters[o.Adapter]; exists {
 		return http.StatusOK
 	}
 	r.sequence++
 	if r.adapterCount() >= r.settings.AdapterSlots {
 		r.record(journal.Record{Event: journal.EventViolation, Unit: o.Model + "/" + o.Adapter, Detail: "order overcommits adapter slots"})
-		r.fallen = true
+		r.collapsed = true
 		return http.StatusAccepted
 	}
 	m.adapters[o.Adapter] = false
@@ -394,7 +399,7 @@
 	time.AfterFunc(r.slowed(r.settings.AdapterTime), func() {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
-		if _, there := m.adapters[o.Adapter]; there {
+		if _, exists := m.adapters[o.Adapter]; exists {
 			m.adapters[o.Adapter] = true
 			r.record(journal.Record{Event: journal.EventReady, Unit: o.Model + "/" + o.Adapter})
 		}
@@ -410,7 +415,7 @@
 	return count
 }
 
-func (r *Runner) inUse() float64 {
+func (r *Runner) memoryInUse() float64 {
 	total := 0.0
 	for name := range r.models {
 		total += r.weights(name).SizeMB
--- a/internal/lab/runnerstub/statements.go
+++ b/internal/lab/runnerstub/statements.go
@@ -8,23 +8,24 @@
 	"lilacvane/platform/protocol"
 )
 
-// leaves is what a runner says of itself that leaves.
-const leaves = "1"
+// leavingValue is the header value of a runner that is about to leave.
+const leavingValue = "1"
 
-// state writes what the runner states in all its answers.
-func (r *Runner) state(header http.Header) {
+// setStatementHeaders sets the headers in which the runner announces in every response
+// that it is about to leave and its rate limit.
+func (r *Runner) setStatementHeaders(header http.Header) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.draining || r.faults.Leaving {
-		header.Set(protocol.HeaderLeaving, leaves)
+		header.Set(protocol.HeaderLeaving, leavingValue)
 	}
 	if r.faults.Limit != "" {
 		header.Set(protocol.HeaderLimit, r.faults.Limit)
 	}
 }
 
-// wantRest asks in a refusal for a time without requests.
-func (r *Runner) wantRest(header http.Header, status int) {
+// setRetryAfter sets Retry-After in a refusal with 503.
+func (r *Runner) setRetryAfter(header http.Header, status int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.faults.Rest != "" && status == http.StatusServiceUnavailable {
@@ -32,8 +33,9 @@
 	}
 }
 
-// noteArrival journals a request at a runner that leaves, asks for rests or names a limit.
-func (r *Runner) noteArrival(this *run, status int) {
+// recordArrival journals a request at a runner that is about to leave, sends Retry-After
+// or announces a rate limit.
+func (r *Runner) recordArrival(j *job, status int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	leaving := r.draining || r.faults.Leaving
@@ -44,14 +46,15 @@
 	if err != nil {
 		return
 	}
-	r.record(journal.Record{Event: journal.EventArrival, Unit: this.model, Request: this.id, Detail: string(detail)})
+	r.record(journal.Record{Event: journal.EventArrival, Unit: j.model, Request: j.id, Detail: string(detail)})
 }
 
-// Arrival is the detail of a journaled request at a runner that states something of itself.
+// Arrival is the detail of an EventArrival record: what the runner announces in its
+// response.
 type Arrival struct {
-	// Status is that by which it was turned away; zero where it ran.
+	// Status is the HTTP status of the refusal; zero if the request ran.
 	Status int `json:"status"`
-	// Leaving, Rest and Limit are what the answer states, Born tells incarnations apart.
+	// Leaving, Rest and Limit are the announcements, Born tells incarnations apart.
 	Leaving bool   `json:"leaving"`
 	Rest    string `json:"rest"`
 	Limit   string `json:"limit"`
