--- a/internal/lab/storestub/http.go
+++ b/internal/lab/storestub/http.go
@@ -11,7 +11,7 @@
 	"lilacvane/platform/protocol"
 )
 
-// The lab's own calls.
+// The paths of calls that only the lab makes.
 const (
 	PathFaults = "/lab/faults"
 	PathForget = "/lab/forget"
@@ -20,46 +20,48 @@
 	PathCounts = "/lab/counts"
 )
 
+// Late writes are executed after minLateDelay plus a random part of lateDelayRange.
 const (
-	shortestLate = time.Second
-	lateSpread   = 2 * time.Second
+	minLateDelay   = time.Second
+	lateDelayRange = 2 * time.Second
 )
 
-// Handler answers the store's calls and the lab's.
+// Handler serves the store's interface and the lab's calls.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+protocol.PathTransaction, s.suffer(true, s.handleTransaction))
-	mux.HandleFunc("GET "+protocol.PathRows, s.suffer(false, s.handleRead))
-	mux.HandleFunc("GET "+protocol.PathFeed, s.suffer(false, s.handleFeed))
+	mux.HandleFunc("POST "+protocol.PathTransaction, s.withFaults(true, s.handleTransaction))
+	mux.HandleFunc("GET "+protocol.PathRows, s.withFaults(false, s.handleRead))
+	mux.HandleFunc("GET "+protocol.PathFeed, s.withFaults(false, s.handleFeed))
 	mux.HandleFunc("POST "+PathFaults, func(w http.ResponseWriter, r *http.Request) {
 		var faults Faults
-		if decode(w, r, &faults) {
+		if decodeJSON(w, r, &faults) {
 			s.SetFaults(faults)
 		}
 	})
 	mux.HandleFunc("POST "+PathForget, func(http.ResponseWriter, *http.Request) { s.Forget() })
 	mux.HandleFunc("POST "+PathLapse, func(w http.ResponseWriter, r *http.Request) {
 		var table string
-		if decode(w, r, &table) {
+		if decodeJSON(w, r, &table) {
 			s.Lapse(table)
 		}
 	})
 	mux.HandleFunc("POST "+PathPut, func(w http.ResponseWriter, r *http.Request) {
 		var rows []protocol.Row
-		if decode(w, r, &rows) {
+		if decodeJSON(w, r, &rows) {
 			s.Put(rows)
 		}
 	})
-	mux.HandleFunc("GET "+PathCounts, func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, s.Counts()) })
+	mux.HandleFunc("GET "+PathCounts, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, s.Counts()) })
 	return mux
 }
 
-// suffer brings the faults before a call.
-func (s *Store) suffer(writes bool, call http.HandlerFunc) http.HandlerFunc {
+// withFaults wraps the handler of a call: it counts the call, delays it and applies the
+// injected rejections and the rate limit.
+func (s *Store) withFaults(writes bool, call http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mutex.Lock()
 		faults := s.faults
-		allowed := s.take()
+		allowed := s.takeToken()
 		if writes {
 			s.counts.Writes++
 		} else {
@@ -69,15 +71,15 @@
 		if faults.DelayMs > 0 {
 			time.Sleep(time.Duration(faults.DelayMs) * time.Millisecond)
 		}
-		down := faults.down(r)
+		rejection := faults.rejection(r)
 		switch {
-		case down == Busy:
+		case rejection == Busy:
 			w.WriteHeader(http.StatusServiceUnavailable)
-		case down == Many:
+		case rejection == Many:
 			w.WriteHeader(http.StatusTooManyRequests)
-		case down == Reset:
+		case rejection == Reset:
 			panic(http.ErrAbortHandler)
-		case down == Silent:
+		case rejection == Silent:
 			<-r.Context().Done()
 		case !allowed:
 			w.WriteHeader(http.StatusTooManyRequests)
@@ -87,8 +89,8 @@
 	}
 }
 
-// down is how a caller is turned away; empty when it is not.
-func (f Faults) down(r *http.Request) Down {
+// rejection returns how the caller of r is rejected; empty if it is not.
+func (f Faults) rejection(r *http.Request) Down {
 	if len(f.Only) == 0 {
 		return f.Down
 	}
@@ -101,13 +103,13 @@
 
 func (s *Store) handleTransaction(w http.ResponseWriter, r *http.Request) {
 	var t protocol.Transaction
-	if !decode(w, r, &t) {
+	if !decodeJSON(w, r, &t) {
 		return
 	}
 	s.mutex.Lock()
-	lost := s.random.Float64() < s.faults.LostShare
-	late := !lost && s.random.Float64() < s.faults.LateShare
-	delay := shortestLate + time.Duration(s.random.Int64N(int64(lateSpread)))
+	unanswered := s.random.Float64() < s.faults.LostShare
+	late := !unanswered && s.random.Float64() < s.faults.LateShare
+	delay := minLateDelay + time.Duration(s.random.Int64N(int64(lateDelayRange)))
 	s.mutex.Unlock()
 	if late {
 		time.AfterFunc(delay, func() { s.transact(t) })
@@ -115,18 +117,18 @@
 		return
 	}
 	status, answer := s.transact(t)
-	if lost {
-		// The connection says nothing further.
+	if unanswered {
+		// The caller gets no response although the write is done.
 		<-r.Context().Done()
 		return
 	}
-	write(w, status, answer)
+	writeJSON(w, status, answer)
 }
 
 func (s *Store) handleRead(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	limit, _ := strconv.Atoi(query.Get(protocol.QueryLimit))
-	write(w, http.StatusOK, s.read(query.Get(protocol.QueryTable), query.Get(protocol.QueryFrom), query.Get(protocol.QueryTo), limit))
+	writeJSON(w, http.StatusOK, s.read(query.Get(protocol.QueryTable), query.Get(protocol.QueryFrom), query.Get(protocol.QueryTo), limit))
 }
 
 func (s *Store) handleFeed(w http.ResponseWriter, r *http.Request) {
@@ -137,30 +139,30 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	end := time.NewTimer(min(time.Duration(wait)*time.Millisecond, maximumWait))
-	defer end.Stop()
+	timer := time.NewTimer(min(time.Duration(wait)*time.Millisecond, maximumWait))
+	defer timer.Stop()
 	for {
-		answer, kept, changed := s.since(query.Get(protocol.QueryTable), after)
+		answer, kept, changed := s.changesSince(query.Get(protocol.QueryTable), after)
 		if !kept {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
 		if len(answer.Rows) > 0 {
-			write(w, http.StatusOK, answer)
+			writeJSON(w, http.StatusOK, answer)
 			return
 		}
 		select {
 		case <-r.Context().Done():
 			return
 		case <-changed:
-		case <-end.C:
-			write(w, http.StatusOK, answer)
+		case <-timer.C:
+			writeJSON(w, http.StatusOK, answer)
 			return
 		}
 	}
 }
 
-func decode(w http.ResponseWriter, r *http.Request, target any) bool {
+func decodeJSON(w http.ResponseWriter, r *http.Request, target any) bool {
 	if err := json.NewDecoder(r.Body).Decode(target); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
@@ -168,7 +170,7 @@
 	return true
 }
 
-func write(w http.ResponseWriter, status int, value any) {
+func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(value)
--- a/internal/lab/storestub/store.go
+++ b/internal/lab/storestub/store.go
@@ -1,6 +1,6 @@
-// Package storestub emulates the platform's store: rows with versions,
-// conditional transactions, a feed of changes with a bounded history, limits of
-// calls, and the faults that the platform's store may suffer.
+// Package storestub emulates the platform's store: versioned rows, conditional
+// transactions, a change feed with a bounded history, a rate limit, and the faults that
+// the platform's store may have.
 package storestub
 
 import (
@@ -21,41 +21,40 @@
 	maximumWait    = 30 * time.Second
 )
 
-// Down is how the store turns calls away.
+// Down is how the store rejects calls.
 type Down string
 
-// The ways.
+// The kinds of rejection.
 const (
-	// Busy answers 503, Many 429.
+	// Busy responds with 503 (Service Unavailable), TooManyRequests with 429.
 	Busy Down = "busy"
 	Many Down = "many"
-	// Reset closes the connection, Silent says nothing.
+	// Reset closes the connection, Silent never responds.
 	Reset  Down = "reset"
 	Silent Down = "silent"
 )
 
-// Faults are what the store suffers.
+// Faults are the faults injected into the store.
 type Faults struct {
-	// Down is empty or how calls are turned away.
+	// Down is how calls are rejected; empty for not at all.
 	Down Down `json:"down,omitempty"`
-	// Only are the hosts (IP) whose calls are turned away; empty for all.
+	// Only are the IP addresses whose calls are rejected; empty for all.
 	Only []string `json:"only,omitempty"`
-	// DelayMs is added to each answer.
+	// DelayMs delays each call.
 	DelayMs int `json:"delayMs,omitempty"`
-	// LostShare of the writes are done and not answered; LateShare of the
-	// writes are not answered and done 1 to 3 seconds later, if their
-	// conditions still hold.
+	// LostShare of the writes are executed and get no response; LateShare of the writes
+	// get no response and are executed 1 to 3 seconds later, if their conditions still hold.
 	LostShare float64 `json:"lostShare,omitempty"`
 	LateShare float64 `json:"lateShare,omitempty"`
-	// StaleMs is how far reads are behind.
+	// StaleMs is the age of the state that reads return; the feed is not affected.
 	StaleMs int `json:"staleMs,omitempty"`
 }
 
-// Counts are the calls so far.
+// Counts are the numbers of calls so far.
 type Counts struct {
 	Reads  int `json:"reads"`
 	Writes int `json:"writes"`
-	// Refused are calls beyond the limits.
+	// Refused are the calls above the rate limit.
 	Refused int `json:"refused"`
 }
 
@@ -64,13 +63,13 @@
 	key   string
 }
 
-// change is one entry of the history.
+// change is an entry of the history.
 type change struct {
 	row protocol.Row
 	at  time.Time
 }
 
-// Store is the emulated store. Its mutex guards all fields below it.
+// Store is the emulated store. Its mutex guards the fields below it.
 type Store struct {
 	callsPerSecond float64
 
@@ -79,37 +78,38 @@
 	version uint64
 	rows    map[rowKey]protocol.Row
 	history []change
-	// compacted is the newest version whose change was dropped.
+	// compacted is the newest version whose change was dropped from the history.
 	compacted uint64
-	// forgotten is the newest version that the feed no longer tells.
+	// forgotten is the newest version that the feed no longer serves although the history
+	// may still have it.
 	forgotten uint64
 	changed   chan struct{}
 	faults    Faults
 	counts    Counts
 	tokens    float64
 	refilled  time.Time
-	began     time.Time
+	startedAt time.Time
 }
 
-// New returns an empty store that allows a number of calls a second and draws
-// its faults from a seed.
+// New returns an empty store that allows callsPerSecond, with a burst of as many calls,
+// and selects the calls that faults affect by random numbers from seed.
 func New(callsPerSecond float64, seed uint64) *Store {
 	now := time.Now()
 	return &Store{
 		callsPerSecond: callsPerSecond, random: rand.New(rand.NewPCG(seed, seed)), rows: make(map[rowKey]protocol.Row),
-		changed: make(chan struct{}), tokens: callsPerSecond, refilled: now, began: now,
+		changed: make(chan struct{}), tokens: callsPerSecond, refilled: now, startedAt: now,
 	}
 }
 
-// SetFaults changes what the store suffers.
+// SetFaults replaces the injected faults.
 func (s *Store) SetFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults = faults
 }
 
-// Forget drops the history, so that all watchers must read anew, also those that
-// had heard of every change. Stale reads still see what was before.
+// Forget drops the history of the feed, so that all watchers must read their tables again,
+// also those that had received every change. Stale reads still return older rows.
 func (s *Store) Forget() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -118,8 +118,8 @@
 	s.notify()
 }
 
-// Lapse removes the rows of a table and writes them again, as the platform does
-// with the runners' rows when it cannot hear them for a while.
+// Lapse removes the rows of a table and writes them again, as the platform does with the
+// runners' rows when it receives nothing from the runners for a while.
 func (s *Store) Lapse(table string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -131,37 +131,38 @@
 	}
 	for _, row := range rows {
 		s.version++
-		s.write(protocol.Row{Table: row.Table, Part: row.Part, Key: row.Key, Deleted: true})
+		s.writeRow(protocol.Row{Table: row.Table, Part: row.Part, Key: row.Key, Deleted: true})
 	}
 	for _, row := range rows {
 		s.version++
-		s.write(row)
+		s.writeRow(row)
 	}
 	s.notify()
 }
 
-// Counts returns the calls so far.
+// Counts returns the numbers of calls so far.
 func (s *Store) Counts() Counts {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.counts
 }
 
-// Put writes rows without conditions or faults, as the operator and the runners
-// do.
+// Put writes rows without conditions or faults and returns the new version. It stands for
+// the writes of operators and runners.
 func (s *Store) Put(rows []protocol.Row) uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.version++
 	for _, row := range rows {
-		s.write(row)
+		s.writeRow(row)
 	}
 	s.notify()
 	return s.version
 }
 
-// write sets or removes a row at the newest version. mutex is held.
-func (s *Store) write(row protocol.Row) {
+// writeRow sets or removes a row at the current version and drops expired entries of the
+// history. The caller holds s.mutex.
+func (s *Store) writeRow(row protocol.Row) {
 	row.Version = s.version
 	key := rowKey{row.Table, row.Key}
 	if row.Deleted {
@@ -182,8 +183,9 @@
 	s.changed = make(chan struct{})
 }
 
-// take counts a call against the limits. mutex is held.
-func (s *Store) take() bool {
+// takeToken takes a token from the bucket of the rate limit and returns whether there was
+// one. The caller holds s.mutex.
+func (s *Store) takeToken() bool {
 	now := time.Now()
 	s.tokens = min(s.tokens+now.Sub(s.refilled).Seconds()*s.callsPerSecond, s.callsPerSecond)
 	s.refilled = now
@@ -195,7 +197,8 @@
 	return true
 }
 
-// transact carries out a transaction and returns the status of its answer.
+// transact executes a transaction and returns the HTTP status and the body of its
+// response.
 func (s *Store) transact(t protocol.Transaction) (int, protocol.RowsAnswer) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -209,38 +212,38 @@
 	}
 	for _, expected := range t.Expected {
 		if s.rows[rowKey{expected.Table, expected.Key}].Version != expected.Version {
-			return http.StatusPreconditionFailed, s.answer(s.current(t.Expected))
+			return http.StatusPreconditionFailed, s.newAnswer(s.currentRows(t.Expected))
 		}
 	}
 	s.version++
 	for _, written := range t.Write {
-		s.write(protocol.Row{Table: written.Table, Part: written.Part, Key: written.Key, Value: written.Value})
+		s.writeRow(protocol.Row{Table: written.Table, Part: written.Part, Key: written.Key, Value: written.Value})
 	}
 	for _, removed := range t.Remove {
-		s.write(protocol.Row{Table: removed.Table, Part: removed.Part, Key: removed.Key, Deleted: true})
+		s.writeRow(protocol.Row{Table: removed.Table, Part: removed.Part, Key: removed.Key, Deleted: true})
 	}
 	s.notify()
-	return http.StatusOK, s.answer(nil)
+	return http.StatusOK, s.newAnswer(nil)
 }
 
-func (s *Store) current(expected []protocol.ExpectedRow) []protocol.Row {
+func (s *Store) currentRows(expected []protocol.ExpectedRow) []protocol.Row {
 	var rows []protocol.Row
 	for _, e := range expected {
-		if row, there := s.rows[rowKey{e.Table, e.Key}]; there {
+		if row, exists := s.rows[rowKey{e.Table, e.Key}]; exists {
 			rows = append(rows, row)
 		}
 	}
 	return rows
 }
 
-func (s *Store) answer(rows []protocol.Row) protocol.RowsAnswer {
+func (s *Store) newAnswer(rows []protocol.Row) protocol.RowsAnswer {
 	if rows == nil {
 		rows = []protocol.Row{}
 	}
-	return protocol.RowsAnswer{Rows: rows, Version: s.version, NowMs: time.Since(s.began).Milliseconds()}
+	return protocol.RowsAnswer{Rows: rows, Version: s.version, NowMs: time.Since(s.startedAt).Milliseconds()}
 }
 
-// read returns a page of a table, as of now or of before.
+// read returns a page of a table, as of now or of StaleMs ago.
 func (s *Store) read(table, from, to string, limit int) protocol.RowsAnswer {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -255,46 +258,46 @@
 	if limit <= 0 || limit > maximumPage {
 		limit = maximumPage
 	}
-	answer := s.answer(page[:min(limit, len(page))])
+	answer := s.newAnswer(page[:min(limit, len(page))])
 	answer.More = len(page) > limit
 	answer.Version = version
 	return answer
 }
 
-// asOf returns the rows as they were some time ago, as far as the history tells.
-// mutex is held.
-func (s *Store) asOf(behind time.Duration) (map[rowKey]protocol.Row, uint64) {
-	if behind == 0 {
+// asOf returns the rows and the version of some time ago, as far as the history reaches
+// back. The caller holds s.mutex.
+func (s *Store) asOf(staleness time.Duration) (map[rowKey]protocol.Row, uint64) {
+	if staleness == 0 {
 		return s.rows, s.version
 	}
 	rows := make(map[rowKey]protocol.Row)
 	version := s.compacted
-	first := make(map[rowKey]bool)
+	seen := make(map[rowKey]bool)
 	for _, c := range s.history {
 		key := rowKey{c.row.Table, c.row.Key}
-		old := time.Since(c.at) >= behind
-		if old {
+		visible := time.Since(c.at) >= staleness
+		if visible {
 			version = c.row.Version
 		}
-		if !first[key] || old {
-			first[key] = true
+		if !seen[key] || visible {
+			seen[key] = true
 			delete(rows, key)
-			if old && !c.row.Deleted {
+			if visible && !c.row.Deleted {
 				rows[key] = c.row
 			}
 		}
 	}
 	for key, row := range s.rows {
-		if !first[key] {
+		if !seen[key] {
 			rows[key] = row
 		}
 	}
 	return rows, version
 }
 
-// since returns the changes of a table after a version, whether they are still
-// kept, and a channel that is closed at the next change.
-func (s *Store) since(table string, after uint64) (answer protocol.RowsAnswer, kept bool, changed <-chan struct{}) {
+// changesSince returns the changes of a table after a version, whether the history still
+// has them, and a channel that is closed at the next change.
+func (s *Store) changesSince(table string, after uint64) (answer protocol.RowsAnswer, kept bool, changed <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if after < max(s.compacted, s.forgotten) {
@@ -306,5 +309,5 @@
 			rows = append(rows, c.row)
 		}
 	}
-	return s.answer(rows), true, s.changed
+	return s.newAnswer(rows), true, s.changed
 }
