--- a/internal/lab/world/places.go
+++ b/internal/lab/world/places.go
@@ -9,20 +9,20 @@
 	"lilacvane/platform/protocol"
 )
 
-// RegionOf is the region in which a zone of the world lies.
+// RegionOf returns the region of a zone.
 func (w *World) RegionOf(zone place.Zone) place.Region {
 	return cmp.Or(w.Zones.Region(zone), place.Region(w.Region))
 }
 
-// Zone is where the runner stands.
+// Zone returns the zone of the runner.
 func (r *Runner) Zone() place.Zone { return place.Zone(r.options.Zone) }
 
-// TakeOutZone writes the operator's row that asks that nothing new go to a zone.
+// EvacuateZone writes the operator's row that asks nodes to send nothing new to a zone.
 func (w *World) TakeOutZone(zone place.Zone) error {
 	return w.PutRows(zoneRow(zone, false))
 }
 
-// TakeBackZone removes the row.
+// RestoreZone removes that row.
 func (w *World) TakeBackZone(zone place.Zone) error {
 	return w.PutRows(zoneRow(zone, true))
 }
@@ -31,7 +31,7 @@
 	return protocol.Row{Table: protocol.OperatorTable, Key: protocol.EvacuationPrefix + string(zone), Value: []byte("{}"), Deleted: deleted}
 }
 
-// ChillRunner makes a runner cold for a while, as its row then tells.
-func (w *World) ChillRunner(id string, lasting time.Duration) error {
-	return w.SetRunnerCold(id, runnerstub.Cold{ForMs: lasting.Milliseconds()})
+// MakeRunnerCold makes a runner cold for a duration, as its row then says.
+func (w *World) ChillRunner(id string, duration time.Duration) error {
+	return w.SetRunnerCold(id, runnerstub.Cold{ForMs: duration.Milliseconds()})
 }
--- a/internal/lab/world/process.go
+++ b/internal/lab/world/process.go
@@ -1,5 +1,5 @@
-// Package world brings up a whole system as separate processes on loopback:
-// platform, engines and nodes, each on an IP address of its own.
+// Package world starts a whole system as separate processes on loopback: the emulated
+// store, emulated runners and nodes, each on its own IP address.
 package world
 
 import (
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Process is one started process.
+// Process is a process that was started.
 type Process struct {
 	Name    string
 	command *exec.Cmd
@@ -25,7 +25,7 @@
 	err     error
 }
 
-// start runs a program with its output appended to NAME.log in directory.
+// start starts a program with its output appended to the file name.log in directory.
 func start(directory, name, program string, arguments ...string) (*Process, error) {
 	log, err := os.OpenFile(filepath.Join(directory, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -34,8 +34,8 @@
 	command := exec.Command(program, arguments...)
 	command.Stdout = log
 	command.Stderr = log
-	// A process of its own group ends with its starter, so that none is left
-	// behind when a test is killed.
+	// The process gets its own process group and is killed when its parent ends, so that
+	// none is left behind when a test is killed.
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		_ = log.Close()
@@ -55,29 +55,29 @@
 	close(p.done)
 }
 
-// Kill ends the process at once and waits until it is gone.
+// Kill kills the process, also a frozen one, and waits for its end.
 func (p *Process) Kill() {
 	_ = p.command.Process.Signal(syscall.SIGCONT)
 	_ = p.command.Process.Kill()
 	<-p.done
 }
 
-// Freeze stops the process's execution.
+// Freeze suspends the process.
 func (p *Process) Freeze() error { return p.command.Process.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process.
 func (p *Process) Thaw() error { return p.command.Process.Signal(syscall.SIGCONT) }
 
-// Terminate asks the process to stop in order.
+// Terminate asks the process to shut down gracefully.
 func (p *Process) Terminate() error { return p.command.Process.Signal(syscall.SIGTERM) }
 
-// Reload tells the process that its settings may have changed.
+// Reload asks the process to read its settings again.
 func (p *Process) Reload() error { return p.command.Process.Signal(syscall.SIGHUP) }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Ended tells whether the process has ended.
+// Ended returns whether the process has ended.
 func (p *Process) Ended() bool {
 	select {
 	case <-p.done:
@@ -87,7 +87,7 @@
 	}
 }
 
-// EndedBy returns the signal that ended the process; zero for none.
+// EndedBy returns the signal that terminated the process; zero for none.
 func (p *Process) EndedBy() syscall.Signal {
 	if !p.Ended() {
 		return 0
@@ -99,7 +99,7 @@
 	return status.Signal()
 }
 
-// Wait waits for the process to end.
+// Wait waits until the process ends and returns its error, or an error after timeout.
 func (p *Process) Wait(timeout time.Duration) error {
 	select {
 	case <-p.done:
@@ -107,25 +107,25 @@
 		defer p.mutex.Unlock()
 		return p.err
 	case <-time.After(timeout):
-		return errors.New(p.Name + " did not end")
+		return errors.New(p.Name + " has not ended")
 	}
 }
 
-// ID returns the process's id.
+// ID returns the process ID.
 func (p *Process) ID() int { return p.command.Process.Pid }
 
-// claimNetwork takes a loopback network that no other world uses, in this process
-// or another: it is held by the listener until that is closed.
+// claimNetwork picks a loopback network that no other World uses, in this process or
+// another. The network is reserved until the listener that it returns is closed.
 func claimNetwork() (string, net.Listener, error) {
-	const octets, first, tries = 250, 2, 200
-	var failure error
-	for range tries {
-		network := fmt.Sprintf("127.%d.%d", first+rand.IntN(octets), first+rand.IntN(octets))
-		claim, err := net.Listen("tcp", fmt.Sprintf("%s.1:%d", network, portClaim))
+	const octetRange, minOctet, attempts = 250, 2, 200
+	var lastErr error
+	for range attempts {
+		network := fmt.Sprintf("127.%d.%d", minOctet+rand.IntN(octetRange), minOctet+rand.IntN(octetRange))
+		networkClaim, err := net.Listen("tcp", fmt.Sprintf("%s.1:%d", network, portClaim))
 		if err == nil {
-			return network, claim, nil
+			return network, networkClaim, nil
 		}
-		failure = err
+		lastErr = err
 	}
-	return "", nil, failure
+	return "", nil, lastErr
 }
--- a/internal/lab/world/runners.go
+++ b/internal/lab/world/runners.go
@@ -21,43 +21,46 @@
 	address string
 	options RunnerOptions
 	seed    uint64
-	// mutex guards Process against end while the runner is started anew, ended is set once
-	// it is not to be.
+	// mutex guards Process while the runner is restarted. ended is set once it must not be
+	// restarted any more.
 	mutex sync.Mutex
 	ended bool
 }
 
-// RunnerOptions describe a runner to start.
+// RunnerOptions are the options of a runner to start.
 type RunnerOptions struct {
 	Name    string
 	Service string
 	Zone    string
-	// MemoryMB and Slots are its memory and places; AdapterSlots those for
-	// adapters.
+	// MemoryMB is its memory for weights, Slots the number of its concurrent requests and
+	// AdapterSlots the maximum number of its adapters.
 	MemoryMB     float64
 	Slots        int
 	AdapterSlots int
 	TokenTime    time.Duration
-	// LoadTime is the time of a load from the weight store.
+	// LoadTime is the duration of a load from the weight store.
 	LoadTime time.Duration
-	// ModelMB is the size the runner takes each model to have.
+	// ModelMB is the size that the runner assumes for each model.
 	ModelMB float64
-	// CrashBy is a text by which requests end the runner's process as they begin to run, and
-	// models as they are loaded; empty for none. Returns says how it is started again.
+	// CrashBy is a text that crashes the runner's process: in a request when it is run, in the
+	// name of a model when it is loaded. Empty for none. Restart says whether and how the
+	// process is restarted.
 	CrashBy string
 	Returns Return
 }
 
-// Return says how a runner whose process ended by itself is started again, at the same
-// address and with nothing loaded.
+// RestartPolicy says how a runner whose process has ended, as by a crash, is restarted, at
+// the same address and with nothing loaded.
 type Return struct {
-	// After is the time until then; zero for never.
+	// After is the delay until the restart; zero for no restart.
 	After time.Duration
-	// Renamed gives it a new identifier each time, as it has after most ends.
+	// Renamed gives it a new identifier each time, as runners have after most ends of
+	// their process.
 	Renamed bool
 }
 
-// StartRunner starts a runner, which puts itself on the platform's list.
+// StartRunner starts a runner, which adds itself to the platform's list, and waits until
+// it responds.
 func (w *World) StartRunner(options RunnerOptions) (*Runner, error) {
 	host := w.nextRunner
 	w.nextRunner++
@@ -74,24 +77,24 @@
 		}
 		runner.Proxy = proxy
 	}
-	if err := w.runRunner(runner, options.Name); err != nil {
+	if err := w.startRunnerProcess(runner, options.Name); err != nil {
 		return nil, err
 	}
 	w.Runners[options.Name] = runner
 	if options.Returns.After > 0 {
-		go w.restart(runner)
+		go w.restartOnExit(runner)
 	}
-	return runner, waitFor("http://" + runner.address + protocol.PathReport)
+	return runner, waitForURL("http://" + runner.address + protocol.PathReport)
 }
 
-// runRunner starts a runner's process under an identifier.
-func (w *World) runRunner(runner *Runner, id string) error {
+// startRunnerProcess starts a runner's process with an identifier.
+func (w *World) startRunnerProcess(runner *Runner, id string) error {
 	options := runner.options
 	advertise := runner.address
 	if runner.Proxy != nil {
 		advertise = runner.Proxy.Address()
 	}
-	process, err := start(w.Directory, "runner-"+options.Name, w.lab(), "runner", "--id", id, "--service", options.Service,
+	process, err := start(w.Directory, "runner-"+options.Name, w.labProgram(), "runner", "--id", id, "--service", options.Service,
 		"--zone", options.Zone, "--listen", runner.address, "--advertise", advertise, "--store", w.address(hostStore, portStore),
 		"--memory-mb", fmt.Sprint(options.MemoryMB), "--model-mb", fmt.Sprint(options.ModelMB), "--slots", fmt.Sprint(options.Slots),
 		"--adapter-slots", fmt.Sprint(options.AdapterSlots), "--token-time", options.TokenTime.String(), "--load-time", options.LoadTime.String(),
@@ -100,61 +103,62 @@
 	return err
 }
 
-// restart starts a runner again whenever its process ends by itself.
-func (w *World) restart(runner *Runner) {
+// restartOnExit restarts a runner whenever its process ends, until killForGood is called.
+func (w *World) restartOnExit(runner *Runner) {
 	id := runner.options.Name
 	for incarnation := 2; ; incarnation++ {
-		<-runner.current().Done()
+		<-runner.currentProcess().Done()
 		time.Sleep(runner.options.Returns.After)
 		if runner.options.Returns.Renamed {
-			// The platform's list drops what does not write to it any more.
+			// The platform's list drops runners that no longer write to it.
 			_ = w.Unlist(id)
 			id = fmt.Sprintf("%s-%d", runner.options.Name, incarnation)
 		}
-		if !w.startAgain(runner, id) {
+		if !w.restartUnlessEnded(runner, id) {
 			return
 		}
 	}
 }
 
-// startAgain starts a runner's process unless the world ends.
-func (w *World) startAgain(runner *Runner, id string) bool {
+// restartUnlessEnded starts a runner's process again unless the runner was killed for
+// good. It returns whether it was started.
+func (w *World) restartUnlessEnded(runner *Runner, id string) bool {
 	runner.mutex.Lock()
 	defer runner.mutex.Unlock()
-	return !runner.ended && w.runRunner(runner, id) == nil
+	return !runner.ended && w.startRunnerProcess(runner, id) == nil
 }
 
-// current returns the newest process.
-func (r *Runner) current() *Process {
+// currentProcess returns the runner's newest process.
+func (r *Runner) currentProcess() *Process {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.Process
 }
 
-// end kills the runner for good.
-func (r *Runner) end() {
+// killForGood kills the runner and keeps it from being restarted.
+func (r *Runner) killForGood() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.ended = true
 	r.Kill()
 }
 
-// CrashRunner ends a runner's process as a crash does: the platform's list is not told, and
-// it is started again if its options say so.
-func (w *World) CrashRunner(id string) { w.Runners[id].current().Kill() }
+// CrashRunner kills a runner's process as a crash would: the platform's list is not updated,
+// and the runner is restarted if its options say so.
+func (w *World) CrashRunner(id string) { w.Runners[id].currentProcess().Kill() }
 
-// KillRunner kills a runner and lets the platform's list drop it.
+// KillRunner kills a runner and removes it from the platform's list.
 func (w *World) KillRunner(id string) error {
 	w.Runners[id].Kill()
 	return w.Unlist(id)
 }
 
-// Unlist drops a runner from the platform's list.
+// Unlist removes a runner from the platform's list.
 func (w *World) Unlist(id string) error {
 	return w.PutRows(protocol.Row{Table: protocol.RunnerTable, Key: id, Deleted: true})
 }
 
-// DrainRunner lets a runner say that it leaves.
+// DrainRunner makes a runner publish that it is draining.
 func (w *World) DrainRunner(id string) error {
 	return w.post(w.Runners[id].address, runnerstub.PathDrain, nil)
 }
@@ -164,15 +168,15 @@
 	return w.post(w.Runners[id].address, runnerstub.PathCold, cold)
 }
 
-// ZoneOf is the zone of a runner, also of one that ended.
+// ZoneOf returns the zone of a runner, also of one that has ended.
 func (w *World) ZoneOf(id string) string { return w.Runners[id].options.Zone }
 
-// SetRunnerFaults changes what a runner suffers.
+// SetRunnerFaults replaces the faults injected into a runner.
 func (w *World) SetRunnerFaults(id string, faults runnerstub.Faults) error {
 	return w.post(w.Runners[id].address, runnerstub.PathFaults, faults)
 }
 
-// LapseRunners lets the store drop the rows of all runners and write them again.
+// LapseRunners makes the store remove the rows of all runners and write them again.
 func (w *World) LapseRunners() error {
 	return w.post(w.address(hostStore, portStore), storestub.PathLapse, protocol.RunnerTable)
 }
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -23,74 +23,74 @@
 	"lilacvane/platform/protocol"
 )
 
-// Ports within a world; every process has an IP address of its own.
+// Ports and host numbers; every process has its own IP address.
 const (
-	portClaim     = 7000
-	portClients   = 7001
-	portCallers   = 7002
-	portOperators = 7003
-	portPeers     = 7004
-	portReady     = 7005
-	portMetrics   = 7006
-	portProxy     = 7007
-	portStore     = 7008
-	portRunner    = 7009
-	hostStore     = 1
-	firstNode     = 120
-	firstRunner   = 160
-	startPatience = 30 * time.Second
-	pollPause     = 20 * time.Millisecond
+	portClaim       = 7000
+	portClients     = 7001
+	portCallers     = 7002
+	portOperators   = 7003
+	portPeers       = 7004
+	portReady       = 7005
+	portMetrics     = 7006
+	portProxy       = 7007
+	portStore       = 7008
+	portRunner      = 7009
+	hostStore       = 1
+	firstNodeHost   = 120
+	firstRunnerHost = 160
+	startTimeout    = 30 * time.Second
+	pollInterval    = 20 * time.Millisecond
 )
 
-// The services and the host of the routes of a world.
+// The names of the services and the host of the default routes.
 const (
 	EngineService = "engines"
 	MailService   = "mail"
 	RouteHost     = "lab.example"
 )
 
-// Options of a world.
+// Options are the options of a World.
 type Options struct {
-	// Directory holds settings, logs and journals.
+	// Directory is where settings, logs and journals are written.
 	Directory string
-	// Programs is the directory of the lilacvane and lilacvane-lab binaries.
+	// Programs is the directory of the binaries lilacvane and lilacvane-lab.
 	Programs string
-	// Region and TimeZone of all nodes, but for those in Zones.
+	// Region and TimeZone are those of the nodes; Zones overrides Region.
 	Region   string
 	TimeZone string
-	// Zones tells the region of zones that do not lie in Region.
+	// Zones maps the zones outside Region to their regions.
 	Zones place.Map
-	// Proxied puts a fault proxy before every process, and before the store one
-	// for each node.
+	// Proxied puts a fault proxy in front of every node and runner, and one per node in front
+	// of the store.
 	Proxied bool
 	// Adjust changes the settings of a node before it starts.
 	Adjust func(*settings.Settings)
-	// StoreRate is the store's calls a second.
+	// StoreRate is the number of calls per second that the store accepts.
 	StoreRate float64
-	// Engine describes the runners of EngineService to the nodes.
+	// Engine describes the runners of EngineService in the configuration.
 	Engine protocol.Engine
 	// ColdStart is how long a runner of EngineService is cold after its start, ColdRate how
-	// many requests a second it bears then; zero where none is cold.
+	// many requests per second it can take then; zero if runners do not start cold.
 	ColdStart time.Duration
 	ColdRate  float64
-	// Seed fixes what the stand-ins draw.
+	// Seed is the seed of the random numbers of the emulated store and runners.
 	Seed uint64
 }
 
-// World is a running system.
+// World is a running system: the store, runners and nodes.
 type World struct {
 	Options
 	network string
-	// claim holds the network.
-	claim      net.Listener
-	Store      *Process
-	Nodes      map[string]*Node
-	Runners    map[string]*Runner
-	nextNode   int
-	nextRunner int
-	version    uint64
-	routes     []protocol.Route
-	tenants    []protocol.Tenant
+	// networkClaim reserves the network while it is open.
+	networkClaim net.Listener
+	Store        *Process
+	Nodes        map[string]*Node
+	Runners      map[string]*Runner
+	nextNode     int
+	nextRunner   int
+	version      uint64
+	routes       []protocol.Route
+	tenants      []protocol.Tenant
 }
 
 // Node is a running node.
@@ -103,43 +103,43 @@
 	Operators string
 	Ready     string
 	Metrics   string
-	// Proxy stands before its peers' interface, StoreProxy between it and the
+	// Proxy is in front of the node's interface for peers, StoreProxy between the node and the
 	// store.
 	Proxy      *faultproxy.Proxy
 	StoreProxy *faultproxy.Proxy
 	settings   string
-	// mutex guards Process against Current while the node is started anew.
+	// mutex guards Process while the node is restarted.
 	mutex sync.Mutex
 }
 
-// Current returns the node's newest process, also while another goroutine starts the node
-// anew.
+// Current returns the node's newest process. It may be called while another goroutine
+// restarts the node.
 func (n *Node) Current() *Process {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.Process
 }
 
-// Client calls the node's operators' interface.
+// Client returns a client of the node's interface for operators.
 func (n *Node) Client() *operator.Client { return operator.NewClient(n.Operators) }
 
-// New starts the store of a world and writes its first configuration.
+// New starts the store and writes the first configuration.
 func New(options Options) (*World, error) {
-	network, claim, err := claimNetwork()
+	network, networkClaim, err := claimNetwork()
 	if err != nil {
 		return nil, err
 	}
 	w := &World{
-		Options: options, network: network, claim: claim, Nodes: make(map[string]*Node), Runners: make(map[string]*Runner),
-		nextNode: firstNode, nextRunner: firstRunner, routes: DefaultRoutes(),
+		Options: options, network: network, networkClaim: networkClaim, Nodes: make(map[string]*Node), Runners: make(map[string]*Runner),
+		nextNode: firstNodeHost, nextRunner: firstRunnerHost, routes: DefaultRoutes(),
 	}
-	w.Store, err = start(w.Directory, "store", w.lab(), "store", "--listen", w.address(hostStore, portStore),
+	w.Store, err = start(w.Directory, "store", w.labProgram(), "store", "--listen", w.address(hostStore, portStore),
 		"--rate", fmt.Sprint(options.StoreRate), "--seed", fmt.Sprint(options.Seed))
 	if err != nil {
-		_ = claim.Close()
+		_ = networkClaim.Close()
 		return nil, err
 	}
-	if err := waitFor("http://" + w.address(hostStore, portStore) + storestub.PathCounts); err != nil {
+	if err := waitForURL("http://" + w.address(hostStore, portStore) + storestub.PathCounts); err != nil {
 		w.Close()
 		return nil, err
 	}
@@ -150,8 +150,8 @@
 	return w, nil
 }
 
-// DefaultRoutes are the routes of a world: drafts that may be resumed or not, and
-// mail that may be repeated or not.
+// DefaultRoutes returns the first routes of a World: a resumable stream (draft) and one
+// that is not (reply), an unsafe (send) and a safe request (read).
 func DefaultRoutes() []protocol.Route {
 	return []protocol.Route{
 		{Name: "draft", Host: RouteHost, PathPrefix: "/draft/", Type: "stream", TimeoutMs: 20000, TargetMs: 2000, GapTargetMs: 400, Service: EngineService, Attempts: 3, Resumable: true, Priority: 1},
@@ -161,19 +161,19 @@
 	}
 }
 
-// Configure writes the platform's part of the configuration with these routes.
+// Configure writes the platform's configuration with these routes.
 func (w *World) Configure(routes []protocol.Route) error {
 	w.routes = routes
-	return w.configure()
+	return w.writeConfiguration()
 }
 
-// ConfigureTenants writes it with these tenants; nil lets everybody call.
+// ConfigureTenants writes the configuration with these tenants; nil admits all callers.
 func (w *World) ConfigureTenants(tenants []protocol.Tenant) error {
 	w.tenants = tenants
-	return w.configure()
+	return w.writeConfiguration()
 }
 
-func (w *World) configure() error {
+func (w *World) writeConfiguration() error {
 	w.version += 3
 	engine := w.Engine
 	content, err := json.Marshal(protocol.Configuration{
@@ -189,27 +189,27 @@
 	return w.PutRows(protocol.Row{Table: protocol.OperatorTable, Key: protocol.ConfigurationKey, Value: content})
 }
 
-// PutRows writes rows as the platform does.
+// PutRows writes rows to the store as the platform does, without conditions.
 func (w *World) PutRows(rows ...protocol.Row) error {
 	return w.post(w.address(hostStore, portStore), storestub.PathPut, rows)
 }
 
-func (w *World) lab() string { return filepath.Join(w.Programs, "lilacvane-lab") }
+func (w *World) labProgram() string { return filepath.Join(w.Programs, "lilacvane-lab") }
 
 func (w *World) address(host, port int) string {
 	return fmt.Sprintf("%s.%d:%d", w.network, host, port)
 }
 
-// waitFor waits until a URL answers 200.
-func waitFor(url string) error { return waitUnless(nil, url) }
+// waitForURL waits until a GET of url returns 200.
+func waitForURL(url string) error { return waitUntilServing(nil, url) }
 
-// waitUnless is waitFor that gives up once a process has ended.
-func waitUnless(ended <-chan struct{}, url string) error {
-	deadline := time.Now().Add(startPatience)
+// waitUntilServing is waitForURL that gives up once ended is closed.
+func waitUntilServing(ended <-chan struct{}, url string) error {
+	deadline := time.Now().Add(startTimeout)
 	for time.Now().Before(deadline) {
 		select {
 		case <-ended:
-			return fmt.Errorf("%s does not answer: its process ended", url)
+			return fmt.Errorf("%s does not respond: its process has ended", url)
 		default:
 		}
 		response, err := http.Get(url)
@@ -219,22 +219,22 @@
 				return nil
 			}
 		}
-		time.Sleep(pollPause)
+		time.Sleep(pollInterval)
 	}
-	return fmt.Errorf("%s did not answer", url)
+	return fmt.Errorf("%s did not respond with 200 in time", url)
 }
 
-// SetStoreFaults changes what the store suffers.
+// SetStoreFaults replaces the faults injected into the store.
 func (w *World) SetStoreFaults(faults storestub.Faults) error {
 	return w.post(w.address(hostStore, portStore), storestub.PathFaults, faults)
 }
 
-// ForgetHistory lets the store drop its history.
+// ForgetHistory makes the store drop the history of its feed.
 func (w *World) ForgetHistory() error {
 	return w.post(w.address(hostStore, portStore), storestub.PathForget, nil)
 }
 
-// StoreHost is the host (IP) from which the store sees the node's calls.
+// StoreHost returns the IP address from which the store sees the node's calls.
 func (n *Node) StoreHost() string {
 	host, _, err := net.SplitHostPort(n.StoreProxy.Address())
 	if err != nil {
@@ -243,7 +243,7 @@
 	return host
 }
 
-// StoreCounts returns how often the store was called.
+// StoreCounts returns the numbers of calls to the store.
 func (w *World) StoreCounts() (storestub.Counts, error) {
 	var counts storestub.Counts
 	response, err := http.Get("http://" + w.address(hostStore, portStore) + storestub.PathCounts)
@@ -267,7 +267,7 @@
 	return node, node.WaitReady()
 }
 
-// LaunchNode starts a node without waiting.
+// LaunchNode starts a node without waiting until it is ready.
 func (w *World) LaunchNode(name, zone string) (*Node, error) {
 	host := w.nextNode
 	w.nextNode++
@@ -296,10 +296,10 @@
 		return nil, err
 	}
 	w.Nodes[name] = node
-	return node, w.run(node)
+	return node, w.startNodeProcess(node)
 }
 
-func (w *World) run(node *Node) error {
+func (w *World) startNodeProcess(node *Node) error {
 	process, err := start(w.Directory, "node-"+node.Name, filepath.Join(w.Programs, "lilacvane"), "node", "--settings", node.settings)
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
@@ -307,9 +307,10 @@
 	return err
 }
 
-// RestartNode starts a node that ended again, with the same settings.
+// RestartNode starts a node that has ended again, with the same settings, and waits until
+// it is ready.
 func (w *World) RestartNode(node *Node) error {
-	if err := w.run(node); err != nil {
+	if err := w.startNodeProcess(node); err != nil {
 		return err
 	}
 	return node.WaitReady()
@@ -328,7 +329,7 @@
 	return nil
 }
 
-// WriteSettings writes a settings file.
+// WriteSettings writes settings to a YAML file.
 func WriteSettings(path string, s settings.Settings) error {
 	content, err := yaml.Marshal(s)
 	if err != nil {
@@ -337,20 +338,20 @@
 	return os.WriteFile(path, content, 0o644)
 }
 
-// SettingsPath is the node's settings file.
+// SettingsPath returns the path of the node's settings file.
 func (n *Node) SettingsPath() string { return n.settings }
 
-// LogPath is where a node logs.
+// LogPath returns the path of a node's log.
 func (w *World) LogPath(node *Node) string {
 	return filepath.Join(w.Directory, "node-"+node.Name+".log")
 }
 
 // WaitReady waits until the node is ready.
 func (n *Node) WaitReady() error {
-	return waitUnless(n.Current().Done(), "http://"+n.Ready+"/readyz")
+	return waitUntilServing(n.Current().Done(), "http://"+n.Ready+"/readyz")
 }
 
-// Journals returns the records of all runners that ever ran here.
+// Journals returns the records of all runners, also of those that have ended.
 func (w *World) Journals() ([]journal.Record, error) {
 	paths, err := filepath.Glob(filepath.Join(w.Directory, "journal-*.jsonl"))
 	if err != nil {
@@ -358,16 +359,16 @@
 	}
 	var records []journal.Record
 	for _, path := range paths {
-		some, err := journal.Read(path)
+		fileRecords, err := journal.Read(path)
 		if err != nil {
 			return nil, err
 		}
-		records = append(records, some...)
+		records = append(records, fileRecords...)
 	}
 	return records, nil
 }
 
-// Close ends all processes and proxies.
+// Close kills all processes and closes all proxies.
 func (w *World) Close() {
 	for _, node := range w.Nodes {
 		if node.Process != nil {
@@ -376,11 +377,11 @@
 		closeProxies(node.Proxy, node.StoreProxy)
 	}
 	for _, runner := range w.Runners {
-		runner.end()
+		runner.killForGood()
 		closeProxies(runner.Proxy)
 	}
 	w.Store.Kill()
-	_ = w.claim.Close()
+	_ = w.networkClaim.Close()
 }
 
 func closeProxies(proxies ...*faultproxy.Proxy) {
