--- a/internal/lab/experiment/simulate.go
+++ b/internal/lab/experiment/simulate.go
@@ -12,62 +12,63 @@
 	"lilacvane/internal/sleep"
 )
 
-// Configuration is one way to decide about sleep.
+// Configuration selects how long idle models stay loaded and whether they are loaded ahead
+// of demand.
 type Configuration struct {
 	Name string `json:"name"`
-	// Fixed is a fixed keep-alive time; zero: learned.
+	// Fixed is a fixed keep-alive time; zero for a learned one.
 	Fixed time.Duration `json:"fixedKeepAlive"`
-	// Ahead wakes models ahead of their usual time.
+	// Ahead loads models ahead of the times at which they are usually used.
 	Ahead bool `json:"wakeAhead"`
 }
 
-// Options of a run.
+// Options are the options of a run.
 type Options struct {
 	Seed uint64 `json:"seed"`
-	// LearnDays pass before anything is measured, MeasureDays are measured.
+	// LearnDays pass before the measurement begins, which takes MeasureDays.
 	LearnDays   int `json:"learnDays"`
 	MeasureDays int `json:"measureDays"`
-	// Deadline is how long a request waits at most.
+	// Deadline is the maximum time that a request waits.
 	Deadline time.Duration `json:"deadline"`
 }
 
-// Outcome is what a configuration gave. Waits are in seconds, from arrival to a
-// ready replica.
+// Outcome is the result of a configuration. Waits are in seconds, from the arrival of a
+// request to a ready replica.
 type Outcome struct {
 	Configuration Configuration `json:"configuration"`
 	Requests      int           `json:"requests"`
 	Cold          int           `json:"coldRequests"`
 	Refused       int           `json:"refused"`
 	Loads         int           `json:"loads"`
-	// ColdP50 to ColdP99 are the waits of requests that found no ready replica,
-	// AllP95 and AllP99 those of all requests.
+	// ColdP50 to ColdP99 are percentiles of the waits of requests that found no ready replica,
+	// AllP95 and AllP99 of those of all requests.
 	ColdP50 float64 `json:"coldP50"`
 	ColdP95 float64 `json:"coldP95"`
 	ColdP99 float64 `json:"coldP99"`
 	AllP95  float64 `json:"allP95"`
 	AllP99  float64 `json:"allP99"`
-	// IdleHours are hours of a whole runner taken by replicas without work:
-	// idle time weighted by the share of the runner's memory.
+	// IdleHours are the runner hours that replicas without work took: their idle time
+	// weighted by their share of the runner's memory.
 	IdleHours float64 `json:"idleAcceleratorHours"`
 }
 
 type replicaState uint8
 
 const (
-	asleep replicaState = iota
+	unloaded replicaState = iota
 	loading
 	ready
 )
 
-// replica is one model on its runner.
+// replica is a model on its runner.
 type replica struct {
 	state    replicaState
 	runner   int
 	active   int
 	lastUsed float64
-	// accounted is the time up to which idle time was counted.
-	accounted float64
-	// waiting are the arrival times of requests that wait for the load.
+	// idleCountedTo is the time up to which idle time was counted.
+	idleCountedTo float64
+	// waiting are the arrival times of the requests that wait for the load.
 	waiting []float64
 	used    bool
 }
@@ -75,16 +76,16 @@
 type event struct {
 	at   float64
 	kind eventKind
-	// subject is a model, for all kinds but ticks.
-	subject int
+	// model is the index of the model; unused for ticks.
+	model int
 }
 
 type eventKind uint8
 
 const (
-	arrive eventKind = iota
-	loaded
-	ended
+	requestArrives eventKind = iota
+	loadEnds
+	requestEnds
 	tick
 )
 
@@ -94,10 +95,10 @@
 func (e events) Less(i, j int) bool { return e[i].at < e[j].at }
 func (e events) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
 
-// Push is used by package heap.
+// Push implements heap.Interface.
 func (e *events) Push(value any) { *e = append(*e, value.(event)) }
 
-// Pop is used by package heap.
+// Pop implements heap.Interface.
 func (e *events) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
@@ -105,14 +106,14 @@
 }
 
 const (
-	tickSeconds    = 10.0
-	serviceSeconds = 5.0
-	keepLimit      = 2 * time.Hour
-	diskFactor     = 4
-	microseconds   = 1e6
+	tickSeconds           = 10.0
+	serviceSeconds        = 5.0
+	maxKeepAlive          = 2 * time.Hour
+	diskToMemoryRatio     = 4
+	microsecondsPerSecond = 1e6
 )
 
-// simulation is one run of one configuration.
+// simulation is a run of one configuration.
 type simulation struct {
 	deployment    Deployment
 	configuration Configuration
@@ -124,19 +125,19 @@
 	queue         events
 	now           float64
 	freeMiB       []int64
-	// disk holds, by runner, the models on its disk, oldest first.
-	disk        [][]int
-	nextStart   float64
-	running     int
-	lastUse     []float64
-	measureFrom float64
-	outcome     Outcome
-	coldWaits   *hdrhistogram.Histogram
-	allWaits    *hdrhistogram.Histogram
+	// disk holds the models on the disk of each runner, least recently loaded first.
+	disk          [][]int
+	nextLoadStart float64
+	storeLoads    int
+	lastUseTime   []float64
+	measureFrom   float64
+	outcome       Outcome
+	coldWaits     *hdrhistogram.Histogram
+	allWaits      *hdrhistogram.Histogram
 }
 
-// Run simulates a deployment under a configuration. The same options give the
-// same trace for every configuration.
+// Run simulates a deployment with a configuration. The same options give the same trace
+// for every configuration.
 func Run(d Deployment, configuration Configuration, options Options) (Outcome, error) {
 	zone, err := time.LoadLocation(d.TimeZone)
 	if err != nil {
@@ -145,15 +146,15 @@
 	s := &simulation{
 		deployment: d, configuration: configuration, options: options,
 		start:       time.Date(2026, time.March, 2, 0, 0, 0, 0, zone),
-		measureFrom: float64(options.LearnDays) * secondsADay,
+		measureFrom: float64(options.LearnDays) * secondsPerDay,
 		coldWaits:   hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3),
 		allWaits:    hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3),
 	}
 	s.prepare()
 	days := options.LearnDays + options.MeasureDays
-	end := float64(days) * secondsADay
+	end := float64(days) * secondsPerDay
 	for _, a := range d.trace(s.models, days, s.start, rand.New(rand.NewPCG(options.Seed, 2))) {
-		heap.Push(&s.queue, event{at: a.at, kind: arrive, subject: a.model})
+		heap.Push(&s.queue, event{at: a.at, kind: requestArrives, model: a.model})
 	}
 	heap.Push(&s.queue, event{at: tickSeconds, kind: tick})
 	for s.queue.Len() > 0 && s.queue[0].at < end {
@@ -167,9 +168,9 @@
 func (s *simulation) prepare() {
 	s.models = s.deployment.catalogue(rand.New(rand.NewPCG(s.options.Seed, 1)))
 	s.keeper = sleep.NewKeeper(sleep.Settings{Fixed: s.configuration.Fixed, Exchange: s.deployment.Exchange, TailPower: s.deployment.TailPower,
-		Limit: keepLimit})
+		Limit: maxKeepAlive})
 	s.replicas = make([]replica, len(s.models))
-	s.lastUse = make([]float64, len(s.models))
+	s.lastUseTime = make([]float64, len(s.models))
 	s.freeMiB = make([]int64, s.deployment.Runners)
 	s.disk = make([][]int, s.deployment.Runners)
 	for runner := range s.freeMiB {
@@ -177,19 +178,19 @@
 	}
 	planned := make([]int64, s.deployment.Runners)
 	for index, m := range s.models {
-		s.lastUse[index] = -1
+		s.lastUseTime[index] = -1
 		if m.base != noBase {
 			s.replicas[index].runner = s.replicas[m.base].runner
 			continue
 		}
-		home := emptiest(planned)
+		home := leastPlannedRunner(planned)
 		planned[home] += m.mib
 		s.replicas[index].runner = home
 	}
 }
 
-// emptiest returns the runner with the least memory planned.
-func emptiest(planned []int64) int {
+// leastPlannedRunner returns the runner with the least planned memory.
+func leastPlannedRunner(planned []int64) int {
 	home := 0
 	for runner, mib := range planned {
 		if mib < planned[home] {
@@ -201,60 +202,60 @@
 
 func (s *simulation) handle(e event) {
 	switch e.kind {
-	case arrive:
-		s.arrive(e.subject)
-	case loaded:
-		s.loaded(e.subject)
-	case ended:
-		s.ended(e.subject)
+	case requestArrives:
+		s.handleArrival(e.model)
+	case loadEnds:
+		s.finishLoad(e.model)
+	case requestEnds:
+		s.endRequest(e.model)
 	case tick:
 		s.tick()
 		heap.Push(&s.queue, event{at: s.now + tickSeconds, kind: tick})
 	}
 }
 
-func (s *simulation) measured() bool { return s.now >= s.measureFrom }
+func (s *simulation) measuring() bool { return s.now >= s.measureFrom }
 
-// account counts a replica's idle time up to now. It is called before the
-// replica's state changes.
-func (s *simulation) account(index int) {
+// countIdleTime adds a replica's idle time up to now. It must be called before each change
+// of the replica's state.
+func (s *simulation) countIdleTime(index int) {
 	r := &s.replicas[index]
-	from := max(r.accounted, s.measureFrom)
-	r.accounted = s.now
+	from := max(r.idleCountedTo, s.measureFrom)
+	r.idleCountedTo = s.now
 	if r.state != ready || r.active > 0 || s.now <= from {
 		return
 	}
 	share := float64(s.models[index].mib) / float64(s.deployment.RunnerMiB)
-	s.outcome.IdleHours += (s.now - from) / secondsAnHour * share
+	s.outcome.IdleHours += (s.now - from) / secondsPerHour * share
 }
 
-func (s *simulation) arrive(index int) {
+func (s *simulation) handleArrival(index int) {
 	r := &s.replicas[index]
 	r.used = true
 	if base := s.models[index].base; base != noBase {
 		s.replicas[base].used = true
 	}
-	if last := s.lastUse[index]; last >= 0 && s.now > last && r.active == 0 {
+	if last := s.lastUseTime[index]; last >= 0 && s.now > last && r.active == 0 {
 		s.keeper.ObserveGap(s.models[index].name, time.Duration((s.now-last)*float64(time.Second)))
 	}
-	s.lastUse[index] = s.now
-	if s.measured() {
+	s.lastUseTime[index] = s.now
+	if s.measuring() {
 		s.outcome.Requests++
 	}
 	if r.state == ready {
-		s.wait(0, false)
-		s.begin(index)
+		s.recordWait(0, false)
+		s.startRequest(index)
 		return
 	}
 	r.waiting = append(r.waiting, s.now)
 	s.load(index)
 }
 
-func (s *simulation) wait(seconds float64, cold bool) {
-	if !s.measured() {
+func (s *simulation) recordWait(seconds float64, cold bool) {
+	if !s.measuring() {
 		return
 	}
-	value := max(1, int64(seconds*microseconds))
+	value := max(1, int64(seconds*microsecondsPerSecond))
 	_ = s.allWaits.RecordValue(value)
 	if cold {
 		s.outcome.Cold++
@@ -262,17 +263,17 @@
 	}
 }
 
-func (s *simulation) begin(index int) {
-	s.account(index)
+func (s *simulation) startRequest(index int) {
+	s.countIdleTime(index)
 	s.replicas[index].active++
 	if base := s.models[index].base; base != noBase {
-		s.account(base)
+		s.countIdleTime(base)
 		s.replicas[base].active++
 	}
-	heap.Push(&s.queue, event{at: s.now + serviceSeconds, kind: ended, subject: index})
+	heap.Push(&s.queue, event{at: s.now + serviceSeconds, kind: requestEnds, model: index})
 }
 
-func (s *simulation) ended(index int) {
+func (s *simulation) endRequest(index int) {
 	s.release(index)
 	if base := s.models[index].base; base != noBase {
 		s.release(base)
@@ -280,34 +281,34 @@
 }
 
 func (s *simulation) release(index int) {
-	s.account(index)
+	s.countIdleTime(index)
 	s.replicas[index].active--
 	s.replicas[index].lastUsed = s.now
-	s.lastUse[index] = s.now
+	s.lastUseTime[index] = s.now
 }
 
-// load starts to load a model, its base first, making room if need be. What
-// cannot start now is tried again at the next tick.
+// load starts to load a model, or first its base model, and evicts idle replicas if memory
+// is short. Loads that cannot start now are retried at the next tick.
 func (s *simulation) load(index int) {
 	r := &s.replicas[index]
-	if r.state != asleep {
+	if r.state != unloaded {
 		return
 	}
 	if base := s.models[index].base; base != noBase && s.replicas[base].state != ready {
 		s.load(base)
 		return
 	}
-	if !s.makeRoom(index) || s.nextStart > s.now+tickSeconds {
+	if !s.makeRoom(index) || s.nextLoadStart > s.now+tickSeconds {
 		return
 	}
-	s.account(index)
+	s.countIdleTime(index)
 	r.state = loading
 	s.freeMiB[r.runner] -= s.models[index].mib
-	s.nextStart = max(s.nextStart, s.now) + 1/s.deployment.LoadsPerSecond
-	if s.measured() {
+	s.nextLoadStart = max(s.nextLoadStart, s.now) + 1/s.deployment.LoadsPerSecond
+	if s.measuring() {
 		s.outcome.Loads++
 	}
-	heap.Push(&s.queue, event{at: s.now + s.loadSeconds(index), kind: loaded, subject: index})
+	heap.Push(&s.queue, event{at: s.now + s.loadSeconds(index), kind: loadEnds, model: index})
 }
 
 func (s *simulation) loadSeconds(index int) float64 {
@@ -315,18 +316,18 @@
 	if s.onDisk(index) {
 		return mib / s.deployment.DiskMiB
 	}
-	s.running++
-	slowdown := max(1, float64(s.running)/float64(s.deployment.Concurrency))
-	return max(0, s.nextStart-s.now) + mib/s.deployment.StoreMiB*slowdown
+	s.storeLoads++
+	slowdown := max(1, float64(s.storeLoads)/float64(s.deployment.Concurrency))
+	return max(0, s.nextLoadStart-s.now) + mib/s.deployment.StoreMiB*slowdown
 }
 
-// onDisk tells whether a model's checkpoint is on its runner's disk.
+// onDisk returns whether a model's checkpoint is on its runner's disk.
 func (s *simulation) onDisk(index int) bool {
 	return slices.Contains(s.disk[s.replicas[index].runner], index)
 }
 
-// replica describes a model where it would be loaded.
-func (s *simulation) replica(index int) sleep.Replica {
+// sleepReplica describes a model on its runner to package sleep.
+func (s *simulation) sleepReplica(index int) sleep.Replica {
 	mib := float64(s.models[index].mib)
 	speed := s.deployment.StoreMiB
 	if s.onDisk(index) {
@@ -337,7 +338,8 @@
 	}
 }
 
-// makeRoom evicts the replicas idle longest from the model's runner.
+// makeRoom evicts idle replicas from the model's runner, least recently used first, until
+// the model fits. It returns whether it does.
 func (s *simulation) makeRoom(index int) bool {
 	runner := s.replicas[index].runner
 	needed := s.models[index].mib - s.freeMiB[runner]
@@ -362,7 +364,7 @@
 	return needed <= 0
 }
 
-// inUse tells whether an adapter of the model is loading, or has work.
+// inUse returns whether an adapter of the model is loading or has work.
 func (s *simulation) inUse(base int) bool {
 	for index, m := range s.models {
 		if m.base == base && (s.replicas[index].state == loading || s.replicas[index].active > 0) {
@@ -372,29 +374,29 @@
 	return false
 }
 
-// unload puts a replica to sleep, with its idle adapters.
+// unload unloads a replica and its ready adapters.
 func (s *simulation) unload(index int) {
 	for other, m := range s.models {
 		if m.base == index && s.replicas[other].state == ready {
 			s.unload(other)
 		}
 	}
-	s.account(index)
+	s.countIdleTime(index)
 	r := &s.replicas[index]
-	r.state = asleep
+	r.state = unloaded
 	s.freeMiB[r.runner] += s.models[index].mib
 }
 
-func (s *simulation) loaded(index int) {
-	s.account(index)
+func (s *simulation) finishLoad(index int) {
+	s.countIdleTime(index)
 	r := &s.replicas[index]
 	r.state = ready
 	r.lastUsed = s.now
-	s.running = max(0, s.running-1)
-	s.remember(index)
+	s.storeLoads = max(0, s.storeLoads-1)
+	s.cacheOnDisk(index)
 	for _, arrived := range r.waiting {
-		s.wait(s.now-arrived, true)
-		s.begin(index)
+		s.recordWait(s.now-arrived, true)
+		s.startRequest(index)
 	}
 	r.waiting = nil
 	for other, m := range s.models {
@@ -404,8 +406,9 @@
 	}
 }
 
-// remember puts a model on its runner's disk and drops the oldest ones.
-func (s *simulation) remember(index int) {
+// cacheOnDisk puts a model on its runner's disk and drops the least recently loaded models
+// that do not fit any more.
+func (s *simulation) cacheOnDisk(index int) {
 	runner := s.replicas[index].runner
 	disk := s.disk[runner]
 	for position, cached := range disk {
@@ -417,43 +420,43 @@
 	disk = append(disk, index)
 	var total int64
 	first := len(disk)
-	for first > 0 && total+s.models[disk[first-1]].mib <= diskFactor*s.deployment.RunnerMiB {
+	for first > 0 && total+s.models[disk[first-1]].mib <= diskToMemoryRatio*s.deployment.RunnerMiB {
 		first--
 		total += s.models[disk[first]].mib
 	}
 	s.disk[runner] = disk[first:]
 }
 
-// tick sleeps what has been idle for its keep-alive time, wakes ahead, starts
-// loads that had to wait and refuses what waited too long.
+// tick unloads replicas that were idle for longer than their keep-alive time, loads models
+// ahead of demand, starts delayed loads and refuses requests that waited too long.
 func (s *simulation) tick() {
 	local := s.start.Add(time.Duration(s.now * float64(time.Second)))
 	for index := range s.replicas {
 		r := &s.replicas[index]
 		s.keeper.ObserveUse(s.models[index].name, local, r.used)
 		r.used = false
-		ahead := s.configuration.Ahead && s.keeper.WakeAhead(s.replica(index), local)
+		ahead := s.configuration.Ahead && s.keeper.WakeAhead(s.sleepReplica(index), local)
 		switch {
-		case r.state == asleep && (ahead || len(r.waiting) > 0):
+		case r.state == unloaded && (ahead || len(r.waiting) > 0):
 			s.load(index)
 		case r.state == ready && r.active == 0 && !ahead && !s.inUse(index):
 			idle := time.Duration((s.now - r.lastUsed) * float64(time.Second))
-			if idle > s.keeper.For(s.replica(index)) {
+			if idle > s.keeper.For(s.sleepReplica(index)) {
 				s.unload(index)
 			}
 		}
-		s.refuse(r)
+		s.refuseExpired(r)
 	}
 }
 
-func (s *simulation) refuse(r *replica) {
+func (s *simulation) refuseExpired(r *replica) {
 	kept := r.waiting[:0]
 	for _, arrived := range r.waiting {
 		if s.now-arrived <= s.options.Deadline.Seconds() {
 			kept = append(kept, arrived)
 			continue
 		}
-		if s.measured() {
+		if s.measuring() {
 			s.outcome.Refused++
 		}
 	}
@@ -462,11 +465,11 @@
 
 func (s *simulation) finish() Outcome {
 	for index := range s.replicas {
-		s.account(index)
+		s.countIdleTime(index)
 	}
 	s.outcome.Configuration = s.configuration
 	seconds := func(h *hdrhistogram.Histogram, quantile float64) float64 {
-		return float64(h.ValueAtQuantile(quantile)) / microseconds
+		return float64(h.ValueAtQuantile(quantile)) / microsecondsPerSecond
 	}
 	s.outcome.ColdP50, s.outcome.ColdP95, s.outcome.ColdP99 = seconds(s.coldWaits, 50), seconds(s.coldWaits, 95), seconds(s.coldWaits, 99)
 	s.outcome.AllP95, s.outcome.AllP99 = seconds(s.allWaits, 95), seconds(s.allWaits, 99)
