--- a/internal/labcommand/experiment.go
+++ b/internal/labcommand/experiment.go
@@ -21,7 +21,7 @@
 	Out      string `default:"docs/experiments" help:"Directory for the report (JSON) and the plot."`
 }
 
-// scenario is an experiment: configurations run side by side over one trace.
+// scenario is the content of a scenario file: configurations that run on the same trace.
 type scenario struct {
 	Name           string        `yaml:"name"`
 	Deployment     string        `yaml:"deployment"`
@@ -45,33 +45,33 @@
 	Outcomes   []experiment.Outcome  `json:"outcomes"`
 }
 
-// Run runs the scenario and writes its report.
+// Run runs the scenario, prints a table of the outcomes and writes the report.
 func (c *experimentCommand) Run(s commandline.Streams) error {
 	content, err := os.ReadFile(c.Scenario)
 	if err != nil {
 		return err
 	}
-	var described scenario
-	if err := yaml.Unmarshal(content, &described); err != nil {
+	var spec scenario
+	if err := yaml.Unmarshal(content, &spec); err != nil {
 		return err
 	}
 	deployments := map[string]experiment.Deployment{"montevideo": experiment.Montevideo, "santiago": experiment.Santiago}
-	deployment, known := deployments[described.Deployment]
+	deployment, known := deployments[spec.Deployment]
 	if !known {
-		return fmt.Errorf("unknown deployment %q", described.Deployment)
+		return fmt.Errorf("unknown deployment %q", spec.Deployment)
 	}
-	if described.Exchange > 0 {
-		deployment.Exchange = described.Exchange
+	if spec.Exchange > 0 {
+		deployment.Exchange = spec.Exchange
 	}
-	if described.TailPower > 0 {
-		deployment.TailPower = described.TailPower
+	if spec.TailPower > 0 {
+		deployment.TailPower = spec.TailPower
 	}
-	report := experimentReport{Scenario: described.Name, Deployment: deployment, Options: experiment.Options{
-		Seed: described.Seed, LearnDays: described.LearnDays, MeasureDays: described.MeasureDays, Deadline: described.Deadline,
+	report := experimentReport{Scenario: spec.Name, Deployment: deployment, Options: experiment.Options{
+		Seed: spec.Seed, LearnDays: spec.LearnDays, MeasureDays: spec.MeasureDays, Deadline: spec.Deadline,
 	}}
-	fmt.Fprintf(s.Out, "%-28s %9s %9s %9s %9s %9s %9s %8s %8s %6s\n", described.Name, "coldP50", "coldP95", "coldP99", "allP95", "allP99", "idleHours", "cold", "refused", "loads")
-	for _, configured := range described.Configurations {
-		configuration := experiment.Configuration{Name: configured.Name, Fixed: configured.FixedKeepAlive, Ahead: configured.WakeAhead}
+	fmt.Fprintf(s.Out, "%-28s %9s %9s %9s %9s %9s %9s %8s %8s %6s\n", spec.Name, "coldP50", "coldP95", "coldP99", "allP95", "allP99", "idleHours", "cold", "refused", "loads")
+	for _, entry := range spec.Configurations {
+		configuration := experiment.Configuration{Name: entry.Name, Fixed: entry.FixedKeepAlive, Ahead: entry.WakeAhead}
 		outcome, err := experiment.Run(deployment, configuration, report.Options)
 		if err != nil {
 			return err
@@ -97,10 +97,10 @@
 	return plotOutcomes(filepath.Join(c.Out, report.Scenario+".svg"), report)
 }
 
-const outcomePlotSide = 14 * vg.Centimeter
+const plotSize = 14 * vg.Centimeter
 
-// plotOutcomes draws each configuration by its idle hours and the p99 wait of
-// all requests.
+// plotOutcomes plots the p99 wait of all requests over the idle hours, with a point for
+// each configuration.
 func plotOutcomes(path string, report experimentReport) error {
 	p := plot.New()
 	p.Title.Text = report.Scenario
@@ -111,11 +111,11 @@
 		if err != nil {
 			return err
 		}
-		const shade = 60
-		point.Color = color.RGBA{R: uint8(index * shade), G: uint8(255 - index*shade), B: 128, A: 255}
+		const colorStep = 60
+		point.Color = color.RGBA{R: uint8(index * colorStep), G: uint8(255 - index*colorStep), B: 128, A: 255}
 		p.Add(point)
 		p.Legend.Add(outcome.Configuration.Name, point)
 	}
 	p.Add(plotter.NewGrid())
-	return p.Save(outcomePlotSide, outcomePlotSide, path)
+	return p.Save(plotSize, plotSize, path)
 }
--- a/internal/labcommand/labcommand.go
+++ b/internal/labcommand/labcommand.go
@@ -1,4 +1,4 @@
-// Package labcommand is the command line of lilacvane-lab.
+// Package labcommand implements the command line of lilacvane-lab.
 package labcommand
 
 import (
@@ -15,7 +15,7 @@
 	Up         upCommand         `cmd:"" help:"Bring a whole system up on loopback and show a cold request being served."`
 }
 
-// Main runs the command line and returns the exit code.
+// Main runs the command line with arguments and returns the exit code.
 func Main(arguments []string, out, errors io.Writer) int {
 	return commandline.Run(commandline.Program{
 		Name: "lilacvane-lab", Description: "The world around lilacvane, emulated.", Commands: &commandLine{},
--- a/internal/labcommand/load.go
+++ b/internal/labcommand/load.go
@@ -23,9 +23,10 @@
 	Once     bool          `help:"Give each request an idempotency key of its own."`
 }
 
-// Run sends requests, open loop, and prints what callers saw.
+// Run sends requests at a fixed rate, whether or not earlier ones have ended, and prints
+// their outcomes and latencies.
 func (c *loadCommand) Run(s commandline.Streams) error {
-	prefix := time.Now().UnixNano()
+	keyPrefix := time.Now().UnixNano()
 	result := load.Run(context.Background(), load.Options{Rate: c.Rate, Duration: c.Duration, Request: func(ctx context.Context, number int) (*http.Request, error) {
 		body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"prompt":"load %d"}`, c.Models[number%len(c.Models)], c.Tokens, number)
 		request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Callers[number%len(c.Callers)]+"/v1/completions", strings.NewReader(body))
@@ -38,16 +39,16 @@
 			request.Header.Set("Authorization", "Bearer "+c.Key)
 		}
 		if c.Once {
-			request.Header.Set(api.HeaderIdempotencyKey, fmt.Sprintf("load-%d-%d", prefix, number))
+			request.Header.Set(api.HeaderIdempotencyKey, fmt.Sprintf("load-%d-%d", keyPrefix, number))
 		}
 		return request, nil
 	}})
-	const microsAMilli = 1000.0
+	const microsecondsPerMillisecond = 1000.0
 	fmt.Fprintf(s.Out, "outcomes: %v\n", result.Outcomes)
 	for _, quantile := range []float64{50, 95, 99} {
 		fmt.Fprintf(s.Out, "p%g: first part %.1f ms, between parts %.1f ms, whole %.1f ms\n", quantile,
-			float64(result.FirstEvent.ValueAtQuantile(quantile))/microsAMilli, float64(result.BetweenEvents.ValueAtQuantile(quantile))/microsAMilli,
-			float64(result.Whole.ValueAtQuantile(quantile))/microsAMilli)
+			float64(result.FirstEvent.ValueAtQuantile(quantile))/microsecondsPerMillisecond, float64(result.BetweenEvents.ValueAtQuantile(quantile))/microsecondsPerMillisecond,
+			float64(result.Whole.ValueAtQuantile(quantile))/microsecondsPerMillisecond)
 	}
 	return nil
 }
--- a/internal/labcommand/serve.go
+++ b/internal/labcommand/serve.go
@@ -21,7 +21,7 @@
 	Seed   uint64  `default:"1" help:"Seed of the faults."`
 }
 
-// Run serves until the process is ended.
+// Run serves the emulated store until the process ends.
 func (c *storeCommand) Run() error {
 	return http.ListenAndServe(c.Listen, storestub.New(c.Rate, c.Seed).Handler())
 }
@@ -48,17 +48,17 @@
 
 const (
 	adapterTime = 15 * time.Millisecond
-	// diskPart and hostPart are the times of loads from nearer copies, as parts
-	// of a load from the weight store.
-	diskPart        = 3
-	hostPart        = 5
-	publishAttempts = 20
-	// exitCrashed is the exit code of a runner that a request ended.
-	exitCrashed  = 70
-	publishPause = 100 * time.Millisecond
+	// diskSpeedup and hostMemorySpeedup are how many times faster loads from local disk and
+	// from host memory are than loads from the weight store.
+	diskSpeedup       = 3
+	hostMemorySpeedup = 5
+	publishAttempts   = 20
+	// exitCrashed is the exit code of a runner that a request or a load crashed.
+	exitCrashed       = 70
+	publishRetryDelay = 100 * time.Millisecond
 )
 
-// Run serves until the process is ended.
+// Run serves an emulated runner until the process ends.
 func (c *runnerCommand) Run() error {
 	var output io.Writer
 	if c.Journal != "" {
@@ -72,7 +72,7 @@
 	runner := runnerstub.New(runnerstub.Settings{
 		ID: c.ID, Service: c.Service, Zone: c.Zone, Slots: c.Slots, MemoryMB: c.MemoryMB, AdapterSlots: c.AdapterSlots,
 		Default: runnerstub.Weights{
-			SizeMB: c.ModelMB, Load: c.LoadTime, DiskLoad: c.LoadTime / diskPart, HostLoad: c.LoadTime / hostPart,
+			SizeMB: c.ModelMB, Load: c.LoadTime, DiskLoad: c.LoadTime / diskSpeedup, HostLoad: c.LoadTime / hostMemorySpeedup,
 		},
 		TokenTime: c.TokenTime, PromptTime: c.PromptTime, AdapterTime: adapterTime, ReportLag: c.ReportLag, Seed: c.Seed,
 		Born: time.Now().UnixMilli(), CrashBy: c.CrashBy, Crash: func() { os.Exit(exitCrashed) },
@@ -81,7 +81,7 @@
 	return http.ListenAndServe(c.Listen, runner.Handler())
 }
 
-// publish writes the runner's row to the store.
+// publish writes the runner's row to the store, with a limited number of retries.
 func (c *runnerCommand) publish(row protocol.ListedRunner) {
 	row.Address = c.Listen
 	if c.Advertise != "" {
@@ -96,6 +96,6 @@
 		if httpcall.Send(context.Background(), http.MethodPost, "http://"+c.Store+storestub.PathPut, rows) == nil {
 			return
 		}
-		time.Sleep(publishPause)
+		time.Sleep(publishRetryDelay)
 	}
 }
--- a/internal/labcommand/up.go
+++ b/internal/labcommand/up.go
@@ -41,12 +41,12 @@
 	samplePrompt    = `{"model":"redactor","stream":true,"max_tokens":16,"messages":[{"role":"user","content":"Invite the neighbours to the fair"}]}`
 )
 
-// Run brings the system up, sends a request for a sleeping model, prints the
-// answer as it streams and where the time went.
+// Run starts the system, sends a request for a model that is not loaded and prints the
+// response as it streams, with the server's breakdown of the time it took.
 func (c *upCommand) Run(s commandline.Streams) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	w, err := c.start(s.Out)
+	w, err := c.startSystem(s.Out)
 	if err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 		return err
 	}
 	fmt.Fprintf(s.Out, "callers: http://%s  operators: %s  logs: %s\n", node.Callers, node.Operators, w.Directory)
-	if err := coldRequest(ctx, s.Out, node.Callers, c.key()); err != nil {
+	if err := coldRequest(ctx, s.Out, node.Callers, c.firstRequestKey()); err != nil {
 		return err
 	}
 	if c.Once {
@@ -64,13 +64,13 @@
 	}
 	fmt.Fprintf(s.Out, "\nThe system is up. Try in another terminal:\n  ./bin/lilacvane status --server %s\n  ./bin/lilacvane explain model redactor --server %s\nPress ctrl-c to stop all of it.\n", node.Operators, node.Operators)
 	if c.Tenants {
-		fmt.Fprintf(s.Out, "Press a tenant's limit:\n  ./bin/lilacvane-lab load --callers %s --models redactor --key %s --rate 40\n", node.Callers, clubKey)
+		fmt.Fprintf(s.Out, "Exceed a tenant's limit:\n  ./bin/lilacvane-lab load --callers %s --models redactor --key %s --rate 40\n", node.Callers, clubKey)
 	}
 	<-ctx.Done()
 	return nil
 }
 
-func (c *upCommand) start(out io.Writer) (*world.World, error) {
+func (c *upCommand) startSystem(out io.Writer) (*world.World, error) {
 	directory, err := os.MkdirTemp("", "lilacvane-up-")
 	if err != nil {
 		return nil, err
@@ -132,13 +132,13 @@
 	return err
 }
 
-// The keys of the sample tenants.
+// The API keys of the sample tenants.
 const (
 	councilKey = "sample-council-key"
 	clubKey    = "sample-club-key"
 )
 
-// sampleTenants are a council without a limit and a club with a small one.
+// sampleTenants returns a council without a limit and a club with a low one.
 func sampleTenants() []api.Object {
 	keys := func(key string) []api.TenantKey {
 		return []api.TenantKey{{ID: "sample", SHA256: tenant.DigestOf(key).String()}}
@@ -150,18 +150,19 @@
 	}
 }
 
-// key is the key of the first request; empty when nobody needs one.
-func (c *upCommand) key() string {
+// firstRequestKey returns the API key of the first request; empty if none is needed.
+func (c *upCommand) firstRequestKey() string {
 	if c.Tenants {
 		return councilKey
 	}
 	return ""
 }
 
-// coldRequest sends a request for a sleeping model and prints the stream.
+// coldRequest sends a request for a model that is not loaded and prints the streamed
+// response.
 func coldRequest(ctx context.Context, out io.Writer, callers, key string) error {
 	fmt.Fprintln(out, "\nrequest for the sleeping model redactor:")
-	began := time.Now()
+	start := time.Now()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+callers+"/v1/chat/completions", strings.NewReader(samplePrompt))
 	if err != nil {
 		return err
@@ -177,7 +178,7 @@
 	scanner := bufio.NewScanner(response.Body)
 	for scanner.Scan() {
 		if line := scanner.Text(); line != "" {
-			fmt.Fprintf(out, "%7d ms  %s\n", time.Since(began).Milliseconds(), line)
+			fmt.Fprintf(out, "%7d ms  %s\n", time.Since(start).Milliseconds(), line)
 		}
 	}
 	if response.StatusCode != http.StatusOK {
