--- a/test/background_test.go
+++ b/test/background_test.go
@@ -10,9 +10,9 @@
 	"lilacvane/internal/lab/world"
 )
 
-// background sends requests from several callers until stopped, and keeps every
+// backgroundLoad sends requests from several callers until it is stopped, and records every
 // outcome.
-type background struct {
+type backgroundLoad struct {
 	stop     context.CancelFunc
 	group    sync.WaitGroup
 	mutex    sync.Mutex
@@ -20,9 +20,9 @@
 	outcomes []outcome
 }
 
-func startBackground(t *testing.T, callers int, pick func(caller, number int) (*world.Node, call)) *background {
+func startLoad(t *testing.T, callers int, pick func(caller, number int) (*world.Node, call)) *backgroundLoad {
 	ctx, stop := context.WithCancel(t.Context())
-	b := &background{stop: stop}
+	b := &backgroundLoad{stop: stop}
 	for caller := range callers {
 		b.group.Go(func() {
 			for number := 0; ctx.Err() == nil; number++ {
@@ -36,7 +36,7 @@
 	return b
 }
 
-func (b *background) add(c call, got outcome) {
+func (b *backgroundLoad) add(c call, got outcome) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.calls = append(b.calls, c)
@@ -44,12 +44,12 @@
 }
 
 // finish stops the callers and waits for their last outcomes.
-func (b *background) finish() {
+func (b *backgroundLoad) finish() {
 	b.stop()
 	b.group.Wait()
 }
 
-func (b *background) served() int {
+func (b *backgroundLoad) served() int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	count := 0
@@ -61,8 +61,9 @@
 	return count
 }
 
-// waitServed waits until more requests were served than before.
-func (b *background) waitServed(t *testing.T, more int) {
+// waitServed waits until more requests have been served, in addition to those already
+// served.
+func (b *backgroundLoad) waitServed(t *testing.T, more int) {
 	t.Helper()
 	before := b.served()
 	waitUntil(t, "requests are served", func() error {
@@ -74,7 +75,7 @@
 }
 
 // assertTruthful checks all outcomes against the history.
-func (b *background) assertTruthful(t *testing.T, h history) {
+func (b *backgroundLoad) assertTruthful(t *testing.T, h history) {
 	t.Helper()
 	for index, got := range b.outcomes {
 		h.assertTruthful(t, b.calls[index], got)
--- a/test/client_test.go
+++ b/test/client_test.go
@@ -23,32 +23,32 @@
 	Body     []byte
 	Events   int
 	Deadline time.Duration
-	// Key is the caller's key, Header more headers.
+	// Key is the client's API key, Header holds additional headers.
 	Key    string
 	Header http.Header
 }
 
-// clientAnswer is what a client saw. Whole is false when the answer ended early
-// or never came.
+// clientAnswer is what a client received. Whole is false when the answer ended early or
+// never came.
 type clientAnswer struct {
-	ID        string
-	Status    int
-	Signature string
-	Body      string
-	Whole     bool
-	Retry     string
-	// Events counts the whole events seen.
+	ID         string
+	Status     int
+	Signature  string
+	Body       string
+	Whole      bool
+	RetryAfter string
+	// Events counts the complete events received.
 	Events int
 }
 
-// newID draws an identifier for a request.
+// newID returns a random request identifier.
 func newID() string {
 	var content [8]byte
 	_, _ = rand.Read(content[:])
 	return hex.EncodeToString(content[:])
 }
 
-// send sends a request on a connection of its own and reads its answer.
+// send sends a request on its own connection and reads the answer.
 func send(ctx context.Context, node *world.Node, c clientRequest) clientAnswer {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	defer client.CloseIdleConnections()
@@ -70,18 +70,18 @@
 	if err != nil {
 		return answer
 	}
-	c.head(request)
+	c.setHeaders(request)
 	response, err := client.Do(request)
 	if err != nil {
 		return answer
 	}
 	defer response.Body.Close()
 	content, err := io.ReadAll(response.Body)
-	answer.fill(response, content, err)
+	answer.record(response, content, err)
 	return answer
 }
 
-// expectedEvents is the body of a whole stream.
+// expectedEvents is the body of a complete stream.
 func expectedEvents(id string, events int) string {
 	var text strings.Builder
 	for index := range events {
--- a/test/cold_test.go
+++ b/test/cold_test.go
@@ -24,10 +24,10 @@
 const (
 	// A cold runner of these tests bears coldRate requests a second and may get coldShare
 	// times that and coldSlack more: coldMost.
-	coldRate  = 4.0
-	coldShare = 1.5
-	coldSlack = 2.0
-	coldMost  = 8
+	coldRate         = 4.0
+	coldShare        = 1.5
+	coldSlack        = 2.0
+	coldMaxPerSecond = 8
 )
 
 // newColdWorld starts a world whose runners may be cold.
@@ -35,7 +35,7 @@
 	return newWorld(t, func(o *world.Options) {
 		o.ColdStart, o.ColdRate = 2*time.Second, coldRate
 		o.Adjust = func(s *settings.Settings) {
-			fast(s)
+			useShortIntervals(s)
 			s.ColdStart = settings.ColdStart{Share: coldShare, Slack: coldSlack}
 		}
 	})
@@ -64,17 +64,17 @@
 }
 
 // sentTo returns when each request was sent to a runner last, by the nodes' logs.
-func sentTo(t *testing.T, w *world.World, runner string) map[string]time.Time {
+func sendTimes(t *testing.T, w *world.World, runner string) map[string]time.Time {
 	t.Helper()
 	sent := make(map[string]time.Time)
 	for _, node := range w.Nodes {
-		maps.Copy(sent, sentBy(t, w, node, runner))
+		maps.Copy(sent, sendTimesFrom(t, w, node, runner))
 	}
 	return sent
 }
 
 // sentBy is sentTo for one node.
-func sentBy(t *testing.T, w *world.World, node *world.Node, runner string) map[string]time.Time {
+func sendTimesFrom(t *testing.T, w *world.World, node *world.Node, runner string) map[string]time.Time {
 	t.Helper()
 	sent := make(map[string]time.Time)
 	file, err := os.Open(w.LogPath(node))
@@ -103,11 +103,11 @@
 
 // mostInASecond is the largest number of requests that were both sent to a runner and ran
 // there within one second between two times.
-func mostInASecond(t *testing.T, w *world.World, runner string, from, to time.Time) (most, all int) {
+func maxSentAndRunInSecond(t *testing.T, w *world.World, runner string, from, to time.Time) (most, all int) {
 	t.Helper()
 	type exchange struct{ sent, ran time.Time }
 	var exchanges []exchange
-	sent := sentTo(t, w, runner)
+	sent := sendTimes(t, w, runner)
 	for _, record := range readHistory(t, w).records {
 		if record.Event != journal.EventRun || record.Runner != runner || record.Time.Before(from) || record.Time.After(to) {
 			continue
@@ -130,7 +130,7 @@
 }
 
 // sendersTo returns the nodes whose requests ran at a runner between two times.
-func sendersTo(t *testing.T, w *world.World, runner string, from, to time.Time) map[string]bool {
+func nodesWithRunsAt(t *testing.T, w *world.World, runner string, from, to time.Time) map[string]bool {
 	t.Helper()
 	ran := make(map[string]bool)
 	for _, record := range readHistory(t, w).records {
@@ -140,7 +140,7 @@
 	}
 	senders := make(map[string]bool)
 	for _, node := range w.Nodes {
-		for request := range sentBy(t, w, node, runner) {
+		for request := range sendTimesFrom(t, w, node, runner) {
 			if ran[request] {
 				senders[node.Name] = true
 			}
@@ -158,31 +158,31 @@
 	startRunners(t, w, 1)
 	nodes := startNodes(t, w, 4)
 	apply(t, nodes[0], model("alpha", 1)...)
-	waitNamed(t, "alpha", nodes...)
-	assertServed(t, call{Model: "alpha", Prompt: "first", Tokens: 2}, ask(t.Context(), nodes[0], call{Model: "alpha", Prompt: "first", Tokens: 2, Deadline: patience}, nil))
-	assert.NilError(t, w.SetRunnerCold("runner-1", runnerstub.Cold{ForMs: time.Hour.Milliseconds(), Collapse: 3 * coldMost}))
+	waitKnown(t, "alpha", nodes...)
+	assertServed(t, call{Model: "alpha", Prompt: "first", Tokens: 2}, ask(t.Context(), nodes[0], call{Model: "alpha", Prompt: "first", Tokens: 2, Deadline: waitTimeout}, nil))
+	assert.NilError(t, w.SetRunnerCold("runner-1", runnerstub.Cold{ForMs: time.Hour.Milliseconds(), Collapse: 3 * coldMaxPerSecond}))
 	waitCold(t, 1, nodes...)
 	from := time.Now()
-	load := startBackground(t, 12, func(who, number int) (*world.Node, call) {
+	load := startLoad(t, 12, func(who, number int) (*world.Node, call) {
 		return nodes[who%len(nodes)], call{Model: "alpha", Prompt: fmt.Sprintf("p%d-%d", who, number), Tokens: 2, Deadline: 20 * time.Second}
 	})
-	load.waitServed(t, 2*coldMost)
-	holder := holderOf(t, w, nodes[0])
+	load.waitServed(t, 2*coldMaxPerSecond)
+	holder := leaseHolder(t, w, nodes[0])
 	// A request at a frozen node never ends, and the test would wait for it.
 	t.Cleanup(func() { assert.Check(t, holder.Thaw()) })
 	assert.NilError(t, holder.Freeze())
-	load.waitServed(t, 2*coldMost)
+	load.waitServed(t, 2*coldMaxPerSecond)
 	assert.NilError(t, holder.Thaw())
-	load.waitServed(t, 2*coldMost)
+	load.waitServed(t, 2*coldMaxPerSecond)
 	to := time.Now()
 	assert.NilError(t, w.SetRunnerCold("runner-1", runnerstub.Cold{}))
 	waitCold(t, 0, nodes...)
-	load.waitServed(t, 10*coldMost)
+	load.waitServed(t, 10*coldMaxPerSecond)
 	load.finish()
-	most, all := mostInASecond(t, w, "runner-1", from, to)
-	assert.Equal(t, len(sendersTo(t, w, "runner-1", from, to)), len(nodes), "permits reach every node")
-	assert.Assert(t, all >= 6*coldMost, "%d ran", all)
-	assert.Assert(t, most <= coldMost, "%d in one second, at most %d", most, coldMost)
+	most, all := maxSentAndRunInSecond(t, w, "runner-1", from, to)
+	assert.Equal(t, len(nodesWithRunsAt(t, w, "runner-1", from, to)), len(nodes), "permits reach every node")
+	assert.Assert(t, all >= 6*coldMaxPerSecond, "%d ran", all)
+	assert.Assert(t, most <= coldMaxPerSecond, "%d in one second, at most %d", most, coldMaxPerSecond)
 	h := readHistory(t, w)
 	for _, record := range h.records {
 		assert.Assert(t, record.Event != journal.EventViolation, "%+v", record)
--- a/test/command_test.go
+++ b/test/command_test.go
@@ -67,7 +67,7 @@
 	startRunners(t, w, 2)
 	nodes := startNodes(t, w, 2)
 	objects := writeFile(t, "objects.yaml", objectsFile)
-	expect := operate(t, nodes[0])
+	expect := newCommandCheck(t, nodes[0])
 	expect(commandline.ExitOK, "nothing was changed", "apply", "-f", objects, "--dry-run")
 	expect(command.ExitNotFound, "not_found", "get", "model", "alpha")
 	expect(commandline.ExitOK, "accepted at revision", "apply", "-f", objects, "--operation", "day-1")
@@ -98,7 +98,7 @@
 }
 
 // operate returns a check of a command's exit code and of what its output contains.
-func operate(t *testing.T, node *world.Node) func(code int, contains string, arguments ...string) string {
+func newCommandCheck(t *testing.T, node *world.Node) func(code int, contains string, arguments ...string) string {
 	return func(code int, contains string, arguments ...string) string {
 		t.Helper()
 		output, got := lilacvane(t, node, arguments...)
@@ -109,7 +109,7 @@
 }
 
 // read returns the body of a call that succeeds.
-func read(t *testing.T, url string) string {
+func getBody(t *testing.T, url string) string {
 	t.Helper()
 	response, err := http.Get(url)
 	assert.NilError(t, err)
@@ -127,7 +127,7 @@
 	w := newWorld(t, func(o *world.Options) { o.ColdStart, o.ColdRate = time.Second, coldRate })
 	startRunners(t, w, 2)
 	nodes := startNodes(t, w, 2)
-	expect := operate(t, nodes[0])
+	expect := newCommandCheck(t, nodes[0])
 	expect(commandline.ExitOK, "zone-b", "get", "zones")
 	var found []wire.ZoneStatus
 	zone := func(name string) wire.ZoneStatus {
@@ -152,9 +152,9 @@
 	assert.NilError(t, json.Unmarshal([]byte(expect(commandline.ExitOK, "obstacles", "explain", "request", got.ID, "-o", "json")), &decisions))
 	assert.Equal(t, decisions[0].Obstacles[0].Reason, eligible.Drained.String())
 	assert.Equal(t, decisions[0].Obstacles[0].Runners, 2)
-	figures := read(t, "http://"+nodes[0].Metrics+"/metrics")
-	for _, figure := range []string{`lilacvane_requests_refused_total{reason="drained"} 1`, `lilacvane_runners_by_state{state="draining"} 2`, `lilacvane_runners_by_state{state="ready"} 0`} {
-		assert.Assert(t, strings.Contains(figures, figure), figures)
+	metrics := getBody(t, "http://"+nodes[0].Metrics+"/metrics")
+	for _, metric := range []string{`lilacvane_requests_refused_total{reason="drained"} 1`, `lilacvane_runners_by_state{state="draining"} 2`, `lilacvane_runners_by_state{state="ready"} 0`} {
+		assert.Assert(t, strings.Contains(metrics, metric), metrics)
 	}
 	expect(commandline.ExitOK, "accepted", "drain", "end", "zone", "zone-b")
 	expect(commandline.ExitOK, "end drain of zone", "explain", "zone", "zone-b", "--output", "json")
@@ -211,14 +211,14 @@
 	apply(t, nodes[0], model("alpha", 1)...)
 	ctx, cancel := context.WithCancel(t.Context())
 	begun := make(chan struct{}, 1)
-	result := inBackground(ctx, nodes[0], call{Model: "alpha", Prompt: "endless", Tokens: 50000, Deadline: 30 * time.Second}, func(got outcome) {
+	result := sendInBackground(ctx, nodes[0], call{Model: "alpha", Prompt: "endless", Tokens: 50000, Deadline: 30 * time.Second}, func(got outcome) {
 		if got.Tokens == 1 {
 			begun <- struct{}{}
 		}
 	})
 	<-begun
 	cancel()
-	assert.Assert(t, await(t, result).Broken)
+	assert.Assert(t, awaitOutcome(t, result).Broken)
 	waitUntil(t, "the runner stops", func() error {
 		for _, record := range readHistory(t, w).records {
 			if record.Event == journal.EventCanceled {
--- a/test/configuration_test.go
+++ b/test/configuration_test.go
@@ -38,7 +38,7 @@
 }
 
 // containsAll reports whether one line of a log contains all texts.
-func containsAll(log string, texts ...string) bool {
+func hasLineWith(log string, texts ...string) bool {
 	for line := range strings.SplitSeq(log, "\n") {
 		all := true
 		for _, text := range texts {
@@ -52,10 +52,10 @@
 }
 
 // lastLine returns the last line of a log that contains all texts; empty for none.
-func lastLine(log string, texts ...string) string {
+func lastLineWith(log string, texts ...string) string {
 	last := ""
 	for line := range strings.SplitSeq(log, "\n") {
-		if containsAll(line, texts...) {
+		if hasLineWith(line, texts...) {
 			last = line
 		}
 	}
@@ -63,12 +63,12 @@
 }
 
 // write is one operator's change of an object that it saw at a generation.
-type write struct {
+type updateInput struct {
 	seen uint64
 }
 
 // written is the answer to a write.
-type written struct {
+type updateOutput struct {
 	generation uint64
 	conflict   bool
 	unknown    bool
@@ -76,10 +76,10 @@
 
 // acceptance is the model of accepted changes: an object takes a change only at
 // the generation its author saw, and its generation only grows.
-var acceptance = porcupine.Model{
+var updateModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
-		current, in, out := state.(uint64), input.(write), output.(written)
+		current, in, out := state.(uint64), input.(updateInput), output.(updateOutput)
 		switch {
 		case out.unknown:
 			return true, current
@@ -93,7 +93,7 @@
 }
 
 // operatorHistory collects the concurrent writes of several operators.
-type operatorHistory struct {
+type changeHistory struct {
 	mutex      sync.Mutex
 	operations []porcupine.Operation
 	accepted   int
@@ -101,7 +101,7 @@
 	unknown    int
 }
 
-func (h *operatorHistory) add(operation porcupine.Operation, out written) {
+func (h *changeHistory) add(operation porcupine.Operation, out updateOutput) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	switch {
@@ -117,7 +117,7 @@
 
 // operate changes one object again and again through a node until ctx ends. What
 // became of a change whose answer is unknown is asked until it is known.
-func (h *operatorHistory) operate(ctx context.Context, client int, node *world.Node, name string) {
+func (h *changeHistory) changeRepeatedly(ctx context.Context, client int, node *world.Node, name string) {
 	for number := 0; ctx.Err() == nil; number++ {
 		object, err := node.Client().Get(ctx, api.KindPolicy, name)
 		if err != nil && !fault.IsCode(err, fault.CodeNotFound) {
@@ -132,37 +132,37 @@
 		if !definite {
 			continue
 		}
-		h.add(porcupine.Operation{ClientId: client, Input: write{seen: object.Generation}, Call: began, Output: out, Return: time.Now().UnixNano()}, out)
+		h.add(porcupine.Operation{ClientId: client, Input: updateInput{seen: object.Generation}, Call: began, Output: out, Return: time.Now().UnixNano()}, out)
 	}
 }
 
 // submitOnce submits until the outcome is definite, always under the same
 // operation. It reports false when nothing is known to have been tried.
-func submitOnce(node *world.Node, submission operator.Submission) (written, bool) {
-	deadline := time.Now().Add(patience)
+func submitOnce(node *world.Node, submission operator.Submission) (updateOutput, bool) {
+	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
 		ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
 		result, err := node.Client().Submit(ctx, submission)
 		cancel()
 		switch {
 		case err == nil:
-			return written{generation: result.Revision}, true
+			return updateOutput{generation: result.Revision}, true
 		case fault.IsCode(err, fault.CodeConflict):
-			return written{conflict: true}, true
+			return updateOutput{conflict: true}, true
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return written{unknown: true}, true
+	return updateOutput{unknown: true}, true
 }
 
 // reader watches the generation of an object at a node: it must never step back.
-type reader struct {
+type generationWatcher struct {
 	node  *world.Node
 	seen  []uint64
 	steps []string
 }
 
-func (r *reader) watch(ctx context.Context, name string) {
+func (r *generationWatcher) watch(ctx context.Context, name string) {
 	var last uint64
 	for ctx.Err() == nil {
 		object, err := r.node.Client().Get(ctx, api.KindPolicy, name)
@@ -179,26 +179,26 @@
 
 // race runs operators and readers at the nodes while disturb does its worst, and
 // checks the history.
-func race(t *testing.T, nodes []*world.Node, disturb func()) *operatorHistory {
+func runConcurrentChanges(t *testing.T, nodes []*world.Node, disturb func()) *changeHistory {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
-	h := &operatorHistory{}
+	h := &changeHistory{}
 	var group sync.WaitGroup
-	var readers []*reader
+	var watchers []*generationWatcher
 	for index, node := range nodes {
-		r := &reader{node: node}
-		readers = append(readers, r)
+		r := &generationWatcher{node: node}
+		watchers = append(watchers, r)
 		group.Go(func() { r.watch(ctx, "raced") })
-		group.Go(func() { h.operate(ctx, index, node, "raced") })
+		group.Go(func() { h.changeRepeatedly(ctx, index, node, "raced") })
 	}
 	disturb()
 	time.Sleep(500 * time.Millisecond)
 	stop()
 	group.Wait()
-	for _, r := range readers {
+	for _, r := range watchers {
 		assert.Equal(t, len(r.steps), 0, "%v", r.steps)
 	}
-	result := porcupine.CheckOperationsTimeout(acceptance, h.operations, patience)
+	result := porcupine.CheckOperationsTimeout(updateModel, h.operations, waitTimeout)
 	assert.Equal(t, result, porcupine.Ok, "%d operations", len(h.operations))
 	assert.Assert(t, h.accepted > 0)
 	t.Logf("%d accepted, %d conflicts, %d unknown", h.accepted, h.conflicts, h.unknown)
@@ -206,16 +206,16 @@
 }
 
 // newest is the generation accepted last.
-func (h *operatorHistory) newest() uint64 {
+func (h *changeHistory) newest() uint64 {
 	var newest uint64
 	for _, operation := range h.operations {
-		newest = max(newest, operation.Output.(written).generation)
+		newest = max(newest, operation.Output.(updateOutput).generation)
 	}
 	return newest
 }
 
 // waitInForce waits until nodes show at least a generation of an object.
-func waitInForce(t *testing.T, generation uint64, name string, nodes ...*world.Node) {
+func waitGeneration(t *testing.T, generation uint64, name string, nodes ...*world.Node) {
 	t.Helper()
 	waitUntil(t, "the newest change is in force", func() error {
 		for _, node := range nodes {
@@ -239,7 +239,7 @@
 	t.Parallel()
 	w := newWorld(t, nil)
 	nodes := startNodes(t, w, 3)
-	h := race(t, nodes, func() {
+	h := runConcurrentChanges(t, nodes, func() {
 		for _, faults := range []storestub.Faults{
 			{}, {LostShare: 0.4}, {LateShare: 0.3}, {DelayMs: 150}, {Down: storestub.Busy}, {}, {Down: storestub.Reset}, {Down: storestub.Silent}, {},
 			{LostShare: 0.3, LateShare: 0.3, DelayMs: 50}, {StaleMs: 400}, {},
@@ -251,7 +251,7 @@
 			time.Sleep(600 * time.Millisecond)
 		}
 	})
-	waitInForce(t, h.newest(), "raced", nodes...)
+	waitGeneration(t, h.newest(), "raced", nodes...)
 }
 
 // TestConfigurationAtFrozenNode: a node is frozen while a model is deleted; after
@@ -259,7 +259,7 @@
 func TestConfigurationAtFrozenNode(t *testing.T) {
 	t.Parallel()
 	w, nodes := startWithAlpha(t, 2, 3, model("alpha", 1)...)
-	frozen := other(nodes, nodes[0], holderOf(t, w, nodes[0]))
+	frozen := anyNodeExcept(nodes, nodes[0], leaseHolder(t, w, nodes[0]))
 	first := call{Model: "alpha", Prompt: "first", Tokens: 2}
 	assertServed(t, first, ask(t.Context(), frozen, first, nil))
 	// Nothing may wait in the frozen node's socket: it would tell the node of the
@@ -274,7 +274,7 @@
 	assert.NilError(t, frozen.Thaw())
 	got := ask(t.Context(), frozen, call{Model: "alpha", Prompt: "stale", Tokens: 2, Deadline: 5 * time.Second}, nil)
 	assert.Equal(t, got.Code, fault.CodeUnknownModel, "%+v", got)
-	assert.Equal(t, readHistory(t, w).runs("stale"), 0)
+	assert.Equal(t, readHistory(t, w).runsOfPrompt("stale"), 0)
 }
 
 // TestConfigurationWhenNodeIsCutOff: a node loses the store; it keeps what it has
@@ -284,7 +284,7 @@
 	t.Parallel()
 	w := newWorld(t, nil)
 	nodes := startNodes(t, w, 3)
-	h := race(t, nodes[:2], func() {
+	h := runConcurrentChanges(t, nodes[:2], func() {
 		nodes[2].StoreProxy.Block()
 		submission := operator.Submission{Operation: "cut-" + rand.Text(), Apply: []api.Object{
 			api.NewObject(api.KindPolicy, "during-cut", api.Policy{Models: []string{"*"}, Ready: "1"}),
@@ -294,7 +294,7 @@
 		assert.NilError(t, w.ForgetHistory())
 		nodes[2].StoreProxy.Heal()
 	})
-	waitInForce(t, h.newest(), "raced", nodes...)
+	waitGeneration(t, h.newest(), "raced", nodes...)
 }
 
 // TestFreshNodeWithoutStoreIsNotReady: a node that starts while the store is down
@@ -335,7 +335,7 @@
 		})
 	}
 	newest := make([]int, len(nodes))
-	look := func(upTo int) {
+	probe := func(upTo int) {
 		for index, node := range nodes {
 			for number := upTo; number >= 0; number-- {
 				got := send(t.Context(), node, clientRequest{Path: fmt.Sprintf("/step%d/x", number)})
@@ -354,15 +354,15 @@
 			assert.NilError(t, w.SetStoreFaults(storestub.Faults{StaleMs: 500}))
 			assert.NilError(t, w.ForgetHistory())
 			for range 20 { // while the nodes read anew
-				look(number)
+				probe(number)
 				time.Sleep(20 * time.Millisecond)
 			}
 		}
-		look(number)
+		probe(number)
 	}
 	assert.NilError(t, w.SetStoreFaults(storestub.Faults{}))
 	waitUntil(t, "the newest routes are in force", func() error {
-		look(versions - 1)
+		probe(versions - 1)
 		for index, node := range nodes {
 			if newest[index] != versions-1 {
 				return fmt.Errorf("%s is at %d", node.Name, newest[index])
@@ -383,7 +383,7 @@
 	logged := func(texts ...string) {
 		t.Helper()
 		waitUntil(t, strings.Join(texts, " "), func() error {
-			if !containsAll(readLog(t, w, nodes[0]), texts...) {
+			if !hasLineWith(readLog(t, w, nodes[0]), texts...) {
 				return fault.New(fault.CodeNotFound, "test", "not logged yet")
 			}
 			return nil
--- a/test/handover_test.go
+++ b/test/handover_test.go
@@ -29,7 +29,7 @@
 // reaches its client whole, from the runner that paused.
 func TestRestingStreamIsKeptUntilAnotherRunnerHasIt(t *testing.T) {
 	t.Parallel()
-	for name, other := range spareFaults {
+	for name, other := range otherRunnerFaults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w, nodes := startLoaded(t, 2, 1)
@@ -38,16 +38,16 @@
 			// All begin at one runner: one that begins at the spare has no other left where
 			// that breaks off and the first one rests.
 			w.Runners[spare].Proxy.Block()
-			answers := sendResting(t, nodes[0])
+			answers := sendPausingStreams(t, nodes[0])
 			waitUntil(t, "all streams have begun", func() error {
-				if at := running(readHistory(t, w)); at[first] < restingStreams {
+				if at := runningByRunner(readHistory(t, w)); at[first] < pausingStreams {
 					return fmt.Errorf("%v have", at)
 				}
 				return nil
 			})
 			assert.NilError(t, w.SetRunnerFaults(spare, other))
 			w.Runners[spare].Proxy.Heal()
-			checkWhole(t, answers)
+			checkStreamsComplete(t, answers)
 		})
 	}
 }
@@ -56,7 +56,7 @@
 // pause: one may break off at the spare once it has moved there for a pause.
 func TestRestingStreamIsKeptWhereverItBegan(t *testing.T) {
 	t.Parallel()
-	for name, other := range spareFaults {
+	for name, other := range otherRunnerFaults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w, nodes := startLoaded(t, 2, 1)
@@ -64,10 +64,10 @@
 			for _, runner := range runners {
 				assert.NilError(t, w.SetRunnerFaults(runner, runnerstub.Faults{RestMs: 2500}))
 			}
-			answers := sendResting(t, nodes[0])
+			answers := sendPausingStreams(t, nodes[0])
 			var at map[string]int
 			waitUntil(t, "all streams have begun", func() error {
-				if at = running(readHistory(t, w)); at[runners[0]]+at[runners[1]] < restingStreams {
+				if at = runningByRunner(readHistory(t, w)); at[runners[0]]+at[runners[1]] < pausingStreams {
 					return fmt.Errorf("%v have", at)
 				}
 				return nil
@@ -78,16 +78,16 @@
 				spare = runners[0]
 			}
 			assert.NilError(t, w.SetRunnerFaults(spare, other))
-			checkWhole(t, answers)
+			checkStreamsComplete(t, answers)
 		})
 	}
 }
 
 // restingStreams is how many streams pause, restingEvents how many events each has.
-const restingStreams, restingEvents = 4, 40
+const pausingStreams, pausingStreamEvents = 4, 40
 
 // spareFaults are what the runner does to which a resting stream may go.
-var spareFaults = map[string]runnerstub.Faults{
+var otherRunnerFaults = map[string]runnerstub.Faults{
 	"refuses":    {ShedShare: 1},
 	"fails":      {ErrorShare: 1},
 	"breaks off": {BreakShare: 1},
@@ -95,28 +95,28 @@
 }
 
 // sendResting sends the streams to a node, and returns their answers as they come.
-func sendResting(t *testing.T, node *world.Node) <-chan clientAnswer {
+func sendPausingStreams(t *testing.T, node *world.Node) <-chan clientAnswer {
 	t.Helper()
-	answers := make(chan clientAnswer, restingStreams)
-	for range restingStreams {
+	answers := make(chan clientAnswer, pausingStreams)
+	for range pausingStreams {
 		go func() {
-			answers <- send(t.Context(), node, clientRequest{Path: "/draft/x", Model: "alpha", Events: restingEvents})
+			answers <- send(t.Context(), node, clientRequest{Path: "/draft/x", Model: "alpha", Events: pausingStreamEvents})
 		}()
 	}
 	return answers
 }
 
 // checkWhole checks that each stream reaches its client whole.
-func checkWhole(t *testing.T, answers <-chan clientAnswer) {
+func checkStreamsComplete(t *testing.T, answers <-chan clientAnswer) {
 	t.Helper()
-	for range restingStreams {
+	for range pausingStreams {
 		got := <-answers
-		assert.Check(t, got.Status == http.StatusOK && got.Whole && got.Body == expectedEvents(got.ID, restingEvents), "%+v", got)
+		assert.Check(t, got.Status == http.StatusOK && got.Whole && got.Body == expectedEvents(got.ID, pausingStreamEvents), "%+v", got)
 	}
 }
 
 // running counts the requests that runners began and did not end, by runner.
-func running(h history) map[string]int {
+func runningByRunner(h history) map[string]int {
 	where := make(map[string]string)
 	for _, record := range h.records {
 		switch record.Event {
@@ -153,7 +153,7 @@
 		}()
 	}
 	waitUntil(t, "all streams have begun", func() error {
-		if at := running(readHistory(t, w)); at["runner-1"]+at["runner-2"] < streams {
+		if at := runningByRunner(readHistory(t, w)); at["runner-1"]+at["runner-2"] < streams {
 			return fmt.Errorf("%v have", at)
 		}
 		return nil
@@ -164,6 +164,6 @@
 	for range streams {
 		got := <-answers
 		assert.Check(t, got.Status == http.StatusOK && got.Whole && got.Body == expectedEvents(got.ID, events), "%+v", got)
-		assert.Check(t, runsOf(readHistory(t, w), got.ID) == 1, "%s ran %d times", got.ID, runsOf(readHistory(t, w), got.ID))
+		assert.Check(t, runsOfRequest(readHistory(t, w), got.ID) == 1, "%s ran %d times", got.ID, runsOfRequest(readHistory(t, w), got.ID))
 	}
 }
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -26,43 +26,43 @@
 	"lilacvane/platform/protocol"
 )
 
-// patience bounds every wait; verdicts never depend on how long one took.
-const patience = 60 * time.Second
+// waitTimeout bounds every wait. No check depends on how long a wait took.
+const waitTimeout = 60 * time.Second
 
 var zones = []string{"zone-a", "zone-b", "zone-c"}
 
-// fast shortens the intervals of a planned stop and between turns of control, so
-// that tests are quick.
-func fast(s *settings.Settings) {
+// useShortIntervals shortens the intervals of a planned stop and between the orders of two
+// lease holders, so that tests run quickly.
+func useShortIntervals(s *settings.Settings) {
 	s.Lease.TurnGap = turnGap
-	s.Stop = settings.Stop{Grace: fastGrace, Notice: fastNotice}
+	s.Stop = settings.Stop{Grace: stopGrace, Notice: stopNotice}
 	s.Log.Level = "debug"
 }
 
 const (
-	// fastGrace is the longest stop of a node in these tests, fastNotice how long it takes
-	// requests after its begin.
-	fastGrace  = 20 * time.Second
-	fastNotice = 300 * time.Millisecond
-	// turnGap lies between the orders of two nodes in these tests.
+	// stopGrace is the longest time that a node takes to stop in these tests, stopNotice
+	// how long it accepts requests after the stop began.
+	stopGrace  = 20 * time.Second
+	stopNotice = 300 * time.Millisecond
+	// turnGap is the minimum time between the orders of two different nodes in these tests.
 	turnGap = 600 * time.Millisecond
-	// modelMiB is the size of all models of these tests.
+	// modelMiB is the size of every model in these tests.
 	modelMiB = 300
-	// megabytesPerMiB converts it to the runners' unit.
+	// megabytesPerMiB converts it to the unit in which runners report memory.
 	megabytesPerMiB = 1.048576
 )
 
-// roomFor is the memory of a runner, in MB, that holds so many models and not
-// one more.
-func roomFor(models int) float64 { return (float64(models) + 0.5) * modelMiB * megabytesPerMiB }
+// memoryForModels returns the memory in MB of a runner that holds this number of models and
+// no more.
+func memoryForModels(models int) float64 { return (float64(models) + 0.5) * modelMiB * megabytesPerMiB }
 
-// newWorld starts a store; processes end with the test. Runners hold three
-// models unless adjust says otherwise.
+// newWorld starts a store. All processes end with the test. Runners hold three models
+// unless adjust sets another size.
 func newWorld(t *testing.T, adjust func(*world.Options)) *world.World {
 	t.Helper()
 	options := world.Options{
-		Directory: t.TempDir(), Programs: programs, Region: "region-1", TimeZone: "UTC", Proxied: true, Adjust: fast, StoreRate: 5000, Seed: 1,
-		Engine: protocol.Engine{Slots: 8, SizeMB: roomFor(3), LoRASlots: 3, LoadsPerS: 50},
+		Directory: t.TempDir(), Programs: programs, Region: "region-1", TimeZone: "UTC", Proxied: true, Adjust: useShortIntervals, StoreRate: 5000, Seed: 1,
+		Engine: protocol.Engine{Slots: 8, SizeMB: memoryForModels(3), LoRASlots: 3, LoadsPerS: 50},
 	}
 	if adjust != nil {
 		adjust(&options)
@@ -78,8 +78,8 @@
 	return w
 }
 
-// showLogs prints the last lines of each process's log, and all that are no log lines: why a
-// process ended.
+// showLogs prints the end of each process's log and every line that is not a log line, such
+// as a panic, to show why a process ended.
 func showLogs(t *testing.T, directory string) {
 	const lines = 15
 	entries, err := os.ReadDir(directory)
@@ -109,7 +109,7 @@
 	for _, node := range nodes {
 		assert.NilError(t, node.WaitReady())
 	}
-	waitUntil(t, "the lease holder knows all nodes", func() error {
+	waitUntil(t, "all nodes are listed as members", func() error {
 		for _, node := range nodes {
 			status, err := node.Client().Status(t.Context())
 			if err != nil {
@@ -124,8 +124,8 @@
 	return nodes
 }
 
-// startRunners starts runners of the engine service with the memory that the
-// world's configuration gives them.
+// startRunners starts runners of the engine service with the memory that the world's
+// configuration sets.
 func startRunners(t *testing.T, w *world.World, count int) {
 	t.Helper()
 	for index := range count {
@@ -139,7 +139,7 @@
 	assert.NilError(t, err)
 }
 
-// engineOptions describe a runner of the engine service.
+// engineOptions returns the options of a runner of the engine service.
 func engineOptions(w *world.World, name, zone string) world.RunnerOptions {
 	return world.RunnerOptions{
 		Name: name, Zone: zone, MemoryMB: w.Engine.SizeMB, ModelMB: modelMiB * megabytesPerMiB, Slots: w.Engine.Slots,
@@ -156,12 +156,12 @@
 	}
 }
 
-// mailerOptions describe a runner of the service that holds no models.
+// mailerOptions returns the options of a runner of the service that holds no models.
 func mailerOptions(name, zone string) world.RunnerOptions {
 	return world.RunnerOptions{Name: name, Service: world.MailService, Zone: zone, Slots: 8, TokenTime: time.Millisecond}
 }
 
-// waitUntil polls a condition.
+// waitUntil polls until condition returns nil. It fails the test after waitTimeout.
 func waitUntil(t *testing.T, what string, condition func() error) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -169,10 +169,10 @@
 			return poll.Continue("%s: %v", what, err)
 		}
 		return poll.Success()
-	}, poll.WithTimeout(patience), poll.WithDelay(50*time.Millisecond))
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(50*time.Millisecond))
 }
 
-// model returns a Model with its only Version, whose weights have its name.
+// model returns a Model and its only Version, whose weights have the model's name.
 func model(name string, replicas int) []api.Object {
 	return []api.Object{
 		api.NewObject(api.KindVersion, name+"-v1", api.Version{Model: name, Checkpoint: name, MemoryMiB: modelMiB, LoadSeconds: 0.15}),
@@ -180,7 +180,7 @@
 	}
 }
 
-// apply creates objects and returns the revision.
+// apply creates objects and returns the revision of the change.
 func apply(t *testing.T, node *world.Node, objects ...api.Object) uint64 {
 	t.Helper()
 	result, err := node.Client().Submit(t.Context(), operator.Submission{Operation: "test-" + rand.Text(), Author: "test", Apply: objects})
@@ -195,8 +195,8 @@
 	return err
 }
 
-// waitNamed waits until nodes know a model or adapter.
-func waitNamed(t *testing.T, name string, nodes ...*world.Node) {
+// waitKnown waits until every node lists a model or adapter in its status.
+func waitKnown(t *testing.T, name string, nodes ...*world.Node) {
 	t.Helper()
 	waitUntil(t, name+" is known", func() error {
 		for _, node := range nodes {
@@ -212,25 +212,25 @@
 	})
 }
 
-// keep is a policy that keeps replicas of a model ready.
-func keep(name string, replicas int) api.Object {
+// readyPolicy returns a policy that keeps replicas of a model ready.
+func readyPolicy(name string, replicas int) api.Object {
 	return api.NewObject(api.KindPolicy, "keep-"+name, api.Policy{Models: []string{name}, Ready: fmt.Sprint(replicas)})
 }
 
-// startWithAlpha starts a world with runners and nodes, applies objects that make
-// up the model alpha, and waits until all nodes know its name.
+// startWithAlpha starts a world with runners and nodes, applies the objects that define the
+// model alpha, and waits until all nodes know it.
 func startWithAlpha(t *testing.T, runners, nodes int, objects ...api.Object) (*world.World, []*world.Node) {
 	t.Helper()
 	w := newWorld(t, nil)
 	startRunners(t, w, runners)
 	started := startNodes(t, w, nodes)
 	apply(t, started[0], objects...)
-	waitNamed(t, "alpha", started...)
+	waitKnown(t, "alpha", started...)
 	return w, started
 }
 
-// holderOf returns the node that holds the control lease, as another sees it.
-func holderOf(t *testing.T, w *world.World, from *world.Node) *world.Node {
+// leaseHolder returns the node that holds the control lease, as another node reports it.
+func leaseHolder(t *testing.T, w *world.World, from *world.Node) *world.Node {
 	t.Helper()
 	var holder *world.Node
 	waitUntil(t, "a node holds the lease", func() error {
@@ -249,8 +249,8 @@
 	return holder
 }
 
-// other returns a node that is not one of those given.
-func other(nodes []*world.Node, not ...*world.Node) *world.Node {
+// anyNodeExcept returns a node that is not one of those given, or nil.
+func anyNodeExcept(nodes []*world.Node, not ...*world.Node) *world.Node {
 	for _, node := range nodes {
 		if !slices.Contains(not, node) {
 			return node
@@ -259,9 +259,8 @@
 	return nil
 }
 
-// runnersOf returns the runners that hold a unit, as the lease holder accounts
-// them.
-func runnersOf(t *testing.T, node *world.Node, unit string) []string {
+// runnersHolding returns the runners that hold a unit, according to the lease holder.
+func runnersHolding(t *testing.T, node *world.Node, unit string) []string {
 	t.Helper()
 	runners, err := node.Client().Runners(t.Context(), "")
 	assert.NilError(t, err)
@@ -276,7 +275,7 @@
 	return names
 }
 
-// call is one request of a test.
+// call is a completion request.
 type call struct {
 	Model    string
 	Prompt   string
@@ -284,30 +283,30 @@
 	Key      string
 	Class    string
 	Deadline time.Duration
-	// Whole asks for the answer in one piece instead of a stream.
-	Whole bool
-	// Bearer is the caller's key.
+	// Unstreamed requests the answer in one piece instead of a stream.
+	Unstreamed bool
+	// Bearer is the caller's API key.
 	Bearer string
 }
 
-// outcome is the final outcome of a request as its caller saw it.
+// outcome is the final result of a request as its caller saw it.
 type outcome struct {
 	ID     string
 	Status int
 	Code   fault.Code
 	Ran    string
 	Text   string
-	// Served: the answer came to its marked end. Broken: the connection ended
-	// without a final outcome.
-	Served bool
-	Broken bool
-	Retry  string
-	// Tokens counts the parts seen so far.
+	// Served is set when the answer reached its end marker, Broken when the connection
+	// ended without a final outcome.
+	Served     bool
+	Broken     bool
+	RetryAfter string
+	// Tokens counts the streamed chunks received so far.
 	Tokens int
 }
 
-// expected is the text the emulated engines answer a prompt with.
-func expected(prompt string, tokens int) string {
+// expectedText is the text with which the emulated engines answer a prompt.
+func expectedText(prompt string, tokens int) string {
 	var text strings.Builder
 	for index := range tokens {
 		fmt.Fprintf(&text, "%s-%d ", strings.Fields(prompt)[0], index)
@@ -315,10 +314,10 @@
 	return text.String()
 }
 
-// ask sends a request and reads it to its final outcome. Progress, if not nil,
-// hears of every part.
+// ask sends a request and reads it to its final outcome. If progress is not nil, it is
+// called after each chunk.
 func ask(ctx context.Context, node *world.Node, c call, progress func(outcome)) outcome {
-	body, _ := json.Marshal(api.Completion{Model: c.Model, Prompt: c.Prompt, Stream: !c.Whole, MaxTokens: c.Tokens})
+	body, _ := json.Marshal(api.Completion{Model: c.Model, Prompt: c.Prompt, Stream: !c.Unstreamed, MaxTokens: c.Tokens})
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node.Callers+"/v1/completions", bytes.NewReader(body))
 	if err != nil {
 		return outcome{Broken: true}
@@ -336,8 +335,8 @@
 	if c.Deadline > 0 {
 		setHeader(api.HeaderDeadline, strconv.FormatFloat(c.Deadline.Seconds(), 'f', 3, 64))
 	}
-	// One connection for each request: a broken one is never tried again behind
-	// the test's back.
+	// Each request uses its own connection, so that the HTTP client never retries one on a
+	// broken connection.
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	defer client.CloseIdleConnections()
 	response, err := client.Do(request)
@@ -345,7 +344,7 @@
 		return outcome{Broken: true}
 	}
 	defer response.Body.Close()
-	result := outcome{ID: response.Header.Get(api.HeaderRequest), Status: response.StatusCode, Retry: response.Header.Get(api.HeaderRetryAfter)}
+	result := outcome{ID: response.Header.Get(api.HeaderRequest), Status: response.StatusCode, RetryAfter: response.Header.Get(api.HeaderRetryAfter)}
 	if response.StatusCode != http.StatusOK {
 		var refusal fault.Body
 		if json.NewDecoder(response.Body).Decode(&refusal) != nil {
@@ -354,21 +353,21 @@
 		result.Code, result.Ran = refusal.Error.Code, refusal.Error.Ran
 		return result
 	}
-	if c.Whole {
-		return readWhole(response, result)
+	if c.Unstreamed {
+		return readCompletion(response, result)
 	}
-	return readEvents(response, result, progress)
+	return readStream(response, result, progress)
 }
 
-type part struct {
+type completionChunk struct {
 	Choices []struct {
 		Text string `json:"text"`
 	} `json:"choices"`
 	Error *fault.BodyError `json:"error"`
 }
 
-func readWhole(response *http.Response, result outcome) outcome {
-	var whole part
+func readCompletion(response *http.Response, result outcome) outcome {
+	var whole completionChunk
 	if json.NewDecoder(response.Body).Decode(&whole) != nil || len(whole.Choices) == 0 {
 		result.Broken = true
 		return result
@@ -378,7 +377,7 @@
 	return result
 }
 
-func readEvents(response *http.Response, result outcome, progress func(outcome)) outcome {
+func readStream(response *http.Response, result outcome, progress func(outcome)) outcome {
 	scanner := bufio.NewScanner(response.Body)
 	for scanner.Scan() {
 		content, isEvent := strings.CutPrefix(scanner.Text(), "data: ")
@@ -389,7 +388,7 @@
 			result.Served = true
 			return result
 		}
-		var event part
+		var event completionChunk
 		if json.Unmarshal([]byte(content), &event) != nil {
 			break
 		}
@@ -407,15 +406,15 @@
 	return result
 }
 
-// assertServed checks that a caller got the whole answer to its own request.
+// assertServed checks that a caller received the complete answer to its own request.
 func assertServed(t *testing.T, c call, got outcome) {
 	t.Helper()
 	assert.Assert(t, got.Served, "%+v: %+v", c, got)
-	assert.Equal(t, got.Text, expected(c.Prompt, c.Tokens))
+	assert.Equal(t, got.Text, expectedText(c.Prompt, c.Tokens))
 }
 
-// submitEventually applies or deletes one object, trying again while the store
-// or the node cannot take it.
+// submitEventually applies or deletes one object and retries while the store or the node
+// cannot accept the change.
 func submitEventually(t *testing.T, node *world.Node, object api.Object, remove bool) {
 	t.Helper()
 	operation := "test-" + rand.Text()
--- a/test/history_test.go
+++ b/test/history_test.go
@@ -12,47 +12,46 @@
 	"lilacvane/internal/lab/world"
 )
 
-// death is the end of a runner process that was killed: it held nothing from
-// then on.
-type death struct {
+// runnerKill records when a runner process was killed. It holds no models from then on.
+type runnerKill struct {
 	incarnation string
 	at          time.Time
 }
 
-// history is everything the runners of a world did.
+// history is everything that the runners of a world did, read from their journals.
 type history struct {
 	records []journal.Record
-	deaths  []death
+	kills   []runnerKill
 }
 
-func readHistory(t *testing.T, w *world.World, deaths ...death) history {
+func readHistory(t *testing.T, w *world.World, kills ...runnerKill) history {
 	t.Helper()
 	records, err := w.Journals()
 	assert.NilError(t, err)
 	slices.SortStableFunc(records, func(left, right journal.Record) int { return left.Time.Compare(right.Time) })
-	return history{records: records, deaths: deaths}
+	return history{records: records, kills: kills}
 }
 
-// killRunner kills a runner and returns its death for the history.
-func killRunner(t *testing.T, w *world.World, name string) death {
+// killRunner kills a runner and returns the record of it for the history.
+func killRunner(t *testing.T, w *world.World, name string) runnerKill {
 	t.Helper()
 	assert.NilError(t, w.KillRunner(name))
-	return death{incarnation: name, at: time.Now()}
+	return runnerKill{incarnation: name, at: time.Now()}
 }
 
-// mostTogether returns the largest number of replicas of all the units together
-// that were in memory at one time.
-func (h history) mostTogether(units ...string) int {
-	return h.mostFrom(time.Time{}, units...)
+// maxLoaded returns the largest number of replicas of all the given units together that
+// were in memory at one time.
+func (h history) maxLoaded(units ...string) int {
+	return h.maxLoadedAfter(time.Time{}, units...)
 }
 
-// mostFrom is mostTogether for the time after an instant.
-func (h history) mostFrom(after time.Time, units ...string) int {
+// maxLoadedAfter is maxLoaded for the time after an instant.
+func (h history) maxLoadedAfter(after time.Time, units ...string) int {
 	loaded := make(map[string]struct{})
 	most, next := 0, 0
 	for _, record := range h.records {
-		for next < len(h.deaths) && !h.deaths[next].at.After(record.Time) {
-			forget(loaded, h.deaths[next].incarnation)
+		for next < len(h.kills) && !h.kills[next].at.After(record.Time) {
+			removeIncarnation(loaded, h.kills[next].incarnation)
 			next++
 		}
 		if !slices.Contains(units, record.Unit) {
@@ -71,7 +70,7 @@
 	return most
 }
 
-func forget(loaded map[string]struct{}, incarnation string) {
+func removeIncarnation(loaded map[string]struct{}, incarnation string) {
 	for key := range loaded {
 		if strings.HasPrefix(key, incarnation+" ") {
 			delete(loaded, key)
@@ -79,9 +78,9 @@
 	}
 }
 
-// assertTurns checks that the loads that two nodes ordered at one runner lie at
-// least gap apart.
-func (h history) assertTurns(t *testing.T, gap time.Duration) {
+// assertOrderGap checks that consecutive loads that different nodes ordered at one runner
+// are at least gap apart.
+func (h history) assertOrderGap(t *testing.T, gap time.Duration) {
 	t.Helper()
 	type turn struct {
 		owner string
@@ -101,20 +100,21 @@
 	}
 }
 
-// assertMemory checks that no engine was ever ordered beyond its memory.
-func (h history) assertMemory(t *testing.T) {
+// assertMemoryNeverExceeded checks that no engine received an order that exceeds its
+// memory.
+func (h history) assertMemoryNeverExceeded(t *testing.T) {
 	t.Helper()
 	for _, record := range h.records {
 		assert.Assert(t, record.Event != journal.EventViolation, "%+v", record)
 	}
 }
 
-// most returns the largest number of replicas of a unit that were in memory,
-// loading or unloading included, at one time.
-func (h history) most(unit string) int { return h.mostTogether(unit) }
+// maxReplicas returns the largest number of replicas of a unit that were in memory at one
+// time, including those being loaded or unloaded.
+func (h history) maxReplicas(unit string) int { return h.maxLoaded(unit) }
 
-// runs returns how often requests with a prompt were run.
-func (h history) runs(prompt string) int {
+// runsOfPrompt returns how often runners ran a prompt.
+func (h history) runsOfPrompt(prompt string) int {
 	count := 0
 	for _, record := range h.records {
 		if record.Event == journal.EventRun && record.Prompt == prompt {
@@ -124,19 +124,19 @@
 	return count
 }
 
-// ranRequest tells whether any attempt of a request was run.
+// ranRequest reports whether any attempt of a request ran.
 func (h history) ranRequest(id string) bool {
 	return slices.ContainsFunc(h.records, func(record journal.Record) bool {
 		return record.Event == journal.EventRun && record.Request == id
 	})
 }
 
-// assertTruthful checks the outcome of a request against what the engines did:
-// a "not run" that ran, or an answer that is not whole, fails.
+// assertTruthful checks the outcome of a request against what the engines did. It fails
+// when a request that was refused as not run did run, or when an answer is not complete.
 func (h history) assertTruthful(t *testing.T, c call, got outcome) {
 	t.Helper()
 	if got.Served {
-		assert.Equal(t, got.Text, expected(c.Prompt, c.Tokens))
+		assert.Equal(t, got.Text, expectedText(c.Prompt, c.Tokens))
 	}
 	if got.Ran == "no" {
 		assert.Assert(t, !h.ranRequest(got.ID), "request %s was refused as not run, but ran: %+v", got.ID, got)
--- a/test/homes_test.go
+++ b/test/homes_test.go
@@ -24,13 +24,13 @@
 var regions = place.Map{"zone-a": "north", "zone-b": "south", "zone-c": "south"}
 
 // twoRegions is a world whose zones lie in two regions.
-func twoRegions(t *testing.T) *world.World {
+func newTwoRegionWorld(t *testing.T) *world.World {
 	t.Helper()
 	return newWorld(t, func(options *world.Options) { options.Zones = regions })
 }
 
 // atHome is a tenant whose requests are served in one region alone.
-func atHome(name, region string) protocol.Tenant {
+func tenantWithHome(name, region string) protocol.Tenant {
 	return protocol.Tenant{Name: name, APIKeys: []string{name + "-key"}, Homes: []string{region}}
 }
 
@@ -42,7 +42,7 @@
 
 // assertHome checks that all runs of a tenant's requests were at runners in its region, and
 // returns how many there were.
-func (h history) assertHome(t *testing.T, w *world.World, tenant, region string) int {
+func (h history) assertRunsInRegion(t *testing.T, w *world.World, tenant, region string) int {
 	t.Helper()
 	runs := 0
 	for _, record := range h.records {
@@ -61,20 +61,20 @@
 // runner is listed there, and served again when one is.
 func TestRequestsStayHome(t *testing.T) {
 	t.Parallel()
-	w := twoRegions(t)
+	w := newTwoRegionWorld(t)
 	startMailer(t, w, "north-1", "zone-a")
 	startMailer(t, w, "north-2", "zone-a")
 	startMailer(t, w, "south-1", "zone-b")
 	startMailer(t, w, "south-2", "zone-c")
 	nodes := startNodes(t, w, 3)
-	assert.NilError(t, w.ConfigureTenants([]protocol.Tenant{atHome("northern", "north"), atHome("southern", "south"), tenantOf("any", 0, 0)}))
+	assert.NilError(t, w.ConfigureTenants([]protocol.Tenant{tenantWithHome("northern", "north"), tenantWithHome("southern", "south"), newTenant("any", 0, 0)}))
 	waitStatus(t, "northern-key", http.StatusOK, nodes...)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	var group sync.WaitGroup
 	for _, node := range nodes {
 		for _, key := range []string{"northern-key", "southern-key", "any-key"} {
-			press(ctx, &group, node, key, 20, func(int) {})
+			sendAtRate(ctx, &group, node, key, 20, func(int) {})
 		}
 	}
 	killRunner(t, w, "north-1")
@@ -101,7 +101,7 @@
 	group.Wait()
 	h := readHistory(t, w)
 	for tenant, region := range map[string]string{"northern": "north", "southern": "south"} {
-		assert.Assert(t, h.assertHome(t, w, tenant, region) > 0, "%s ran nothing", tenant)
+		assert.Assert(t, h.assertRunsInRegion(t, w, tenant, region) > 0, "%s ran nothing", tenant)
 	}
 }
 
@@ -128,7 +128,7 @@
 	got := send(t.Context(), node, c)
 	assert.Equal(t, got.Status, http.StatusServiceUnavailable, got.Body)
 	assert.Assert(t, strings.Contains(got.Body, "outside_homes"), got.Body)
-	retry, err := strconv.ParseFloat(got.Retry, 64)
+	retry, err := strconv.ParseFloat(got.RetryAfter, 64)
 	assert.NilError(t, err)
 	assert.Assert(t, retry > 0)
 	waitUntil(t, "the refusal is logged", func() error {
@@ -146,19 +146,19 @@
 // tenant that asks for it, and a stream whose runner is killed goes on there.
 func TestModelsAreLoadedAtHome(t *testing.T) {
 	t.Parallel()
-	w := twoRegions(t)
+	w := newTwoRegionWorld(t)
 	for index, zone := range []string{"zone-a", "zone-a", "zone-b", "zone-c"} {
 		startRunner(t, w, fmt.Sprintf("runner-%d", index+1), zone)
 	}
 	nodes := startNodes(t, w, 3)
 	apply(t, nodes[0], model("alpha", 4)...)
-	waitNamed(t, "alpha", nodes...)
-	assert.NilError(t, w.ConfigureTenants([]protocol.Tenant{atHome("northern", "north"), atHome("southern", "south")}))
+	waitKnown(t, "alpha", nodes...)
+	assert.NilError(t, w.ConfigureTenants([]protocol.Tenant{tenantWithHome("northern", "north"), tenantWithHome("southern", "south")}))
 	waitDraft(t, nodes[0], "southern-key")
 	waitDraft(t, nodes[1], "northern-key")
-	apply(t, nodes[0], keep("alpha", 4))
+	apply(t, nodes[0], readyPolicy("alpha", 4))
 	waitUntil(t, "all runners hold the model", func() error {
-		if held := runnersOf(t, nodes[0], "alpha"); len(held) != 4 {
+		if held := runnersHolding(t, nodes[0], "alpha"); len(held) != 4 {
 			return fmt.Errorf("held at %v", held)
 		}
 		return nil
@@ -170,7 +170,7 @@
 	}()
 	var first string
 	waitUntil(t, "the stream runs", func() error {
-		if first = readHistory(t, w).runOf(id).Runner; first == "" {
+		if first = readHistory(t, w).runRecord(id).Runner; first == "" {
 			return fmt.Errorf("not yet")
 		}
 		return nil
@@ -184,8 +184,8 @@
 		assertServed(t, c, ask(t.Context(), node, c, nil))
 	}
 	h := readHistory(t, w)
-	assert.Assert(t, h.assertHome(t, w, "northern", "north") >= 1+len(nodes))
-	h.assertHome(t, w, "southern", "south")
+	assert.Assert(t, h.assertRunsInRegion(t, w, "northern", "north") >= 1+len(nodes))
+	h.assertRunsInRegion(t, w, "southern", "south")
 }
 
 // waitDraft waits until a draft for alpha is served under a key.
@@ -204,7 +204,7 @@
 // platform's part it is never served elsewhere and told once in the log.
 func TestHomesOfOperatorsAreChecked(t *testing.T) {
 	t.Parallel()
-	w := twoRegions(t)
+	w := newTwoRegionWorld(t)
 	startMailer(t, w, "north-1", "zone-a")
 	nodes := startNodes(t, w, 1)
 	for _, object := range []api.Object{
--- a/test/kept_client_test.go
+++ b/test/kept_client_test.go
@@ -14,34 +14,34 @@
 	"lilacvane/platform/protocol"
 )
 
-// keptClient sends requests to one node on a connection that it keeps until the node
-// closes it or is gone. It never sends a request a second time.
-type keptClient struct {
+// persistentClient sends requests to one node on a connection that it reuses until the node
+// closes it or ends. It never retries a request.
+type persistentClient struct {
 	node   *world.Node
 	conn   net.Conn
 	reader *bufio.Reader
-	// dialed is when the connection was asked for, connected when it was seen to be up.
+	// dialed is when dialing began, connected when it returned.
 	dialed, connected time.Time
 }
 
-// keptEnd is how a request on a kept connection ended.
-type keptEnd struct {
+// requestResult is the result of a request on a persistent connection.
+type requestResult struct {
 	request clientRequest
 	answer  clientAnswer
 	node    *world.Node
 	// used is set when the connection had carried a request before.
 	used bool
-	// dialed is when the connection was asked for, connected when it was seen to be up, sent when
-	// the request was about to be written, end when its answer ended.
+	// dialed is when dialing began, connected when it returned, sent when writing the
+	// request was about to begin, end when the answer ended.
 	dialed, connected, sent, end time.Time
-	// problem is why no whole answer came; nil if one did.
+	// problem is why no complete answer came, or nil if one did.
 	problem error
 }
 
-// do sends a request and reads its answer. It reports false when no connection came up, so
-// that nothing was sent.
-func (k *keptClient) do(c clientRequest) (keptEnd, bool) {
-	end := keptEnd{request: c, node: k.node, used: k.conn != nil, answer: clientAnswer{ID: c.ID}}
+// do sends a request and reads its answer. It returns false if no connection could be made
+// and nothing was sent.
+func (k *persistentClient) do(c clientRequest) (requestResult, bool) {
+	end := requestResult{request: c, node: k.node, used: k.conn != nil, answer: clientAnswer{ID: c.ID}}
 	if k.conn == nil {
 		k.dialed = time.Now()
 		conn, err := net.DialTimeout("tcp", k.node.Clients, time.Second)
@@ -62,8 +62,8 @@
 	return end, true
 }
 
-// read reads an answer, and closes the connection unless it may be kept.
-func (k *keptClient) read(end *keptEnd) {
+// read reads an answer and closes the connection unless it can be reused.
+func (k *persistentClient) read(end *requestResult) {
 	response, err := http.ReadResponse(k.reader, nil)
 	if err != nil {
 		end.problem = err
@@ -72,32 +72,32 @@
 	}
 	content, err := io.ReadAll(response.Body)
 	end.problem = err
-	end.answer.fill(response, content, err)
+	end.answer.record(response, content, err)
 	if err != nil || response.Close {
 		k.close()
 	}
 }
 
-func (k *keptClient) close() {
+func (k *persistentClient) close() {
 	if k.conn != nil {
 		_ = k.conn.Close()
 		k.conn = nil
 	}
 }
 
-// newRequest is a client's request as it goes over the wire.
+// newRequest returns a client's request as it is sent on the wire.
 func newRequest(c clientRequest, node *world.Node) *http.Request {
 	request, err := http.NewRequest(c.Method, "http://"+node.Clients+c.Path, bytes.NewReader(c.Body))
 	if err != nil {
-		// The paths and methods are the tests' own.
+		// Tests only use valid paths and methods.
 		panic(err)
 	}
-	c.head(request)
+	c.setHeaders(request)
 	return request
 }
 
-// head sets a request's host and headers.
-func (c *clientRequest) head(request *http.Request) {
+// setHeaders sets a request's host and headers.
+func (c *clientRequest) setHeaders(request *http.Request) {
 	request.Host = world.RouteHost
 	request.Header.Set(protocol.HeaderRequestID, c.ID)
 	request.Header.Set(protocol.HeaderDeadline, strconv.FormatInt(c.Deadline.Milliseconds(), 10))
@@ -114,10 +114,10 @@
 	}
 }
 
-// fill notes what a client read.
-func (a *clientAnswer) fill(response *http.Response, content []byte, err error) {
+// record stores what a client read.
+func (a *clientAnswer) record(response *http.Response, content []byte, err error) {
 	a.Status, a.Body, a.Whole = response.StatusCode, string(content), err == nil
 	a.Signature = response.Header.Get(protocol.HeaderSignature)
-	a.Retry = response.Header.Get("Retry-After")
+	a.RetryAfter = response.Header.Get("Retry-After")
 	a.Events = strings.Count(a.Body, "\n\n")
 }
--- a/test/kept_soak_test.go
+++ b/test/kept_soak_test.go
@@ -30,42 +30,42 @@
 )
 
 // keptSoak is a world whose clients keep their connections while series of changes overlap.
-type keptSoak struct {
+type persistentSoak struct {
 	t     *testing.T
 	w     *world.World
 	seed  uint64
 	until time.Time
 	nodes []*world.Node
 
-	// world guards changes of the world that are not a single node's.
-	world sync.Mutex
+	// worldMutex guards changes of the world that are not a single node's.
+	worldMutex sync.Mutex
 	// runners are those that serve; guarded by world.
-	runners []string
-	fresh   int
+	runners      []string
+	replacements int
 
-	mutex sync.Mutex
-	ends  []keptEnd
+	mutex   sync.Mutex
+	results []requestResult
 	// stops are the times in which nodes were stopped, or killed, by name, pauses those in
 	// which they stood still.
-	stops  map[string][]span
-	pauses map[string][]span
-	done   map[string]int
+	stops        map[string][]interval
+	pauses       map[string][]interval
+	changeCounts map[string]int
 }
 
 // span is a time in which a node was ending, from when it was asked to until its process was
 // gone and until another one was ready; hard when it was killed.
-type span struct {
+type interval struct {
 	from, gone, to time.Time
-	hard           bool
+	killed         bool
 }
 
 // around tells the times of a request's node by how long after the request's begin they were.
-func around(end keptEnd, spans map[string][]span) string {
+func describeNear(end requestResult, spans map[string][]interval) string {
 	var text strings.Builder
 	for _, one := range spans[end.node.Name] {
 		from, to := one.from.Sub(end.sent).Round(time.Millisecond), one.to.Sub(end.sent).Round(time.Millisecond)
-		if to > -told && from < told {
-			fmt.Fprintf(&text, "[%s to %s, hard %v", from, to, one.hard)
+		if to > -reportRange && from < reportRange {
+			fmt.Fprintf(&text, "[%s to %s, hard %v", from, to, one.killed)
 			if !one.gone.IsZero() {
 				fmt.Fprintf(&text, ", gone at %s", one.gone.Sub(end.sent))
 			}
@@ -76,23 +76,23 @@
 }
 
 // told is how far from a request's begin such times are of interest.
-const told = 5 * time.Second
+const reportRange = 5 * time.Second
 
 // series are the kinds of changes that go on beside each other, each after pauses of its
 // own. Of none is a request lost: a killed node's clients alone are left without an answer.
-var series = []struct {
+var disturbances = []struct {
 	name  string
 	pause time.Duration
-	run   func(s *keptSoak, random *rand.Rand)
+	run   func(s *persistentSoak, random *rand.Rand)
 }{
-	{"stop and start a node", 900 * time.Millisecond, (*keptSoak).stopNode},
-	{"stop and start another node", 1300 * time.Millisecond, (*keptSoak).stopNode},
-	{"kill and start a node", 2500 * time.Millisecond, (*keptSoak).killNode},
-	{"change the configuration", 200 * time.Millisecond, (*keptSoak).changeConfiguration},
-	{"change settings", 300 * time.Millisecond, (*keptSoak).changeSettings},
-	{"let runners pause, refuse and slow down", 700 * time.Millisecond, (*keptSoak).changeRunner},
-	{"replace a runner", 4 * time.Second, (*keptSoak).replaceRunner},
-	{"let a node stand still", 1500 * time.Millisecond, (*keptSoak).pauseNode},
+	{"stop and start a node", 900 * time.Millisecond, (*persistentSoak).stopNode},
+	{"stop and start another node", 1300 * time.Millisecond, (*persistentSoak).stopNode},
+	{"kill and start a node", 2500 * time.Millisecond, (*persistentSoak).killNode},
+	{"change the configuration", 200 * time.Millisecond, (*persistentSoak).changeConfiguration},
+	{"change settings", 300 * time.Millisecond, (*persistentSoak).changeSettings},
+	{"let runners pause, refuse and slow down", 700 * time.Millisecond, (*persistentSoak).changeRunner},
+	{"replace a runner", 4 * time.Second, (*persistentSoak).replaceRunner},
+	{"let a node stand still", 1500 * time.Millisecond, (*persistentSoak).pauseNode},
 }
 
 // TestKeptConnectionsSoak: clients use their connections until the node has closed them or
@@ -136,14 +136,14 @@
 	})
 	startRunners(t, w, *keptRunners)
 	startMailers(t, w, 2)
-	s := &keptSoak{t: t, w: w, seed: seed, nodes: startNodes(t, w, *keptNodes), stops: make(map[string][]span), pauses: make(map[string][]span), done: make(map[string]int)}
+	s := &persistentSoak{t: t, w: w, seed: seed, nodes: startNodes(t, w, *keptNodes), stops: make(map[string][]interval), pauses: make(map[string][]interval), changeCounts: make(map[string]int)}
 	for index := range *keptRunners {
 		s.runners = append(s.runners, fmt.Sprintf("runner-%d", index+1))
 	}
-	apply(t, s.nodes[0], append(model("alpha", *keptRunners), keep("alpha", *keptRunners))...)
-	waitNamed(t, "alpha", s.nodes...)
+	apply(t, s.nodes[0], append(model("alpha", *keptRunners), readyPolicy("alpha", *keptRunners))...)
+	waitKnown(t, "alpha", s.nodes...)
 	waitUntil(t, "all runners hold the model", func() error {
-		if got := len(runnersOf(t, s.nodes[0], "alpha")); got < *keptRunners {
+		if got := len(runnersHolding(t, s.nodes[0], "alpha")); got < *keptRunners {
 			return fmt.Errorf("%d do", got)
 		}
 		return nil
@@ -155,7 +155,7 @@
 			clients.Go(func() { s.useConnection(node, rand.New(rand.NewPCG(seed, uint64(1000+100*index+number)))) })
 		}
 	}
-	for index, one := range series {
+	for index, one := range disturbances {
 		running.Go(func() {
 			random := rand.New(rand.NewPCG(seed, uint64(index)))
 			for time.Now().Before(s.until) {
@@ -170,18 +170,18 @@
 	s.verify()
 }
 
-func (s *keptSoak) count(what string) {
+func (s *persistentSoak) count(what string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.done[what]++
+	s.changeCounts[what]++
 }
 
 // useConnection sends requests of all kinds to a node, one after the other.
-func (s *keptSoak) useConnection(node *world.Node, random *rand.Rand) {
-	k := &keptClient{node: node}
+func (s *persistentSoak) useConnection(node *world.Node, random *rand.Rand) {
+	k := &persistentClient{node: node}
 	defer k.close()
 	for time.Now().Before(s.until) {
-		c := mixed(random.IntN(4))
+		c := mixedRequest(random.IntN(4))
 		c.Deadline = 15 * time.Second
 		if c.Events > 0 {
 			c.Events = 5 + random.IntN(60)
@@ -191,7 +191,7 @@
 		}
 		if end, sent := k.do(c); sent {
 			s.mutex.Lock()
-			s.ends = append(s.ends, end)
+			s.results = append(s.results, end)
 			s.mutex.Unlock()
 		} else {
 			time.Sleep(20 * time.Millisecond)
@@ -201,7 +201,7 @@
 }
 
 // claimNode takes a node whose process nobody else ends; false when there is none.
-func (s *keptSoak) claimNode(random *rand.Rand, hard bool) (*world.Node, bool) {
+func (s *persistentSoak) claimNode(random *rand.Rand, killed bool) (*world.Node, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	node := s.nodes[random.IntN(len(s.nodes))]
@@ -215,22 +215,22 @@
 	if ending > len(s.nodes)/2 || len(stops) > 0 && stops[len(stops)-1].to.IsZero() {
 		return nil, false
 	}
-	s.stops[node.Name] = append(stops, span{from: time.Now(), hard: hard})
+	s.stops[node.Name] = append(stops, interval{from: time.Now(), killed: killed})
 	return node, true
 }
 
 // hangups is how often a start may be ended by the signal that settings changed, before the
 // process listens for it: the platform starts such a process again. It took no request.
-const hangups = 3
+const maxSignalRestarts = 3
 
 // returnNode starts a node whose process is gone.
-func (s *keptSoak) returnNode(node *world.Node) {
+func (s *persistentSoak) restartNode(node *world.Node) {
 	s.mutex.Lock()
 	ending := s.stops[node.Name]
 	ending[len(ending)-1].gone = time.Now()
 	s.mutex.Unlock()
 	err := s.w.RestartNode(node)
-	for tries := 0; node.EndedBy() == syscall.SIGHUP && tries < hangups; tries++ {
+	for tries := 0; node.EndedBy() == syscall.SIGHUP && tries < maxSignalRestarts; tries++ {
 		s.count("start a node again that the signal of changed settings ended")
 		err = s.w.RestartNode(node)
 	}
@@ -241,28 +241,28 @@
 	stops[len(stops)-1].to = time.Now()
 }
 
-func (s *keptSoak) stopNode(random *rand.Rand) {
+func (s *persistentSoak) stopNode(random *rand.Rand) {
 	node, ok := s.claimNode(random, false)
 	if !ok {
 		return
 	}
 	assert.Check(s.t, node.Terminate())
-	assert.Check(s.t, node.Wait(patience))
-	s.returnNode(node)
+	assert.Check(s.t, node.Wait(waitTimeout))
+	s.restartNode(node)
 }
 
-func (s *keptSoak) killNode(random *rand.Rand) {
+func (s *persistentSoak) killNode(random *rand.Rand) {
 	node, ok := s.claimNode(random, true)
 	if !ok {
 		return
 	}
 	node.Kill()
-	s.returnNode(node)
+	s.restartNode(node)
 }
 
 // pauseNode stops a node's execution for up to 2 s, which is longer than a stream's pause is
 // borne, also while the node is stopped or started.
-func (s *keptSoak) pauseNode(random *rand.Rand) {
+func (s *persistentSoak) pauseNode(random *rand.Rand) {
 	node := s.nodes[random.IntN(len(s.nodes))]
 	process, from := node.Current(), time.Now()
 	if process.Freeze() != nil {
@@ -272,12 +272,12 @@
 	_ = process.Thaw() // It may have been killed.
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.pauses[node.Name] = append(s.pauses[node.Name], span{from: from, to: time.Now()})
+	s.pauses[node.Name] = append(s.pauses[node.Name], interval{from: from, to: time.Now()})
 }
 
 // changeConfiguration changes time-outs, which stay longer than any request, and adds and
 // removes routes.
-func (s *keptSoak) changeConfiguration(random *rand.Rand) {
+func (s *persistentSoak) changeConfiguration(random *rand.Rand) {
 	routes := world.DefaultRoutes()
 	for index := range routes {
 		routes[index].TimeoutMs += float64(random.IntN(3000))
@@ -288,13 +288,13 @@
 		extra.Name, extra.PathPrefix = fmt.Sprintf("extra-%d", index), fmt.Sprintf("/extra-%d/", index)
 		routes = append(routes, extra)
 	}
-	s.world.Lock()
-	defer s.world.Unlock()
+	s.worldMutex.Lock()
+	defer s.worldMutex.Unlock()
 	assert.Check(s.t, s.w.Configure(routes))
 }
 
 // changeSettings writes a node's settings anew and signals it, or not.
-func (s *keptSoak) changeSettings(random *rand.Rand) {
+func (s *persistentSoak) changeSettings(random *rand.Rand) {
 	node := s.nodes[random.IntN(len(s.nodes))]
 	content := readFile(s.t, node.SettingsPath())
 	changed := strings.Replace(content, "level: info", "level: debug", 1)
@@ -311,28 +311,28 @@
 }
 
 // changeRunner lets one runner pause, refuse, slow down, or serve as before.
-func (s *keptSoak) changeRunner(random *rand.Rand) {
-	s.world.Lock()
-	defer s.world.Unlock()
+func (s *persistentSoak) changeRunner(random *rand.Rand) {
+	s.worldMutex.Lock()
+	defer s.worldMutex.Unlock()
 	faults := []runnerstub.Faults{{}, {}, {RestMs: 2500}, {RestMs: 900}, {ShedShare: 0.5}, {ShedShare: 1}, {SlowFactor: 8}}
 	runner := s.runners[random.IntN(len(s.runners))]
 	assert.Check(s.t, s.w.SetRunnerFaults(runner, faults[random.IntN(len(faults))]))
 }
 
 // replaceRunner lets a runner leave as planned, with a new one in its place.
-func (s *keptSoak) replaceRunner(random *rand.Rand) {
+func (s *persistentSoak) replaceRunner(random *rand.Rand) {
 	index := random.IntN(*keptRunners)
-	s.world.Lock()
+	s.worldMutex.Lock()
 	leaving := s.runners[index]
-	s.fresh++
-	s.runners[index] = fmt.Sprintf("fresh-%d", s.fresh)
+	s.replacements++
+	s.runners[index] = fmt.Sprintf("fresh-%d", s.replacements)
 	startRunner(s.t, s.w, s.runners[index], zones[index%len(zones)])
 	assert.Check(s.t, s.w.DrainRunner(leaving))
-	s.world.Unlock()
+	s.worldMutex.Unlock()
 }
 
 // verify checks the end of every request against what runners did.
-func (s *keptSoak) verify() {
+func (s *persistentSoak) verify() {
 	h := readHistory(s.t, s.w)
 	runs := make(map[string]int)
 	for _, record := range h.records {
@@ -341,28 +341,28 @@
 		}
 	}
 	counts := make(map[string]int)
-	for _, end := range s.ends {
-		kind, problem := s.judge(end, runs[end.request.ID])
+	for _, end := range s.results {
+		kind, problem := s.classify(end, runs[end.request.ID])
 		counts[kind]++
 		assert.Check(s.t, problem == "", "seed %d: %s: %s %s at %s, used %v, sent %s, dialed %s and connected %s before, took %s, runs %d, stops %s, pauses %s: %v, status %d %.300s", s.seed, problem,
 			end.request.ID, end.request.Path, end.node.Name, end.used, end.sent.Format(time.RFC3339Nano), end.sent.Sub(end.dialed), end.sent.Sub(end.connected), end.end.Sub(end.sent).Round(time.Millisecond),
-			runs[end.request.ID], around(end, s.stops), around(end, s.pauses), end.problem, end.answer.Status, end.answer.Body)
+			runs[end.request.ID], describeNear(end, s.stops), describeNear(end, s.pauses), end.problem, end.answer.Status, end.answer.Body)
 		if problem != "" {
-			s.t.Logf("what %s logged of it: %s", end.node.Name, strings.Join(linesWith(readFile(s.t, s.w.LogPath(end.node)), end.request.ID), ""))
+			s.t.Logf("what %s logged of it: %s", end.node.Name, strings.Join(linesContaining(readFile(s.t, s.w.LogPath(end.node)), end.request.ID), ""))
 		}
 		if strings.HasPrefix(end.request.Path, "/send/") {
 			assert.Check(s.t, runs[end.request.ID] <= 1, "seed %d: %s ran %d times", s.seed, end.request.ID, runs[end.request.ID])
 		}
 	}
-	s.t.Logf("seed %d: %d requests %v, changes %v", s.seed, len(s.ends), counts, s.done)
+	s.t.Logf("seed %d: %d requests %v, changes %v", s.seed, len(s.results), counts, s.changeCounts)
 }
 
 // crossing is how long after its request at most a connection ends that its node was about
 // to close: one that ends later may have been read.
-const crossing = 200 * time.Millisecond
+const maxCloseRace = 200 * time.Millisecond
 
 // judge names the end of a request, and what is wrong with it.
-func (s *keptSoak) judge(end keptEnd, runs int) (kind, problem string) {
+func (s *persistentSoak) classify(end requestResult, runs int) (kind, problem string) {
 	got := end.answer
 	switch {
 	case got.Status == http.StatusOK && got.Whole:
@@ -380,7 +380,7 @@
 		return fmt.Sprint(got.Status), "a failure without any fault"
 	case s.ended(end, true):
 		return "killed", ""
-	case got.Status == 0 && runs == 0 && end.end.Sub(end.sent)-s.paused(end) <= crossing && (end.used && s.ended(end, false) || s.listenerClosed(end)):
+	case got.Status == 0 && runs == 0 && end.end.Sub(end.sent)-s.paused(end) <= maxCloseRace && (end.used && s.ended(end, false) || s.listenerClosed(end)):
 		return "crossed", ""
 	default:
 		return "lost", "no whole answer"
@@ -388,7 +388,7 @@
 }
 
 // paused is how long a request's node stood still while it was under way.
-func (s *keptSoak) paused(end keptEnd) time.Duration {
+func (s *persistentSoak) paused(end requestResult) time.Duration {
 	total := time.Duration(0)
 	for _, pause := range s.pauses[end.node.Name] {
 		from, to := pause.from, pause.to
@@ -406,13 +406,13 @@
 // listenerClosed reports whether a request was sent on a new connection as its node closed
 // its listener, the notice of a stop after its begin: the connections that the node has not
 // accepted yet, as it may have stood still, are reset then, and nothing of them was read.
-func (s *keptSoak) listenerClosed(end keptEnd) bool {
+func (s *persistentSoak) listenerClosed(end requestResult) bool {
 	const early, late = 20 * time.Millisecond, 500 * time.Millisecond
 	for _, stop := range s.stops[end.node.Name] {
-		after := end.sent.Sub(stop.from) - fastNotice
+		after := end.sent.Sub(stop.from) - stopNotice
 		before := early + s.paused(end)
-		beyond := late + s.paused(keptEnd{node: end.node, sent: stop.from, end: end.end})
-		if !stop.hard && after > -before && after < beyond {
+		beyond := late + s.paused(requestResult{node: end.node, sent: stop.from, end: end.end})
+		if !stop.killed && after > -before && after < beyond {
 			return true
 		}
 	}
@@ -422,9 +422,9 @@
 // ended reports whether a request's node was stopping, or being killed, at some time between
 // the begin of the connection and the end of the request. A client learns of an end only when
 // it uses the connection next, and of its connection some time after the kernel made it.
-func (s *keptSoak) ended(end keptEnd, hard bool) bool {
+func (s *persistentSoak) ended(end requestResult, killed bool) bool {
 	for _, stop := range s.stops[end.node.Name] {
-		if stop.hard == hard && stop.gone.After(end.dialed) && stop.from.Before(end.end) {
+		if stop.killed == killed && stop.gone.After(end.dialed) && stop.from.Before(end.end) {
 			return true
 		}
 	}
--- a/test/limit_soak_test.go
+++ b/test/limit_soak_test.go
@@ -16,20 +16,20 @@
 )
 
 // sending is a request that a client sent.
-type sending struct {
+type tenantRequest struct {
 	tenant string
 	at     time.Time
 }
 
 // pressure sends requests of tenants all the time and remembers when.
-type pressure struct {
+type tenantLoad struct {
 	mutex sync.Mutex
-	sent  map[string]sending
+	sent  map[string]tenantRequest
 	group sync.WaitGroup
 }
 
 // press sends rate requests a second of a tenant to a node until ctx ends.
-func (p *pressure) press(ctx context.Context, node *world.Node, tenant string, rate float64) {
+func (p *tenantLoad) sendAtRate(ctx context.Context, node *world.Node, tenant string, rate float64) {
 	p.group.Go(func() {
 		ticker := time.NewTicker(time.Duration(float64(time.Second) / rate))
 		defer ticker.Stop()
@@ -40,7 +40,7 @@
 			case <-ticker.C:
 				id := newID()
 				p.mutex.Lock()
-				p.sent[id] = sending{tenant: tenant, at: time.Now()}
+				p.sent[id] = tenantRequest{tenant: tenant, at: time.Now()}
 				p.mutex.Unlock()
 				p.group.Go(func() {
 					send(context.WithoutCancel(ctx), node, clientRequest{ID: id, Path: "/read/x", Key: tenant + "-key", Deadline: 3 * time.Second})
@@ -52,7 +52,7 @@
 
 // assertKept checks that in each window no more of a tenant's requests were both sent and
 // ran than its limit allows.
-func (p *pressure) assertKept(t *testing.T, h history, tenant string) (runs int) {
+func (p *tenantLoad) assertRunsWithinLimit(t *testing.T, h history, tenant string) (runs int) {
 	t.Helper()
 	type pair struct{ sent, ran time.Time }
 	var pairs []pair
@@ -92,7 +92,7 @@
 	t.Parallel()
 	t.Logf("seed %d, %d rounds", *soakSeed, *soakRounds)
 	w := newWorld(t, func(o *world.Options) {
-		o.Adjust = exact
+		o.Adjust = useShortLimitWindows
 		o.Seed = *soakSeed
 	})
 	startMailers(t, w, 3)
@@ -102,21 +102,21 @@
 			s.kinds = append(s.kinds, fault)
 		}
 	}
-	assert.NilError(t, w.ConfigureTenants([]protocol.Tenant{tenantOf("hot", hotRate, hotBurst), tenantOf("calm", hotRate, hotBurst)}))
+	assert.NilError(t, w.ConfigureTenants([]protocol.Tenant{newTenant("hot", hotRate, hotBurst), newTenant("calm", hotRate, hotBurst)}))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	p := &pressure{sent: make(map[string]sending)}
+	p := &tenantLoad{sent: make(map[string]tenantRequest)}
 	for _, node := range s.nodes {
-		p.press(ctx, node, "hot", hotRate)
-		p.press(ctx, node, "calm", hotRate/10)
+		p.sendAtRate(ctx, node, "hot", hotRate)
+		p.sendAtRate(ctx, node, "calm", hotRate/10)
 	}
 	for range *soakRounds {
-		s.round()
+		s.runRound()
 	}
 	cancel()
 	p.group.Wait()
 	h := readHistory(t, w)
-	hot, calm := p.assertKept(t, h, "hot"), p.assertKept(t, h, "calm")
+	hot, calm := p.assertRunsWithinLimit(t, h, "hot"), p.assertRunsWithinLimit(t, h, "calm")
 	t.Logf("%d sent, of hot %d ran, of calm %d", len(p.sent), hot, calm)
 	assert.Assert(t, hot > 0 && calm > 0)
 }
--- a/test/links_test.go
+++ b/test/links_test.go
@@ -26,13 +26,13 @@
 	answerMargin = 5 * time.Second
 	// afterLeaving is when no runner works any more for a client that left, and
 	// stragglers how many may still do.
-	afterLeaving = 500 * time.Millisecond
-	stragglers   = 3
+	cancellationBound = 500 * time.Millisecond
+	maxLateRequests   = 3
 )
 
 // silenceAll silences every open connection between nodes, store and runners for
 // good, and returns how many they were.
-func silenceAll(w *world.World, nodes []*world.Node) int {
+func silenceConnections(w *world.World, nodes []*world.Node) int {
 	count := 0
 	for _, node := range nodes {
 		count += node.Proxy.SilenceOpen() + node.StoreProxy.SilenceOpen()
@@ -44,7 +44,7 @@
 }
 
 // mixed is one request of each kind that the default routes have.
-func mixed(number int) clientRequest {
+func mixedRequest(number int) clientRequest {
 	c := clientRequest{ID: newID(), Deadline: 3 * time.Second}
 	switch number % 4 {
 	case 0:
@@ -60,11 +60,11 @@
 }
 
 // mixedFor returns requests of all kinds for nodes, so many of each kind for each.
-func mixedFor(nodes []*world.Node, each int) []clientRequest {
+func mixedRequests(nodes []*world.Node, each int) []clientRequest {
 	var requests []clientRequest
 	for number := range 4 * each {
 		for range nodes {
-			requests = append(requests, mixed(number))
+			requests = append(requests, mixedRequest(number))
 		}
 	}
 	return requests
@@ -119,7 +119,7 @@
 }
 
 // lengthen lets streams last for a second.
-func lengthen(requests []clientRequest) {
+func lengthenStreams(requests []clientRequest) {
 	for index := range requests {
 		if requests[index].Model != "" {
 			requests[index].Events = 100
@@ -129,30 +129,30 @@
 
 // strike sends requests while all connections go silent, and returns the answers and how many
 // connections were silenced.
-type strike func(t *testing.T, w *world.World, nodes []*world.Node, paying []clientRequest) ([]clientAnswer, int)
+type silencing func(t *testing.T, w *world.World, nodes []*world.Node, affected []clientRequest) ([]clientAnswer, int)
 
 // strikeAtRest silences connections before the requests are sent.
-func strikeAtRest(t *testing.T, w *world.World, nodes []*world.Node, paying []clientRequest) ([]clientAnswer, int) {
-	silenced := silenceAll(w, nodes)
-	return sendAll(t, nodes, paying), silenced
+func silenceBeforeRequests(t *testing.T, w *world.World, nodes []*world.Node, affected []clientRequest) ([]clientAnswer, int) {
+	silenced := silenceConnections(w, nodes)
+	return sendAll(t, nodes, affected), silenced
 }
 
 // strikeStreams silences connections while a stream of each node runs.
-func strikeStreams(t *testing.T, w *world.World, nodes []*world.Node, paying []clientRequest) ([]clientAnswer, int) {
-	lengthen(paying)
+func silenceDuringStreams(t *testing.T, w *world.World, nodes []*world.Node, affected []clientRequest) ([]clientAnswer, int) {
+	lengthenStreams(affected)
 	answers := make(chan []clientAnswer, 1)
-	go func() { answers <- sendAll(t, nodes, paying) }()
-	waitStreaming(t, w, len(nodes), paying)
-	silenced := silenceAll(w, nodes)
+	go func() { answers <- sendAll(t, nodes, affected) }()
+	waitStreaming(t, w, len(nodes), affected)
+	silenced := silenceConnections(w, nodes)
 	return <-answers, silenced
 }
 
 // strikeAfter silences connections a while after the requests were sent, however far these are.
-func strikeAfter(delay time.Duration) strike {
-	return func(t *testing.T, w *world.World, nodes []*world.Node, paying []clientRequest) ([]clientAnswer, int) {
+func silenceAfter(delay time.Duration) silencing {
+	return func(t *testing.T, w *world.World, nodes []*world.Node, affected []clientRequest) ([]clientAnswer, int) {
 		silenced := make(chan int, 1)
-		time.AfterFunc(delay, func() { silenced <- silenceAll(w, nodes) })
-		answers := sendAll(t, nodes, paying)
+		time.AfterFunc(delay, func() { silenced <- silenceConnections(w, nodes) })
+		answers := sendAll(t, nodes, affected)
 		return answers, <-silenced
 	}
 }
@@ -164,14 +164,14 @@
 // changes.
 func TestAllConnectionsGoSilent(t *testing.T) {
 	t.Parallel()
-	runSilences(t, strikeStreams)
+	runSilenceTest(t, silenceDuringStreams)
 }
 
 // TestAllConnectionsGoSilentSoonAfterRequests: the same, where a node whose requests all ended
 // before may have found no connection silent.
 func TestAllConnectionsGoSilentSoonAfterRequests(t *testing.T) {
 	t.Parallel()
-	runSilences(t, strikeAfter(50*time.Millisecond))
+	runSilenceTest(t, silenceAfter(50*time.Millisecond))
 }
 
 var (
@@ -186,34 +186,34 @@
 		moment := time.Duration(rand.New(rand.NewPCG(seed, 0)).IntN(150)) * time.Millisecond
 		t.Run(fmt.Sprintf("seed %d, %s", seed, moment), func(t *testing.T) {
 			t.Parallel()
-			runSilences(t, strikeAfter(moment))
+			runSilenceTest(t, silenceAfter(moment))
 		})
 	}
 }
 
 // runSilences lets connections go silent in the middle of requests and at rest.
-func runSilences(t *testing.T, inUse strike) {
+func runSilenceTest(t *testing.T, inUse silencing) {
 	t.Helper()
 	w, nodes := startLoaded(t, 3, 3)
-	sent := mixedFor(nodes, 4)
+	sent := mixedRequests(nodes, 4)
 	sendAll(t, nodes, sent)
 	for _, when := range []string{"in use", "at rest"} {
-		paying := mixedFor(nodes, 4)
-		sent = append(sent, paying...)
-		strikes := strikeAtRest
+		affected := mixedRequests(nodes, 4)
+		sent = append(sent, affected...)
+		silence := silenceBeforeRequests
 		if when == "in use" {
-			strikes = inUse
+			silence = inUse
 		}
-		answers, silenced := strikes(t, w, nodes, paying)
+		answers, silenced := silence(t, w, nodes, affected)
 		lost := 0
 		for index, got := range answers {
 			if got.Status != http.StatusOK || !got.Whole {
 				lost++
 			}
-			assert.Assert(t, got.Status != 0, "no final answer to %s at node %d", paying[index].Path, index%len(nodes))
+			assert.Assert(t, got.Status != 0, "no final answer to %s at node %d", affected[index].Path, index%len(nodes))
 		}
-		t.Logf("%s: %d connections silenced, %d of %d requests lost", when, silenced, lost, len(paying))
-		after := mixedFor(nodes, 2)
+		t.Logf("%s: %d connections silenced, %d of %d requests lost", when, silenced, lost, len(affected))
+		after := mixedRequests(nodes, 2)
 		sent = append(sent, after...)
 		for index, got := range sendAll(t, nodes, after) {
 			assert.Assert(t, got.Status == http.StatusOK && got.Whole, "%s, %s at node %d: %+v", when, after[index].Path, index%len(nodes), got)
@@ -222,11 +222,11 @@
 	h := readHistory(t, w)
 	for _, c := range sent {
 		if c.Method == http.MethodPost {
-			assert.Assert(t, runsOf(h, c.ID) <= 1, "%s ran %d times", c.ID, runsOf(h, c.ID))
+			assert.Assert(t, runsOfRequest(h, c.ID) <= 1, "%s ran %d times", c.ID, runsOfRequest(h, c.ID))
 		}
 	}
 	apply(t, nodes[0], model("beta", 1)...)
-	waitNamed(t, "beta", nodes...)
+	waitKnown(t, "beta", nodes...)
 }
 
 // TestThousandClientsLeaveAtOnce: half a second after a thousand clients left, no
@@ -243,13 +243,13 @@
 	ids := make(map[string]bool)
 	var asking sync.WaitGroup
 	for number := range clients {
-		c := mixed(2 + number%2)
+		c := mixedRequest(2 + number%2)
 		c.Events, c.Deadline = 2000, time.Minute
 		ids[c.ID] = true
 		asking.Go(func() { send(ctx, nodes[number%len(nodes)], c) })
 	}
 	waitUntil(t, "runners are busy", func() error {
-		if busy := len(working(readHistory(t, w), ids)); busy < 8 {
+		if busy := len(runningRequests(readHistory(t, w), ids)); busy < 8 {
 			return fmt.Errorf("%d run", busy)
 		}
 		return nil
@@ -258,13 +258,13 @@
 	asking.Wait()
 	left := time.Now()
 	waitUntil(t, "no runner works", func() error {
-		if busy := working(readHistory(t, w), ids); len(busy) > 0 {
+		if busy := runningRequests(readHistory(t, w), ids); len(busy) > 0 {
 			return fmt.Errorf("%d run", len(busy))
 		}
 		return nil
 	})
 	for _, node := range nodes {
-		waitNothingWaits(t, node)
+		waitNoneWaiting(t, node)
 	}
 	late, last := 0, time.Duration(0)
 	for _, record := range readHistory(t, w).records {
@@ -273,16 +273,16 @@
 		}
 		after := record.Time.Sub(left)
 		last = max(last, after)
-		if after > afterLeaving {
+		if after > cancellationBound {
 			late++
 		}
 	}
 	t.Logf("runners were done with the last request %s after its client had left", last.Round(time.Millisecond))
-	assert.Assert(t, late <= stragglers, "runners did something for %d clients after %s", late, afterLeaving)
+	assert.Assert(t, late <= maxLateRequests, "runners did something for %d clients after %s", late, cancellationBound)
 }
 
 // waitNothingWaits waits until no request waits at a node.
-func waitNothingWaits(t *testing.T, node *world.Node) {
+func waitNoneWaiting(t *testing.T, node *world.Node) {
 	t.Helper()
 	waitUntil(t, "nothing waits at "+node.Name, func() error {
 		status, err := node.Client().Status(t.Context())
@@ -297,7 +297,7 @@
 }
 
 // working returns the requests among ids that runners began and did not end.
-func working(h history, ids map[string]bool) map[string]bool {
+func runningRequests(h history, ids map[string]bool) map[string]bool {
 	running := make(map[string]bool)
 	for _, record := range h.records {
 		if !ids[record.Request] {
@@ -323,9 +323,9 @@
 	_, err = fmt.Fprintf(conn, "GET /draft/x HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %s\r\n%s: 20,1\r\n%s: 20000\r\n\r\n", world.RouteHost,
 		protocol.HeaderRequestID, newID(), protocol.HeaderModel, "unknown", protocol.HeaderTokens, protocol.HeaderDeadline)
 	assert.NilError(t, err)
-	waitWaiting(t, nodes[0], 1)
+	waitQueued(t, nodes[0], 1)
 	assert.NilError(t, conn.(*net.TCPConn).CloseWrite())
-	waitNothingWaits(t, nodes[0])
+	waitNoneWaiting(t, nodes[0])
 	content, err := io.ReadAll(conn)
 	assert.NilError(t, err)
 	assert.Equal(t, string(content), "")
--- a/test/main_test.go
+++ b/test/main_test.go
@@ -1,6 +1,5 @@
-// Package test runs the product's own binary in separate processes, injects
-// faults between them and checks the whole history against the properties that
-// must always hold.
+// Package test runs the project's own programs as separate processes, injects faults
+// between them and checks the recorded history against the invariants of the system.
 package test
 
 import (
@@ -14,9 +13,9 @@
 	"lilacvane/internal/labcommand"
 )
 
-// linked holds the programs' code in the test binary. TestMain builds them
-// itself; without this the toolchain would not see that they changed and answer
-// from its cache of results.
+// linked references the programs' code into the test binary. TestMain builds the programs
+// itself, so without this the go command would not notice that they changed and would
+// return a cached test result.
 var linked = [...]any{command.Main, labcommand.Main}
 
 // programs is the directory of the binaries under test.
--- a/test/parts_soak_test.go
+++ b/test/parts_soak_test.go
@@ -21,9 +21,9 @@
 	// soakColdRate is the requests a second that a cold runner bears, coldLasting how long
 	// a runner is cold.
 	soakColdRate = 5
-	coldLasting  = 2 * time.Second
+	coldDuration = 2 * time.Second
 	// afterBound is how long a zone stays out beyond the bound.
-	afterBound = time.Second
+	zoneOutMargin = time.Second
 	// homedTenant is the tenant with homes in homeRegion, in which homeZone alone lies.
 	homedTenant = "homed"
 	freeTenant  = "free"
@@ -33,13 +33,13 @@
 
 // outOf lets nothing new go to a zone drawn, with a bound on how late that holds, and
 // returns how to take it back.
-func (s *soak) outOf(bound time.Duration, out, back func(zone place.Zone)) func() {
+func (s *soak) takeOutRandomZone(bound time.Duration, out, back func(zone place.Zone)) func() {
 	zone := place.Zone(zones[s.random.IntN(len(zones))])
 	out(zone)
 	from := time.Now().Add(bound)
-	s.least = bound + afterBound
+	s.minDuration = bound + zoneOutMargin
 	return func() {
-		s.outages = append(s.outages, outage{zone: zone, from: from, to: time.Now(), apart: s.apart})
+		s.outages = append(s.outages, outage{zone: zone, from: from, to: time.Now(), isolated: s.isolated})
 		back(zone)
 	}
 }
@@ -49,34 +49,34 @@
 	change := func(zone place.Zone, remove bool) {
 		submitEventually(s.t, s.nodes[0], api.NewObject(api.KindDrain, name, api.Drain{Target: api.DrainZone, Name: string(zone)}), remove)
 	}
-	return s.outOf(settings.Default().Configuration.Within, func(zone place.Zone) { change(zone, false) }, func(zone place.Zone) { change(zone, true) })
+	return s.takeOutRandomZone(settings.Default().Configuration.Within, func(zone place.Zone) { change(zone, false) }, func(zone place.Zone) { change(zone, true) })
 }
 
 func (s *soak) takeOutZone() func() {
-	return s.outOf(settings.Default().Evacuation.Within,
+	return s.takeOutRandomZone(settings.Default().Evacuation.Within,
 		func(zone place.Zone) { assert.NilError(s.t, s.w.TakeOutZone(zone)) }, func(zone place.Zone) { assert.NilError(s.t, s.w.TakeBackZone(zone)) })
 }
 
 func (s *soak) chillRunner() func() {
-	assert.NilError(s.t, s.w.ChillRunner(s.pickRunner(), coldLasting))
+	assert.NilError(s.t, s.w.ChillRunner(s.pickRunner(), coldDuration))
 	return func() {}
 }
 
 // besideParts are the faults that come together with a part: they leave the store alone, so
 // that changes are accepted, and the first node, to which they are submitted.
-func besideParts() []injected {
-	var beside []injected
+func concurrentFaults() []faultKind {
+	var concurrent []faultKind
 	for _, fault := range soakFaults {
 		if fault.group == "runner" || fault.group == groupLastNode {
-			beside = append(beside, fault)
+			concurrent = append(concurrent, fault)
 		}
 	}
-	return append(beside, injected{"freeze the last node", "freeze", (*soak).freezeLast})
+	return append(concurrent, faultKind{"freeze the last node", "freeze", (*soak).freezeLast})
 }
 
 func (s *soak) freezeLast() func() {
 	node := s.lastNode()
-	s.apart = append(s.apart, node.Name)
+	s.isolated = append(s.isolated, node.Name)
 	assert.NilError(s.t, node.Freeze())
 	return func() { assert.NilError(s.t, node.Thaw()) }
 }
@@ -86,12 +86,12 @@
 // also by the operator's rows; runners become cold, and a tenant has homes.
 func TestSoakParts(t *testing.T) {
 	t.Parallel()
-	plan := soakPlan{kinds: besideParts(), first: []injected{{"drain a zone", "store", (*soak).drainZone}}}
+	plan := soakPlan{kinds: concurrentFaults(), roundKinds: []faultKind{{"drain a zone", "store", (*soak).drainZone}}}
 	if hasPart("zones") {
-		plan.first = append(plan.first, injected{"take out a zone", "store", (*soak).takeOutZone})
+		plan.roundKinds = append(plan.roundKinds, faultKind{"take out a zone", "store", (*soak).takeOutZone})
 	}
 	if hasPart("cold") {
-		plan.kinds = append(plan.kinds, injected{"a runner becomes cold", "runner", (*soak).chillRunner})
+		plan.kinds = append(plan.kinds, faultKind{"a runner becomes cold", "runner", (*soak).chillRunner})
 	}
 	plan.adjust = func(o *world.Options) {
 		o.Zones = place.Map{homeZone: homeRegion}
@@ -100,7 +100,7 @@
 		}
 	}
 	if hasPart("homes") {
-		plan.prepare, plan.bearer = (*soak).startTenants, bearerOf
+		plan.prepare, plan.bearer = (*soak).startTenants, keyOfCaller
 	}
 	runSoak(t, *soakSeed, *soakRounds, plan)
 }
@@ -116,12 +116,12 @@
 
 // startTenants gives callers keys: every fourth one's tenant has homes.
 func (s *soak) startTenants() {
-	homed := tenantOf(homedTenant, 0, 0)
+	homed := newTenant(homedTenant, 0, 0)
 	homed.Homes = []string{homeRegion}
-	assert.NilError(s.t, s.w.ConfigureTenants([]protocol.Tenant{homed, tenantOf(freeTenant, 0, 0)}))
+	assert.NilError(s.t, s.w.ConfigureTenants([]protocol.Tenant{homed, newTenant(freeTenant, 0, 0)}))
 }
 
-func bearerOf(caller int) string {
+func keyOfCaller(caller int) string {
 	if caller%4 == 0 {
 		return homedTenant + "-key"
 	}
@@ -130,14 +130,14 @@
 
 // verifyParts checks what the world has: zones that were out, cold runners, homes.
 func (s *soak) verifyParts(h history) {
-	zones := zonesOf(s.w)
+	zones := runnerZones(s.w)
 	for _, o := range s.outages {
-		assert.NilError(s.t, h.zoneKept(o, zones))
+		assert.NilError(s.t, h.checkOutage(o, zones))
 	}
 	if s.w.ColdRate > 0 {
 		bound := settings.Default().ColdStart
-		assert.NilError(s.t, h.coldKept(int(math.Floor(s.w.ColdRate*bound.Share+bound.Slack))))
+		assert.NilError(s.t, h.checkColdBound(int(math.Floor(s.w.ColdRate*bound.Share+bound.Slack))))
 	}
 	homes := place.NewHomes([]place.Region{homeRegion})
-	assert.NilError(s.t, h.homesKept(homedTenant, homes, func(runner string) place.Region { return s.w.RegionOf(zones[runner]) }))
+	assert.NilError(s.t, h.checkHomes(homedTenant, homes, func(runner string) place.Region { return s.w.RegionOf(zones[runner]) }))
 }
--- a/test/parts_test.go
+++ b/test/parts_test.go
@@ -20,11 +20,11 @@
 	zone     place.Zone
 	from, to time.Time
 	// apart are the nodes that were out of touch for a part of it.
-	apart []string
+	isolated []string
 }
 
 // zonesOf tells the zone of each runner that ever ran in a world.
-func zonesOf(w *world.World) map[string]place.Zone {
+func runnerZones(w *world.World) map[string]place.Zone {
 	zones := make(map[string]place.Zone)
 	for name, runner := range w.Runners {
 		zones[name] = runner.Zone()
@@ -33,7 +33,7 @@
 }
 
 // senderOf is the node that sent a request or ordered a load; empty when that is not told.
-func senderOf(record journal.Record) string {
+func orderingNode(record journal.Record) string {
 	if _, owner, ordered := strings.Cut(record.Detail, " owner "); ordered {
 		return owner
 	}
@@ -44,13 +44,13 @@
 }
 
 // zoneKept returns an error when a node in touch sent something new to a zone in an outage.
-func (h history) zoneKept(o outage, zones map[string]place.Zone) error {
+func (h history) checkOutage(o outage, zones map[string]place.Zone) error {
 	for _, record := range h.records {
 		isNew := record.Event == journal.EventRun || record.Event == journal.EventLoad
 		if !isNew || zones[record.Runner] != o.zone || record.Time.Before(o.from) || !record.Time.Before(o.to) {
 			continue
 		}
-		if !slices.Contains(o.apart, senderOf(record)) {
+		if !slices.Contains(o.isolated, orderingNode(record)) {
 			return fmt.Errorf("%s after nothing new may go to %s: %+v", record.Time.Sub(o.from), o.zone, record)
 		}
 	}
@@ -58,7 +58,7 @@
 }
 
 // coldKept returns an error when a cold runner got more requests within a second than most.
-func (h history) coldKept(most int) error {
+func (h history) checkColdBound(most int) error {
 	for _, record := range h.records {
 		if record.Event != journal.EventCrowd {
 			continue
@@ -71,7 +71,7 @@
 }
 
 // homesKept returns an error when a request of a tenant ran outside its homes.
-func (h history) homesKept(tenant string, homes place.Homes, region func(runner string) place.Region) error {
+func (h history) checkHomes(tenant string, homes place.Homes, region func(runner string) place.Region) error {
 	for _, record := range h.records {
 		if record.Event == journal.EventRun && record.Tenant == tenant && !homes.Allows(region(record.Runner)) {
 			return fmt.Errorf("ran in %q, outside %s: %+v", region(record.Runner), homes, record)
@@ -86,7 +86,7 @@
 	t.Parallel()
 	begin := time.Unix(1000, 0)
 	zones := map[string]place.Zone{"r1": "zone-a", "r2": "zone-b"}
-	o := outage{zone: "zone-a", from: begin, to: begin.Add(time.Second), apart: []string{"node-2"}}
+	o := outage{zone: "zone-a", from: begin, to: begin.Add(time.Second), isolated: []string{"node-2"}}
 	record := func(after time.Duration, change func(*journal.Record)) history {
 		r := journal.Record{Time: begin.Add(after), Runner: "r1", Event: journal.EventRun, Request: "node-1-X", Tenant: "club"}
 		change(&r)
@@ -108,13 +108,13 @@
 			r.Event, r.Request, r.Detail = journal.EventLoad, "", "store owner node-2"
 		}), true},
 	} {
-		assert.Equal(t, test.h.zoneKept(o, zones) == nil, test.kept, name)
+		assert.Equal(t, test.h.checkOutage(o, zones) == nil, test.kept, name)
 	}
 	crowd := record(0, func(r *journal.Record) { r.Event, r.Detail = journal.EventCrowd, "7" })
-	assert.NilError(t, crowd.coldKept(7))
-	assert.Assert(t, crowd.coldKept(6) != nil)
+	assert.NilError(t, crowd.checkColdBound(7))
+	assert.Assert(t, crowd.checkColdBound(6) != nil)
 	south := func(string) place.Region { return "south" }
-	assert.NilError(t, record(0, same).homesKept("club", place.NewHomes([]place.Region{"south"}), south))
-	assert.NilError(t, record(0, same).homesKept("other", place.NewHomes([]place.Region{"north"}), south))
-	assert.Assert(t, record(0, same).homesKept("club", place.NewHomes([]place.Region{"north"}), south) != nil)
+	assert.NilError(t, record(0, same).checkHomes("club", place.NewHomes([]place.Region{"south"}), south))
+	assert.NilError(t, record(0, same).checkHomes("other", place.NewHomes([]place.Region{"north"}), south))
+	assert.Assert(t, record(0, same).checkHomes("club", place.NewHomes([]place.Region{"north"}), south) != nil)
 }
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -19,9 +19,9 @@
 	w, nodes := startWithAlpha(t, 2, 2, model("alpha", 1)...)
 	streamed := call{Model: "alpha", Prompt: "first words", Tokens: 8}
 	assertServed(t, streamed, ask(t.Context(), nodes[1], streamed, nil))
-	whole := call{Model: "alpha", Prompt: "second words", Tokens: 8, Whole: true}
+	whole := call{Model: "alpha", Prompt: "second words", Tokens: 8, Unstreamed: true}
 	assertServed(t, whole, ask(t.Context(), nodes[0], whole, nil))
-	readHistory(t, w).assertMemory(t)
+	readHistory(t, w).assertMemoryNeverExceeded(t)
 }
 
 // TestRefusalsAreTyped: what cannot be served is refused at once, with a code,
@@ -38,7 +38,7 @@
 	none := ask(t.Context(), nodes[0], call{Model: "none", Prompt: "x", Tokens: 1}, nil)
 	assert.Equal(t, none.Code, fault.CodeNoReplica)
 	assert.Equal(t, none.Ran, "no")
-	assert.Assert(t, none.Retry != "")
+	assert.Assert(t, none.RetryAfter != "")
 }
 
 // TestPolicyKeepsReplicaReady: a policy wakes a model that nobody asked for.
@@ -47,9 +47,9 @@
 	w := newWorld(t, nil)
 	startRunners(t, w, 2)
 	nodes := startNodes(t, w, 1)
-	apply(t, nodes[0], append(model("alpha", 2), keep("alpha", 2))...)
+	apply(t, nodes[0], append(model("alpha", 2), readyPolicy("alpha", 2))...)
 	waitUntil(t, "two replicas are loaded", func() error {
-		if len(runnersOf(t, nodes[0], "alpha")) != 2 {
+		if len(runnersHolding(t, nodes[0], "alpha")) != 2 {
 			return fault.New(fault.CodeNotLoaded, "test", "not yet")
 		}
 		return nil
@@ -65,7 +65,7 @@
 	startMailers(t, w, 2)
 	nodes := startNodes(t, w, 2)
 	apply(t, nodes[0], model("alpha", 1)...)
-	waitNamed(t, "alpha", nodes...)
+	waitKnown(t, "alpha", nodes...)
 	for _, path := range []string{"/draft/x", "/reply/x", "/send/x?y=1", "/read/x"} {
 		got := send(t.Context(), nodes[1], clientRequest{Path: path, Model: "alpha", Events: 5})
 		assert.Equal(t, got.Status, http.StatusOK, "%s: %+v", path, got)
--- a/test/poison_soak_test.go
+++ b/test/poison_soak_test.go
@@ -35,7 +35,7 @@
 
 // poisonSoak is a world with requests that end runners under faults.
 type poisonSoak struct {
-	*poisoned
+	*poisonWorld
 	random *rand.Rand
 
 	// mutex guards all below. sent is the content of each request, by identifier.
@@ -43,8 +43,8 @@
 	sent  map[string]string
 	// calm is until when the store was away last; disturbed is when nodes were started
 	// or went on after they stood still.
-	calm      time.Time
-	disturbed []time.Time
+	storeBackAt time.Time
+	disturbed   []time.Time
 }
 
 // soakDuration is how long requests and faults come in a soak.
@@ -57,23 +57,23 @@
 		request = clientRequest{Path: "/read/x"}
 	}
 	s := &poisonSoak{
-		poisoned: startPoisoned(t, poisonTest{request: request, renamed: random.IntN(2) == 0, away: time.Duration(500+random.IntN(2500)) * time.Millisecond}),
-		random:   random, sent: make(map[string]string),
+		poisonWorld: startPoisonWorld(t, poisonTest{request: request, renamed: random.IntN(2) == 0, downtime: time.Duration(500+random.IntN(2500)) * time.Millisecond}),
+		random:      random, sent: make(map[string]string),
 	}
 	ctx, end := context.WithTimeout(t.Context(), soakDuration)
 	defer end()
 	var running sync.WaitGroup
 	for _, word := range []string{"first", "second"} {
-		running.Go(func() { s.repeat(ctx, word) })
+		running.Go(func() { s.sendRepeatedly(ctx, word) })
 	}
-	running.Go(func() { s.sendInnocent(ctx) })
-	s.disturb(ctx, t)
+	running.Go(func() { s.sendHarmless(ctx) })
+	s.injectFaults(ctx, t)
 	running.Wait()
 	s.check(t)
 }
 
 // repeat sends a request that ends runners to nodes in turn, without waiting for answers.
-func (s *poisonSoak) repeat(ctx context.Context, word string) {
+func (s *poisonSoak) sendRepeatedly(ctx context.Context, word string) {
 	var tries sync.WaitGroup
 	defer tries.Wait()
 	for number := 0; ctx.Err() == nil; number++ {
@@ -87,7 +87,7 @@
 }
 
 // disturb brings faults one after the other until ctx ends.
-func (s *poisonSoak) disturb(ctx context.Context, t *testing.T) {
+func (s *poisonSoak) injectFaults(ctx context.Context, t *testing.T) {
 	t.Helper()
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(200+s.random.IntN(800)) * time.Millisecond)
@@ -102,24 +102,24 @@
 		case 1:
 			node.Kill()
 			assert.NilError(t, s.world.RestartNode(node))
-			s.note(&s.disturbed)
+			s.recordNow(&s.disturbed)
 		case 2:
 			assert.NilError(t, node.Freeze())
 			time.Sleep(pause)
 			assert.NilError(t, node.Thaw())
-			s.note(&s.disturbed)
+			s.recordNow(&s.disturbed)
 		case 3:
 			assert.NilError(t, s.world.SetStoreFaults(storestub.Faults{Down: storestub.Busy}))
 			time.Sleep(pause / 2)
 			assert.NilError(t, s.world.SetStoreFaults(storestub.Faults{}))
 			s.mutex.Lock()
-			s.calm = time.Now()
+			s.storeBackAt = time.Now()
 			s.mutex.Unlock()
 		}
 	}
 }
 
-func (s *poisonSoak) note(times *[]time.Time) {
+func (s *poisonSoak) recordNow(times *[]time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	*times = append(*times, time.Now())
@@ -140,20 +140,20 @@
 				reached = append(reached, record.Time)
 			}
 		}
-		if len(ends) < crashesAllowed {
+		if len(ends) < maxCrashes {
 			t.Logf("%s: %d ends", word, len(ends))
 			continue
 		}
-		third := ends[crashesAllowed-1]
+		third := ends[maxCrashes-1]
 		// A node that was started or stood still is as if it were new: it may send once more.
-		allowed, late := sendsAllowed+after(s.disturbed, third), after(reached, later(third, s.calm).Add(contact))
-		t.Logf("%s: %d ends, %d sends after the bound of at most %d; innocent: %v", word, len(ends), late, allowed, s.innocents)
+		allowed, late := maxSendsAfterCrashes+countAfter(s.disturbed, third), countAfter(reached, laterTime(third, s.storeBackAt).Add(propagationBound))
+		t.Logf("%s: %d ends, %d sends after the bound of at most %d; innocent: %v", word, len(ends), late, allowed, s.harmlessAnswers)
 		assert.Check(t, late <= allowed)
 	}
-	assert.Check(t, s.innocents[string(codePoison)] == 0 && s.innocents[string(fault.CodeCrashSuspected)] == 0, "%v", s.innocents)
+	assert.Check(t, s.harmlessAnswers[string(codePoison)] == 0 && s.harmlessAnswers[string(fault.CodeCrashSuspected)] == 0, "%v", s.harmlessAnswers)
 }
 
-func later(a, b time.Time) time.Time {
+func laterTime(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
@@ -161,7 +161,7 @@
 }
 
 // after counts the times after an instant.
-func after(times []time.Time, instant time.Time) int {
+func countAfter(times []time.Time, instant time.Time) int {
 	count := 0
 	for _, at := range times {
 		if at.After(instant) {
--- a/test/poison_test.go
+++ b/test/poison_test.go
@@ -37,17 +37,17 @@
 	// poisonText makes a request one that ends runners.
 	poisonText = "ends-its-runner"
 	// contact is the platform's bound on how soon nodes must hear of each other's news.
-	contact = 3 * time.Second
+	propagationBound = 3 * time.Second
 	// crashesAllowed is after how many ends a request may not be sent on, sendsAllowed how
 	// often it may be all the same once contact has passed since the last of these.
-	crashesAllowed = 3
-	sendsAllowed   = 3
-	codePoison     = fault.Code("crashes_runners")
+	maxCrashes           = 3
+	maxSendsAfterCrashes = 3
+	codePoison           = fault.Code("crashes_runners")
 	// poisonPause and innocentPause lie between requests.
 	poisonPause   = 150 * time.Millisecond
-	innocentPause = 40 * time.Millisecond
+	harmlessPause = 40 * time.Millisecond
 	// innocentTries is how often a client sends an innocent request.
-	innocentTries = 3
+	harmlessTries = 3
 )
 
 // TestRequestThatEndsRunnersIsNotSentOn: such a request comes again and again, at all nodes,
@@ -64,16 +64,16 @@
 		// sends it to several runners.
 		"safe": {renamed: true, request: clientRequest{Path: "/read/x"}},
 		// Hardly anything else is sent, so that no other request shows that a runner is away.
-		"once, alone": {renamed: true, request: clientRequest{Path: "/send/x"}, innocentPause: time.Second},
+		"once, alone": {renamed: true, request: clientRequest{Path: "/send/x"}, harmlessPause: time.Second},
 		// There are enough others that no node turns to a runner again that ended, until it
 		// is back after some seconds.
-		"once, seldom": {renamed: true, request: clientRequest{Path: "/send/x"}, innocentPause: time.Second,
-			mailers: 16, poisonPause: 400 * time.Millisecond, away: 8 * time.Second},
+		"once, seldom": {renamed: true, request: clientRequest{Path: "/send/x"}, harmlessPause: time.Second,
+			mailers: 16, poisonPause: 400 * time.Millisecond, downtime: 8 * time.Second},
 		// The same, after requests of all nodes timed out at all of the runners.
-		"once, after time-outs": {renamed: true, request: clientRequest{Path: "/send/x"}, innocentPause: time.Second,
-			mailers: 16, poisonPause: 400 * time.Millisecond, away: 8 * time.Second, timeOuts: true},
+		"once, after time-outs": {renamed: true, request: clientRequest{Path: "/send/x"}, harmlessPause: time.Second,
+			mailers: 16, poisonPause: 400 * time.Millisecond, downtime: 8 * time.Second, timeOuts: true},
 		// The node that counts for all stands still from before the first end.
-		"holder still": {renamed: true, request: stream, holderStill: true},
+		"holder still": {renamed: true, request: stream, holderFrozen: true},
 	} {
 		// One after the other: together they are a hundred processes and more.
 		t.Run(name, func(t *testing.T) { runPoison(t, test) })
@@ -87,36 +87,36 @@
 	// reached through a proxy.
 	renamed, proxied bool
 	// innocentPause lies between innocent requests; innocentPause where it is not set.
-	innocentPause time.Duration
+	harmlessPause time.Duration
 	// mailers is how many runners without models there are, away how long runners are before
 	// they are back, poisonPause lies between requests that end them; the usual where not set.
-	mailers           int
-	away, poisonPause time.Duration
+	mailers               int
+	downtime, poisonPause time.Duration
 	// timeOuts lets requests time out at all runners without models before.
 	timeOuts bool
 	// holderStill lets the holder of the control lease stand still meanwhile.
-	holderStill bool
+	holderFrozen bool
 }
 
 // poisoned is a world in which one request ends the runners that run it.
-type poisoned struct {
+type poisonWorld struct {
 	world *world.World
 	nodes []*world.Node
 	poisonTest
 
 	mutex sync.Mutex
 	// innocents are the answers to other requests, by what became of them.
-	innocents map[string]int
+	harmlessAnswers map[string]int
 }
 
 func runPoison(t *testing.T, test poisonTest) {
 	t.Helper()
-	p := startPoisoned(t, test)
+	p := startPoisonWorld(t, test)
 	if test.timeOuts {
 		p.timeOut(t)
 	}
-	if test.holderStill {
-		holder := holderOf(t, p.world, p.nodes[0])
+	if test.holderFrozen {
+		holder := leaseHolder(t, p.world, p.nodes[0])
 		assert.NilError(t, holder.Freeze())
 		p.nodes = slices.DeleteFunc(p.nodes, func(node *world.Node) bool { return node == holder })
 	}
@@ -124,41 +124,41 @@
 	defer end()
 	var senders sync.WaitGroup
 	senders.Go(func() { p.sendPoison(ctx) })
-	senders.Go(func() { p.sendInnocent(ctx) })
+	senders.Go(func() { p.sendHarmless(ctx) })
 	var third time.Time
 	waitUntil(t, "the request ended its runners", func() error {
-		crashes := eventsOf(readHistory(t, p.world), journal.EventCrash)
-		if len(crashes) < crashesAllowed {
+		crashes := eventTimes(readHistory(t, p.world), journal.EventCrash)
+		if len(crashes) < maxCrashes {
 			return fmt.Errorf("%d ended", len(crashes))
 		}
-		third = crashes[crashesAllowed-1]
+		third = crashes[maxCrashes-1]
 		return nil
 	})
 	// Tries go on for as long again as nodes may take to hear of it.
-	time.Sleep(time.Until(third.Add(2 * contact)))
+	time.Sleep(time.Until(third.Add(2 * propagationBound)))
 	end()
 	senders.Wait()
 	late := 0
-	for _, at := range eventsOf(readHistory(t, p.world), journal.EventPoison) {
-		if at.Sub(third) > contact {
+	for _, at := range eventTimes(readHistory(t, p.world), journal.EventPoison) {
+		if at.Sub(third) > propagationBound {
 			late++
 		}
 	}
-	crashes := eventsOf(readHistory(t, p.world), journal.EventCrash)
+	crashes := eventTimes(readHistory(t, p.world), journal.EventCrash)
 	t.Logf("%d runners ended, %d sends after the bound; refused at nodes %v after the third end; innocent requests: %v",
-		len(crashes), late, p.refusedAfter(t, third), p.innocents)
-	assert.Assert(t, late <= sendsAllowed, "sent %d times more, %d runners ended", late, len(crashes))
+		len(crashes), late, p.refusedAfter(t, third), p.harmlessAnswers)
+	assert.Assert(t, late <= maxSendsAfterCrashes, "sent %d times more, %d runners ended", late, len(crashes))
 	p.checkAnswers(t)
 }
 
-func startPoisoned(t *testing.T, test poisonTest) *poisoned {
+func startPoisonWorld(t *testing.T, test poisonTest) *poisonWorld {
 	t.Helper()
 	const runners, nodes = 5, 4
 	w := newWorld(t, func(o *world.Options) { o.Proxied = test.proxied })
-	p := &poisoned{world: w, poisonTest: test, innocents: make(map[string]int)}
-	p.innocentPause = cmp.Or(p.innocentPause, innocentPause)
+	p := &poisonWorld{world: w, poisonTest: test, harmlessAnswers: make(map[string]int)}
+	p.harmlessPause = cmp.Or(p.harmlessPause, harmlessPause)
 	p.poisonPause = cmp.Or(p.poisonPause, poisonPause)
-	returns := world.Return{After: cmp.Or(test.away, time.Second), Renamed: test.renamed}
+	returns := world.Return{After: cmp.Or(test.downtime, time.Second), Renamed: test.renamed}
 	for index := range runners {
 		options := engineOptions(w, fmt.Sprintf("runner-%d", index+1), zones[index%len(zones)])
 		options.CrashBy, options.Returns = poisonText, returns
@@ -172,10 +172,10 @@
 		assert.NilError(t, err)
 	}
 	p.nodes = startNodes(t, w, nodes)
-	apply(t, p.nodes[0], append(model("alpha", runners), keep("alpha", runners))...)
-	waitNamed(t, "alpha", p.nodes...)
+	apply(t, p.nodes[0], append(model("alpha", runners), readyPolicy("alpha", runners))...)
+	waitKnown(t, "alpha", p.nodes...)
 	waitUntil(t, "all runners hold the model", func() error {
-		if got := len(runnersOf(t, p.nodes[0], "alpha")); got != runners {
+		if got := len(runnersHolding(t, p.nodes[0], "alpha")); got != runners {
 			return fmt.Errorf("%d do", got)
 		}
 		return nil
@@ -184,7 +184,7 @@
 }
 
 // timeOut lets requests of each node time out at the runners without models.
-func (p *poisoned) timeOut(t *testing.T) {
+func (p *poisonWorld) timeOut(t *testing.T) {
 	t.Helper()
 	for _, faults := range []runnerstub.Faults{{MuteShare: 1}, {}} {
 		for index := range p.mailers {
@@ -202,7 +202,7 @@
 }
 
 // sendPoison sends the request that ends runners until ctx ends, without waiting for answers.
-func (p *poisoned) sendPoison(ctx context.Context) {
+func (p *poisonWorld) sendPoison(ctx context.Context) {
 	var tries sync.WaitGroup
 	defer tries.Wait()
 	for number := 0; ctx.Err() == nil; number++ {
@@ -211,12 +211,12 @@
 	}
 }
 
-func (p *poisoned) tryPoison(ctx context.Context, node *world.Node) clientAnswer {
+func (p *poisonWorld) tryPoison(ctx context.Context, node *world.Node) clientAnswer {
 	return send(ctx, node, p.poison("please"))
 }
 
 // poison is a request that ends runners, one content for each word.
-func (p *poisoned) poison(word string) clientRequest {
+func (p *poisonWorld) poison(word string) clientRequest {
 	request := p.request
 	request.ID, request.Method, request.Body, request.Deadline = newID(), http.MethodPost, []byte(word+" "+poisonText), 4*time.Second
 	return request
@@ -224,29 +224,29 @@
 
 // sendInnocent sends other requests of the same kind until ctx ends. Their clients come
 // again, with the same content, where they are not served.
-func (p *poisoned) sendInnocent(ctx context.Context) {
+func (p *poisonWorld) sendHarmless(ctx context.Context) {
 	var tries sync.WaitGroup
 	defer tries.Wait()
 	for number := 0; ctx.Err() == nil; number++ {
 		tries.Go(func() {
-			for try := range innocentTries {
-				if p.tryInnocent(ctx, number, p.nodes[(number+try)%len(p.nodes)]) {
+			for try := range harmlessTries {
+				if p.tryHarmless(ctx, number, p.nodes[(number+try)%len(p.nodes)]) {
 					return
 				}
 				time.Sleep(poisonPause)
 			}
 		})
-		time.Sleep(p.innocentPause)
+		time.Sleep(p.harmlessPause)
 	}
 }
 
 // tryInnocent sends an innocent request and reports whether it was served.
-func (p *poisoned) tryInnocent(ctx context.Context, number int, node *world.Node) bool {
+func (p *poisonWorld) tryHarmless(ctx context.Context, number int, node *world.Node) bool {
 	request := p.request
 	request.Method, request.Body, request.Deadline = http.MethodPost, []byte("innocent "+strconv.Itoa(number)), 4*time.Second
 	got := send(ctx, node, request)
 	what := strconv.Itoa(got.Status)
-	if code := codeOf(got); code == codePoison || code == fault.CodeCrashSuspected {
+	if code := errorCode(got); code == codePoison || code == fault.CodeCrashSuspected {
 		what = string(code)
 	}
 	if ctx.Err() != nil {
@@ -254,12 +254,12 @@
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.innocents[what]++
+	p.harmlessAnswers[what]++
 	return got.Status == http.StatusOK && got.Whole
 }
 
 // refusedAfter returns how long after an instant each node refused the request, by its log.
-func (p *poisoned) refusedAfter(t *testing.T, instant time.Time) []time.Duration {
+func (p *poisonWorld) refusedAfter(t *testing.T, instant time.Time) []time.Duration {
 	t.Helper()
 	var times []time.Duration
 	for _, node := range p.nodes {
@@ -279,37 +279,37 @@
 
 // checkAnswers checks that no innocent request was taken for the one that ends runners, that
 // this one gets a final answer at each node and runs no more, and that others are served.
-func (p *poisoned) checkAnswers(t *testing.T) {
+func (p *poisonWorld) checkAnswers(t *testing.T) {
 	t.Helper()
-	assert.Equal(t, p.innocents[string(codePoison)]+p.innocents[string(fault.CodeCrashSuspected)], 0, "%v", p.innocents)
-	before := len(eventsOf(readHistory(t, p.world), journal.EventPoison))
+	assert.Equal(t, p.harmlessAnswers[string(codePoison)]+p.harmlessAnswers[string(fault.CodeCrashSuspected)], 0, "%v", p.harmlessAnswers)
+	before := len(eventTimes(readHistory(t, p.world), journal.EventPoison))
 	for _, node := range p.nodes {
 		got := p.tryPoison(t.Context(), node)
 		assert.Equal(t, got.Status, http.StatusBadRequest, "%+v", got)
-		assert.Equal(t, codeOf(got), codePoison, "%+v", got)
+		assert.Equal(t, errorCode(got), codePoison, "%+v", got)
 		waitUntil(t, "innocent requests are served", func() error {
-			if !p.tryInnocent(t.Context(), int(time.Now().UnixNano()), node) {
-				return fmt.Errorf("%v", p.innocents)
+			if !p.tryHarmless(t.Context(), int(time.Now().UnixNano()), node) {
+				return fmt.Errorf("%v", p.harmlessAnswers)
 			}
 			return nil
 		})
 	}
-	assert.Equal(t, len(eventsOf(readHistory(t, p.world), journal.EventPoison)), before)
+	assert.Equal(t, len(eventTimes(readHistory(t, p.world), journal.EventPoison)), before)
 }
 
 // refusedEverywhere waits until each node refuses the request for good, and returns how often
 // it has reached runners by then.
-func (p *poisoned) refusedEverywhere(t *testing.T) int {
+func (p *poisonWorld) waitRefusedAtAllNodes(t *testing.T) int {
 	t.Helper()
 	for _, node := range p.nodes {
 		waitUntil(t, "the request is refused at "+node.Name, func() error {
-			if got := p.tryPoison(t.Context(), node); codeOf(got) != codePoison {
+			if got := p.tryPoison(t.Context(), node); errorCode(got) != codePoison {
 				return fmt.Errorf("%d %s", got.Status, got.Body)
 			}
 			return nil
 		})
 	}
-	return len(eventsOf(readHistory(t, p.world), journal.EventPoison))
+	return len(eventTimes(readHistory(t, p.world), journal.EventPoison))
 }
 
 // TestRefusedRequestIsKnownAfterNodesEnded: nodes that are started again one by one, or that
@@ -317,27 +317,27 @@
 // run again.
 func TestRefusedRequestIsKnownAfterNodesEnded(t *testing.T) {
 	t.Parallel()
-	p := startPoisoned(t, poisonTest{renamed: true, request: clientRequest{Path: "/read/x"}})
-	reached := p.refusedEverywhere(t)
+	p := startPoisonWorld(t, poisonTest{renamed: true, request: clientRequest{Path: "/read/x"}})
+	reached := p.waitRefusedAtAllNodes(t)
 	for _, node := range p.nodes {
 		assert.NilError(t, node.Terminate())
-		assert.NilError(t, node.Wait(fastGrace))
+		assert.NilError(t, node.Wait(stopGrace))
 		assert.NilError(t, p.world.RestartNode(node))
 	}
-	assert.Equal(t, p.refusedEverywhere(t), reached, "after nodes were stopped in turn")
+	assert.Equal(t, p.waitRefusedAtAllNodes(t), reached, "after nodes were stopped in turn")
 	for _, node := range p.nodes {
 		node.Kill()
 	}
 	for _, node := range p.nodes {
 		assert.NilError(t, p.world.RestartNode(node))
 	}
-	assert.Equal(t, p.refusedEverywhere(t), reached, "after all nodes were killed")
+	assert.Equal(t, p.waitRefusedAtAllNodes(t), reached, "after all nodes were killed")
 
-	expect := operate(t, p.nodes[1])
+	expect := newCommandCheck(t, p.nodes[1])
 	var listed []wire.PoisonStatus
 	assert.NilError(t, json.Unmarshal([]byte(expect(commandline.ExitOK, wire.PoisonRefused, "quarantine", "list", "-o", "json")), &listed))
 	assert.Equal(t, len(listed), 1)
-	assert.Assert(t, len(listed[0].Runners) >= crashesAllowed, "%+v", listed)
+	assert.Assert(t, len(listed[0].Runners) >= maxCrashes, "%+v", listed)
 	short := listed[0].Request[:16]
 	got := p.tryPoison(t.Context(), p.nodes[0])
 	expect(commandline.ExitOK, short, "explain", "request", got.ID)
@@ -345,12 +345,12 @@
 	expect(command.ExitNotFound, "lift quarantine", "quarantine", "lift", "0123")
 	expect(commandline.ExitOK, "may run again", "quarantine", "lift", short)
 	waitUntil(t, "it runs again at another node", func() error {
-		if got := p.tryPoison(t.Context(), p.nodes[2]); codeOf(got) != "" && codeOf(got) == codePoison {
+		if got := p.tryPoison(t.Context(), p.nodes[2]); errorCode(got) != "" && errorCode(got) == codePoison {
 			return fmt.Errorf("%+v", got)
 		}
 		return nil
 	})
-	assert.Assert(t, len(eventsOf(readHistory(t, p.world), journal.EventPoison)) > reached)
+	assert.Assert(t, len(eventTimes(readHistory(t, p.world), journal.EventPoison)) > reached)
 }
 
 // TestModelThatEndsItsRunnersDoesNotEndAll: a model ended each runner that was ordered to load
@@ -358,7 +358,7 @@
 // for longer and longer; its requests are told when to come back, and others are served.
 func TestModelThatEndsItsRunnersDoesNotEndAll(t *testing.T) {
 	t.Parallel()
-	runModelThatEndsRunners(t, 2, nil)
+	runCrashingModel(t, 2, nil)
 }
 
 // TestModelThatEndsItsRunnersIsCountedThroughFaults: ends were not counted of runners whose
@@ -370,7 +370,7 @@
 	until := func(t *testing.T, w *world.World, count int) {
 		t.Helper()
 		waitUntil(t, "runners ended", func() error {
-			if ended := len(eventsOf(readHistory(t, w), journal.EventCrash)); ended < count {
+			if ended := len(eventTimes(readHistory(t, w), journal.EventCrash)); ended < count {
 				return fmt.Errorf("%d did", ended)
 			}
 			return nil
@@ -378,7 +378,7 @@
 	}
 	for name, disturb := range map[string]func(t *testing.T, w *world.World, holder *world.Node){
 		"orders without answers": func(t *testing.T, w *world.World, _ *world.Node) {
-			for index := range endingRunners {
+			for index := range crashingModelRunners {
 				assert.NilError(t, w.SetRunnerFaults(fmt.Sprintf("runner-%d", index+1), runnerstub.Faults{OrderLostShare: 1}))
 			}
 		},
@@ -398,7 +398,7 @@
 			holder.Kill()
 		},
 	} {
-		t.Run(name, func(t *testing.T) { runModelThatEndsRunners(t, 3, disturb) })
+		t.Run(name, func(t *testing.T) { runCrashingModel(t, 3, disturb) })
 	}
 }
 
@@ -406,14 +406,14 @@
 var endsSeed = flag.Uint64("ends.seed", 1, "seed of the pause of the holder while a model ends its runners")
 
 // endingRunners is how many runners a model may end.
-const endingRunners = 6
+const crashingModelRunners = 6
 
 // runModelThatEndsRunners asks nodes for a model that ends its runners, while something happens to
 // the node that holds the control lease, which is not asked then.
-func runModelThatEndsRunners(t *testing.T, count int, disturb func(t *testing.T, w *world.World, holder *world.Node)) {
+func runCrashingModel(t *testing.T, count int, disturb func(t *testing.T, w *world.World, holder *world.Node)) {
 	t.Helper()
 	const (
-		runners, ends = endingRunners, 3
+		runners, ends = crashingModelRunners, 3
 		// asked is how long requests go on after the third end: less than loads rest then.
 		asked = 7 * time.Second
 		// together is how many more runners may be loading it as the third ends.
@@ -429,13 +429,13 @@
 		assert.NilError(t, err)
 	}
 	nodes := startNodes(t, w, count)
-	apply(t, nodes[0], append(model("alpha", 2), keep("alpha", 2))...)
+	apply(t, nodes[0], append(model("alpha", 2), readyPolicy("alpha", 2))...)
 	apply(t, nodes[0], model(poisonText, 2)...)
-	waitNamed(t, "alpha", nodes...)
-	waitNamed(t, poisonText, nodes...)
+	waitKnown(t, "alpha", nodes...)
+	waitKnown(t, poisonText, nodes...)
 	var holder *world.Node
 	if disturb != nil {
-		holder = holderOf(t, w, nodes[0])
+		holder = leaseHolder(t, w, nodes[0])
 		nodes = slices.DeleteFunc(nodes, func(node *world.Node) bool { return node == holder })
 	}
 	request := func(model string) call {
@@ -454,7 +454,7 @@
 	}
 	var third time.Time
 	waitUntil(t, "runners ended", func() error {
-		crashes := eventsOf(readHistory(t, w), journal.EventCrash)
+		crashes := eventTimes(readHistory(t, w), journal.EventCrash)
 		if len(crashes) < ends {
 			return fmt.Errorf("%d did", len(crashes))
 		}
@@ -464,23 +464,23 @@
 	time.Sleep(time.Until(third.Add(asked)))
 	end()
 	senders.Wait()
-	crashes := eventsOf(readHistory(t, w), journal.EventCrash)
+	crashes := eventTimes(readHistory(t, w), journal.EventCrash)
 	assert.Assert(t, len(crashes) <= ends+together, "%d runners ended", len(crashes))
 	// Another request waits there already, so that the node was told.
-	waiting := inBackground(t.Context(), nodes[1], request(poisonText), nil)
-	await(t, waiting)
+	waiting := sendInBackground(t.Context(), nodes[1], request(poisonText), nil)
+	awaitOutcome(t, waiting)
 	start := time.Now()
 	got := ask(t.Context(), nodes[1], request(poisonText), nil)
 	t.Logf("%s after its first request: %+v", time.Since(start), got)
 	assert.Equal(t, got.Status, http.StatusServiceUnavailable, "%+v", got)
-	back, err := strconv.ParseFloat(got.Retry, 64)
+	back, err := strconv.ParseFloat(got.RetryAfter, 64)
 	assert.NilError(t, err)
 	assert.Assert(t, back >= 1, "told to come back in %g s", back)
 	assertServed(t, request("alpha"), ask(t.Context(), nodes[1], request("alpha"), nil))
 }
 
 // codeOf is the code of an error that a node answered with; empty for other answers.
-func codeOf(got clientAnswer) fault.Code {
+func errorCode(got clientAnswer) fault.Code {
 	var body fault.Body
 	if json.Unmarshal([]byte(got.Body), &body) != nil {
 		return ""
@@ -489,7 +489,7 @@
 }
 
 // eventsOf returns when an event happened at any runner, in order.
-func eventsOf(h history, event journal.Event) []time.Time {
+func eventTimes(h history, event journal.Event) []time.Time {
 	var times []time.Time
 	for _, record := range h.records {
 		if record.Event == event {
--- a/test/relay_test.go
+++ b/test/relay_test.go
@@ -16,7 +16,7 @@
 const tablesFromStore = "store"
 
 // readersOf returns the nodes that read the store themselves.
-func readersOf(t *testing.T, nodes []*world.Node) ([]*world.Node, error) {
+func storeReaders(t *testing.T, nodes []*world.Node) ([]*world.Node, error) {
 	t.Helper()
 	var readers []*world.Node
 	for _, node := range nodes {
@@ -32,11 +32,11 @@
 }
 
 // relayOf waits until one of the nodes reads the store and the others follow it.
-func relayOf(t *testing.T, nodes []*world.Node) *world.Node {
+func waitSingleRelay(t *testing.T, nodes []*world.Node) *world.Node {
 	t.Helper()
 	var relay *world.Node
 	waitUntil(t, "one node reads the store for the others", func() error {
-		readers, err := readersOf(t, nodes)
+		readers, err := storeReaders(t, nodes)
 		if err != nil {
 			return err
 		}
@@ -50,7 +50,7 @@
 }
 
 // without returns the nodes but one.
-func without(nodes []*world.Node, left *world.Node) []*world.Node {
+func nodesExcept(nodes []*world.Node, left *world.Node) []*world.Node {
 	var others []*world.Node
 	for _, node := range nodes {
 		if node != left {
@@ -62,7 +62,7 @@
 
 // configured writes a configuration with a route more, and waits until the nodes
 // have it in force.
-func configured(t *testing.T, w *world.World, number int, nodes []*world.Node) {
+func applyConfiguration(t *testing.T, w *world.World, number int, nodes []*world.Node) {
 	t.Helper()
 	before := make(map[*world.Node]uint64)
 	for _, node := range nodes {
@@ -93,11 +93,11 @@
 	t.Parallel()
 	w := newWorld(t, nil)
 	nodes := startNodes(t, w, 5)
-	relay := relayOf(t, nodes)
+	relay := waitSingleRelay(t, nodes)
 	for number := range 3 {
-		configured(t, w, number, nodes)
+		applyConfiguration(t, w, number, nodes)
 	}
-	assert.Equal(t, relayOf(t, nodes), relay)
+	assert.Equal(t, waitSingleRelay(t, nodes), relay)
 }
 
 // TestTablesWhenRelayIsLost: the relay is frozen, cut off from its peers, cut off
@@ -119,17 +119,17 @@
 			t.Parallel()
 			w := newWorld(t, nil)
 			nodes := startNodes(t, w, 4)
-			relay := relayOf(t, nodes)
-			others := without(nodes, relay)
+			relay := waitSingleRelay(t, nodes)
+			others := nodesExcept(nodes, relay)
 			lose(t, relay)
-			configured(t, w, 1, others)
+			applyConfiguration(t, w, 1, others)
 			if name != "cut off from peers" && name != "answers to peers lost" {
-				relayOf(t, others)
+				waitSingleRelay(t, others)
 			}
-			configured(t, w, 2, others)
+			applyConfiguration(t, w, 2, others)
 			if name == "frozen" {
 				assert.NilError(t, relay.Thaw())
-				configured(t, w, 3, nodes)
+				applyConfiguration(t, w, 3, nodes)
 			}
 		})
 	}
@@ -141,14 +141,14 @@
 	t.Parallel()
 	w := newWorld(t, nil)
 	nodes := startNodes(t, w, 4)
-	relayOf(t, nodes)
-	configured(t, w, 1, nodes)
+	waitSingleRelay(t, nodes)
+	applyConfiguration(t, w, 1, nodes)
 	assert.NilError(t, w.SetStoreFaults(storestub.Faults{StaleMs: 300}))
 	assert.NilError(t, w.ForgetHistory())
-	configured(t, w, 2, nodes)
+	applyConfiguration(t, w, 2, nodes)
 	assert.NilError(t, w.SetStoreFaults(storestub.Faults{}))
-	configured(t, w, 3, nodes)
-	relayOf(t, nodes)
+	applyConfiguration(t, w, 3, nodes)
+	waitSingleRelay(t, nodes)
 }
 
 // TestHolderWithoutStoreIsReplaced: a holder that lost the store, but still
@@ -159,11 +159,11 @@
 	w := newWorld(t, nil)
 	startRunners(t, w, 1)
 	nodes := startNodes(t, w, 3)
-	holder := holderOf(t, w, nodes[0])
-	others := without(nodes, holder)
+	holder := leaseHolder(t, w, nodes[0])
+	others := nodesExcept(nodes, holder)
 	holder.StoreProxy.Block()
 	waitUntil(t, "another node holds the lease", func() error {
-		if now := holderOf(t, w, others[0]); now == holder {
+		if now := leaseHolder(t, w, others[0]); now == holder {
 			return fmt.Errorf("%s still holds it", now.Name)
 		}
 		return nil
@@ -179,10 +179,10 @@
 	nodes := startNodes(t, w, 4)
 	number := 0
 	for _, down := range []storestub.Down{storestub.Busy, storestub.Many, storestub.Reset, storestub.Silent} {
-		relay := relayOf(t, nodes)
+		relay := waitSingleRelay(t, nodes)
 		assert.NilError(t, w.SetStoreFaults(storestub.Faults{Down: down, Only: []string{relay.StoreHost()}}))
 		number++
-		configured(t, w, number, nodes)
+		applyConfiguration(t, w, number, nodes)
 		assert.NilError(t, w.SetStoreFaults(storestub.Faults{}))
 	}
 }
@@ -195,9 +195,9 @@
 	w := newWorld(t, nil)
 	startMailers(t, w, 4)
 	nodes := startNodes(t, w, 3)
-	for round := range 3 {
+	for runRound := range 3 {
 		assert.NilError(t, w.LapseRunners())
-		configured(t, w, round, nodes)
+		applyConfiguration(t, w, runRound, nodes)
 		for _, node := range nodes {
 			got := send(t.Context(), node, clientRequest{Path: "/read/x"})
 			assert.Equal(t, got.Status, 200, "%+v", got)
--- a/test/replicas_test.go
+++ b/test/replicas_test.go
@@ -36,16 +36,16 @@
 // replicas are loaded than decided, and the orders of the two lie apart.
 func TestReplicasWhenHolderFreezes(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, func(o *world.Options) { o.Engine.SizeMB = roomFor(1) })
+	w := newWorld(t, func(o *world.Options) { o.Engine.SizeMB = memoryForModels(1) })
 	startRunners(t, w, 2)
 	nodes := startNodes(t, w, 3)
 	for index := range 4 {
 		apply(t, nodes[0], model(fmt.Sprintf("m%d", index), 1)...)
 	}
-	holder := holderOf(t, w, nodes[0])
-	caller := other(nodes, holder)
-	waitNamed(t, "m3", caller)
-	load := startBackground(t, 4, func(who, number int) (*world.Node, call) {
+	holder := leaseHolder(t, w, nodes[0])
+	caller := anyNodeExcept(nodes, holder)
+	waitKnown(t, "m3", caller)
+	load := startLoad(t, 4, func(who, number int) (*world.Node, call) {
 		return caller, call{Model: fmt.Sprintf("m%d", who), Prompt: fmt.Sprintf("p%d-%d", who, number), Tokens: 4, Deadline: 20 * time.Second}
 	})
 	load.waitServed(t, 6)
@@ -68,10 +68,10 @@
 	load.finish()
 	h := readHistory(t, w)
 	for index := range 4 {
-		assert.Assert(t, h.most(fmt.Sprintf("m%d", index)) <= 1)
+		assert.Assert(t, h.maxReplicas(fmt.Sprintf("m%d", index)) <= 1)
 	}
-	h.assertMemory(t)
-	h.assertTurns(t, turnGap)
+	h.assertMemoryNeverExceeded(t)
+	h.assertOrderGap(t, turnGap)
 	load.assertTruthful(t, h)
 }
 
@@ -90,15 +90,15 @@
 	}
 	nodes := startNodes(t, w, 3)
 	apply(t, nodes[0], model("alpha", 1)...)
-	waitNamed(t, "alpha", nodes...)
-	holder := holderOf(t, w, nodes[0])
-	caller := other(nodes, holder)
+	waitKnown(t, "alpha", nodes...)
+	holder := leaseHolder(t, w, nodes[0])
+	caller := anyNodeExcept(nodes, holder)
 	var waiting sync.WaitGroup
 	request := call{Model: "alpha", Prompt: "one", Tokens: 4, Deadline: 25 * time.Second}
 	var got outcome
 	waiting.Go(func() { got = ask(t.Context(), caller, request, nil) })
 	waitUntil(t, "the load has begun", func() error {
-		if h := readHistory(t, w); h.most("alpha") == 0 {
+		if h := readHistory(t, w); h.maxReplicas("alpha") == 0 {
 			return errors.New("nothing is loaded")
 		}
 		return nil
@@ -106,7 +106,7 @@
 	holder.Kill()
 	waiting.Wait()
 	assertServed(t, request, got)
-	assert.Equal(t, readHistory(t, w).most("alpha"), 1)
+	assert.Equal(t, readHistory(t, w).maxReplicas("alpha"), 1)
 }
 
 // TestControlWhenHolderIsLost: the holder is killed, then the next one is cut
@@ -114,7 +114,7 @@
 // goes on, and the orders of two nodes lie apart.
 func TestControlWhenHolderIsLost(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, func(o *world.Options) { o.Engine.SizeMB = roomFor(1) })
+	w := newWorld(t, func(o *world.Options) { o.Engine.SizeMB = memoryForModels(1) })
 	startRunners(t, w, 2)
 	nodes := startNodes(t, w, 4)
 	const models = 4
@@ -127,12 +127,12 @@
 		func(node *world.Node) { node.StoreProxy.Block() },
 		func(node *world.Node) { assert.NilError(t, node.Terminate()) },
 	} {
-		caller := other(nodes, gone...)
-		holder := holderOf(t, w, caller)
+		caller := anyNodeExcept(nodes, gone...)
+		holder := leaseHolder(t, w, caller)
 		if caller == holder {
-			caller = other(nodes, append(gone, holder)...)
+			caller = anyNodeExcept(nodes, append(gone, holder)...)
 		}
-		waitNamed(t, fmt.Sprintf("m%d", models-1), caller)
+		waitKnown(t, fmt.Sprintf("m%d", models-1), caller)
 		lose(holder)
 		gone = append(gone, holder)
 		for index := range models {
@@ -141,10 +141,10 @@
 		}
 	}
 	h := readHistory(t, w)
-	h.assertMemory(t)
-	h.assertTurns(t, turnGap)
+	h.assertMemoryNeverExceeded(t)
+	h.assertOrderGap(t, turnGap)
 	for index := range models {
-		assert.Assert(t, h.most(fmt.Sprintf("m%d", index)) <= 1)
+		assert.Assert(t, h.maxReplicas(fmt.Sprintf("m%d", index)) <= 1)
 	}
 }
 
@@ -154,15 +154,15 @@
 // appears.
 func TestReplicasWhileOperatorsChangeThem(t *testing.T) {
 	t.Parallel()
-	w, nodes := startWithAlpha(t, 4, 3, append(model("alpha", 1), keep("alpha", 4))...)
-	load := startBackground(t, 8, func(who, number int) (*world.Node, call) {
+	w, nodes := startWithAlpha(t, 4, 3, append(model("alpha", 1), readyPolicy("alpha", 4))...)
+	load := startLoad(t, 8, func(who, number int) (*world.Node, call) {
 		return nodes[who%2], call{Model: "alpha", Prompt: fmt.Sprintf("p%d-%d", who, number), Tokens: 20, Deadline: 20 * time.Second}
 	})
 	load.waitServed(t, 5)
 	for _, replicas := range []int{3, 1, 4, 1} {
 		assert.NilError(t, setReplicas(t.Context(), nodes[1], "alpha", replicas))
 		waitUntil(t, "the bound is met", func() error {
-			if loaded := len(runnersOf(t, nodes[0], "alpha")); loaded != replicas {
+			if loaded := len(runnersHolding(t, nodes[0], "alpha")); loaded != replicas {
 				return fmt.Errorf("%d loaded, %d decided", loaded, replicas)
 			}
 			return nil
@@ -176,9 +176,9 @@
 	load.waitServed(t, 20)
 	load.finish()
 	h := readHistory(t, w)
-	assert.Assert(t, h.most("alpha") <= 4, "%d replicas", h.most("alpha"))
-	assert.Equal(t, h.mostFrom(lowered, "alpha"), 1)
-	h.assertMemory(t)
+	assert.Assert(t, h.maxReplicas("alpha") <= 4, "%d replicas", h.maxReplicas("alpha"))
+	assert.Equal(t, h.maxLoadedAfter(lowered, "alpha"), 1)
+	h.assertMemoryNeverExceeded(t)
 	load.assertTruthful(t, h)
 }
 
@@ -189,16 +189,16 @@
 	w, nodes := startWithAlpha(t, 2, 2, model("alpha", 1)...)
 	first := call{Model: "alpha", Prompt: "one", Tokens: 4}
 	assertServed(t, first, ask(t.Context(), nodes[0], first, nil))
-	runner := runnersOf(t, nodes[0], "alpha")[0]
+	runner := runnersHolding(t, nodes[0], "alpha")[0]
 	w.Runners[runner].Proxy.Block()
 	refused := ask(t.Context(), nodes[0], call{Model: "alpha", Prompt: "two", Tokens: 4, Deadline: 3 * time.Second}, nil)
 	assert.Assert(t, !refused.Served, "served by a runner that nobody allowed: %+v", refused)
-	assert.Equal(t, readHistory(t, w).most("alpha"), 1)
+	assert.Equal(t, readHistory(t, w).maxReplicas("alpha"), 1)
 	gone := killRunner(t, w, runner)
 	moved := call{Model: "alpha", Prompt: "three", Tokens: 4, Deadline: 30 * time.Second}
 	assertServed(t, moved, ask(t.Context(), nodes[1], moved, nil))
 	h := readHistory(t, w, gone)
-	assert.Equal(t, h.most("alpha"), 1)
+	assert.Equal(t, h.maxReplicas("alpha"), 1)
 	h.assertTruthful(t, call{}, refused)
 }
 
@@ -207,15 +207,15 @@
 // frozen; no order ever overcommits a runner, and all models are served in turn.
 func TestMemoryUnderPressure(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, func(o *world.Options) { o.Engine.SizeMB = roomFor(2) })
+	w := newWorld(t, func(o *world.Options) { o.Engine.SizeMB = memoryForModels(2) })
 	startRunners(t, w, 2)
 	nodes := startNodes(t, w, 3)
 	const models = 6
 	for index := range models {
 		apply(t, nodes[0], model(fmt.Sprintf("m%d", index), 1)...)
 	}
-	waitNamed(t, "m5", nodes...)
-	load := startBackground(t, models, func(who, number int) (*world.Node, call) {
+	waitKnown(t, "m5", nodes...)
+	load := startLoad(t, models, func(who, number int) (*world.Node, call) {
 		return nodes[who%2], call{Model: fmt.Sprintf("m%d", who), Prompt: fmt.Sprintf("p%d-%d", who, number), Tokens: 3, Deadline: 30 * time.Second}
 	})
 	load.waitServed(t, models)
@@ -231,10 +231,10 @@
 	load.waitServed(t, 2*models)
 	load.finish()
 	h := readHistory(t, w)
-	h.assertMemory(t)
-	h.assertTurns(t, turnGap)
+	h.assertMemoryNeverExceeded(t)
+	h.assertOrderGap(t, turnGap)
 	for index := range models {
-		assert.Assert(t, h.most(fmt.Sprintf("m%d", index)) <= 1)
+		assert.Assert(t, h.maxReplicas(fmt.Sprintf("m%d", index)) <= 1)
 	}
 	load.assertTruthful(t, h)
 }
@@ -255,8 +255,8 @@
 		name := fmt.Sprintf("adapter%d", index)
 		apply(t, nodes[0], api.NewObject(api.KindAdapter, name, api.Adapter{Model: fmt.Sprintf("base%d", index%2), Checkpoint: name, MemoryMiB: 10, Replicas: 1}))
 	}
-	waitNamed(t, "adapter5", nodes...)
-	load := startBackground(t, adapters, func(who, number int) (*world.Node, call) {
+	waitKnown(t, "adapter5", nodes...)
+	load := startLoad(t, adapters, func(who, number int) (*world.Node, call) {
 		return nodes[who%2], call{Model: fmt.Sprintf("adapter%d", who), Prompt: fmt.Sprintf("p%d-%d", who, number), Tokens: 3, Deadline: 30 * time.Second}
 	})
 	load.waitServed(t, adapters)
@@ -268,9 +268,9 @@
 	load.waitServed(t, 3*adapters)
 	load.finish()
 	h := readHistory(t, w)
-	h.assertMemory(t)
+	h.assertMemoryNeverExceeded(t)
 	for base := range 2 {
-		assert.Assert(t, h.most(fmt.Sprintf("base%d", base)) <= 2)
+		assert.Assert(t, h.maxReplicas(fmt.Sprintf("base%d", base)) <= 2)
 	}
 	load.assertTruthful(t, h)
 }
@@ -281,7 +281,7 @@
 func TestVersionChangesUnderLoad(t *testing.T) {
 	t.Parallel()
 	w, nodes := startWithAlpha(t, 3, 3, model("alpha", 2)...)
-	load := startBackground(t, 6, func(who, number int) (*world.Node, call) {
+	load := startLoad(t, 6, func(who, number int) (*world.Node, call) {
 		return nodes[who%2], call{Model: "alpha", Prompt: fmt.Sprintf("p%d-%d", who, number), Tokens: 4, Deadline: 30 * time.Second}
 	})
 	load.waitServed(t, 10)
@@ -316,8 +316,8 @@
 		old := record.Event == journal.EventRun && record.Unit == "alpha"
 		assert.Assert(t, !old || record.Time.Before(inForce), "%+v", record)
 	}
-	assert.Assert(t, h.mostTogether("alpha", "alpha-2") <= 2)
-	h.assertMemory(t)
+	assert.Assert(t, h.maxLoaded("alpha", "alpha-2") <= 2)
+	h.assertMemoryNeverExceeded(t)
 	load.assertTruthful(t, h)
 }
 
@@ -356,7 +356,7 @@
 	}
 	c, got := next()
 	assertServed(t, c, got)
-	holders := runnersOf(t, nodes[0], "alpha")
+	holders := runnersHolding(t, nodes[0], "alpha")
 	assert.Equal(t, len(holders), 1)
 	silent := w.Runners[holders[0]]
 	silent.Proxy.Set(faultproxy.Silence)
@@ -368,10 +368,10 @@
 	})
 	silent.Proxy.Heal()
 	waitUntil(t, "two runners hold it", func() error {
-		if holders := runnersOf(t, nodes[0], "alpha"); len(holders) != 2 {
+		if holders := runnersHolding(t, nodes[0], "alpha"); len(holders) != 2 {
 			return fmt.Errorf("%v", holders)
 		}
 		return nil
 	})
-	assert.Assert(t, readHistory(t, w).most("alpha") <= 2)
+	assert.Assert(t, readHistory(t, w).maxReplicas("alpha") <= 2)
 }
--- a/test/requests_test.go
+++ b/test/requests_test.go
@@ -20,19 +20,19 @@
 )
 
 // inBackground sends a request and returns a channel with its outcome.
-func inBackground(ctx context.Context, node *world.Node, c call, progress func(outcome)) <-chan outcome {
+func sendInBackground(ctx context.Context, node *world.Node, c call, progress func(outcome)) <-chan outcome {
 	result := make(chan outcome, 1)
 	go func() { result <- ask(ctx, node, c, progress) }()
 	return result
 }
 
 // await returns the outcome of a request in the background.
-func await(t *testing.T, result <-chan outcome) outcome {
+func awaitOutcome(t *testing.T, result <-chan outcome) outcome {
 	t.Helper()
 	select {
 	case got := <-result:
 		return got
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("a request did not reach its final outcome")
 		return outcome{}
 	}
@@ -54,7 +54,7 @@
 }
 
 // waitWaiting waits until requests wait at a node.
-func waitWaiting(t *testing.T, node *world.Node, count int) {
+func waitQueued(t *testing.T, node *world.Node, count int) {
 	t.Helper()
 	waitUntil(t, "requests wait", func() error {
 		status, err := node.Client().Status(t.Context())
@@ -80,21 +80,21 @@
 	startRunners(t, w, 1)
 	nodes := startNodes(t, w, 2)
 	stuckModel(t, w, nodes[0], "alpha")
-	waitNamed(t, "alpha", nodes...)
+	waitKnown(t, "alpha", nodes...)
 	var waiting []<-chan outcome
 	for index := range 4 {
 		c := call{Model: "alpha", Prompt: fmt.Sprintf("p%d", index), Tokens: 2, Deadline: time.Hour, Class: "patient"}
-		waiting = append(waiting, inBackground(t.Context(), nodes[index%2], c, nil))
+		waiting = append(waiting, sendInBackground(t.Context(), nodes[index%2], c, nil))
 	}
-	waitWaiting(t, nodes[0], 2)
-	waitWaiting(t, nodes[1], 2)
+	waitQueued(t, nodes[0], 2)
+	waitQueued(t, nodes[1], 2)
 	object, err := nodes[0].Client().Get(t.Context(), api.KindModel, "alpha")
 	assert.NilError(t, err)
 	_, err = nodes[0].Client().Submit(t.Context(), operator.Submission{Operation: "test-" + rand.Text(), Delete: []api.Object{object}})
 	assert.NilError(t, err)
 	h := readHistory(t, w)
 	for _, result := range waiting {
-		got := await(t, result)
+		got := awaitOutcome(t, result)
 		assert.Equal(t, got.Code, fault.CodeUnknownModel)
 		assert.Equal(t, got.Ran, "no")
 		h.assertTruthful(t, call{}, got)
@@ -110,18 +110,18 @@
 	startRunners(t, w, 1)
 	nodes := startNodes(t, w, 2)
 	release := stuckModel(t, w, nodes[0], "alpha")
-	waitNamed(t, "alpha", nodes...)
+	waitKnown(t, "alpha", nodes...)
 	patient := call{Model: "alpha", Prompt: "patient", Tokens: 2, Deadline: time.Hour, Class: "patient"}
-	served := inBackground(t.Context(), nodes[1], patient, nil)
-	waitWaiting(t, nodes[1], 1)
+	served := sendInBackground(t.Context(), nodes[1], patient, nil)
+	waitQueued(t, nodes[1], 1)
 	for _, class := range []string{"urgent", "interactive", "ordinary"} {
 		got := ask(t.Context(), nodes[0], call{Model: "alpha", Prompt: class, Tokens: 2, Deadline: time.Second, Class: class}, nil)
 		assert.Equal(t, got.Code, fault.CodeDeadline)
 		assert.Equal(t, got.Ran, "no")
-		assert.Assert(t, got.Retry != "")
+		assert.Assert(t, got.RetryAfter != "")
 	}
 	release()
-	assertServed(t, patient, await(t, served))
+	assertServed(t, patient, awaitOutcome(t, served))
 }
 
 // TestWaitingRequestsEndWhenNodeDies: a caller whose node is killed sees its
@@ -132,19 +132,19 @@
 	startRunners(t, w, 2)
 	nodes := startNodes(t, w, 3)
 	release := stuckModel(t, w, nodes[0], "alpha")
-	waitNamed(t, "alpha", nodes...)
+	waitKnown(t, "alpha", nodes...)
 	lost := call{Model: "alpha", Prompt: "lost", Tokens: 2, Deadline: time.Hour}
 	kept := call{Model: "alpha", Prompt: "kept", Tokens: 2, Deadline: time.Hour}
-	lostResult := inBackground(t.Context(), nodes[2], lost, nil)
-	keptResult := inBackground(t.Context(), nodes[0], kept, nil)
-	waitWaiting(t, nodes[2], 1)
-	waitWaiting(t, nodes[0], 1)
+	lostResult := sendInBackground(t.Context(), nodes[2], lost, nil)
+	keptResult := sendInBackground(t.Context(), nodes[0], kept, nil)
+	waitQueued(t, nodes[2], 1)
+	waitQueued(t, nodes[0], 1)
 	nodes[2].Kill()
-	got := await(t, lostResult)
+	got := awaitOutcome(t, lostResult)
 	assert.Assert(t, got.Broken, "%+v", got)
 	release()
-	assertServed(t, kept, await(t, keptResult))
-	assert.Equal(t, readHistory(t, w).runs("lost"), 0)
+	assertServed(t, kept, awaitOutcome(t, keptResult))
+	assert.Equal(t, readHistory(t, w).runsOfPrompt("lost"), 0)
 }
 
 // TestWholeAnswersThroughCuts: connections between nodes and runners are cut
@@ -152,8 +152,8 @@
 // its own request, resumed where it broke, or a truthful error.
 func TestWholeAnswersThroughCuts(t *testing.T) {
 	t.Parallel()
-	w, nodes := startWithAlpha(t, 2, 2, append(model("alpha", 2), keep("alpha", 2))...)
-	load := startBackground(t, 8, func(who, number int) (*world.Node, call) {
+	w, nodes := startWithAlpha(t, 2, 2, append(model("alpha", 2), readyPolicy("alpha", 2))...)
+	load := startLoad(t, 8, func(who, number int) (*world.Node, call) {
 		return nodes[who%2], call{Model: "alpha", Prompt: fmt.Sprintf("p%d-%d", who, number), Tokens: 60, Deadline: 20 * time.Second}
 	})
 	load.waitServed(t, 4)
@@ -182,8 +182,8 @@
 // what may not be repeated runs at most once.
 func TestNotRunIsTrueThroughFaults(t *testing.T) {
 	t.Parallel()
-	w, nodes := startWithAlpha(t, 3, 3, append(model("alpha", 3), keep("alpha", 3))...)
-	load := startBackground(t, 9, func(who, number int) (*world.Node, call) {
+	w, nodes := startWithAlpha(t, 3, 3, append(model("alpha", 3), readyPolicy("alpha", 3))...)
+	load := startLoad(t, 9, func(who, number int) (*world.Node, call) {
 		c := call{Model: "alpha", Prompt: fmt.Sprintf("p%d-%d", who, number), Tokens: 30, Deadline: 2 * time.Second}
 		if who%3 == 0 {
 			c.Key = c.Prompt
@@ -211,7 +211,7 @@
 			refused++
 		}
 		if load.calls[index].Key != "" {
-			assert.Assert(t, h.runs(load.calls[index].Prompt) <= 1, "%s ran twice", load.calls[index].Prompt)
+			assert.Assert(t, h.runsOfPrompt(load.calls[index].Prompt) <= 1, "%s ran twice", load.calls[index].Prompt)
 		}
 	}
 	t.Logf("%d requests, %d refused as not run", len(load.outcomes), refused)
@@ -222,7 +222,7 @@
 // loses answers; no key runs twice.
 func TestOnceUnderRaces(t *testing.T) {
 	t.Parallel()
-	w, nodes := startWithAlpha(t, 3, 4, append(model("alpha", 3), keep("alpha", 3))...)
+	w, nodes := startWithAlpha(t, 3, 4, append(model("alpha", 3), readyPolicy("alpha", 3))...)
 	first := call{Model: "alpha", Prompt: "first", Tokens: 2}
 	assertServed(t, first, ask(t.Context(), nodes[0], first, nil))
 	const keys = 40
@@ -267,9 +267,9 @@
 	ran := 0
 	for number := range keys {
 		key := fmt.Sprintf("key-%d", number)
-		assert.Assert(t, h.runs(key) <= 1, "%s ran %d times", key, h.runs(key))
+		assert.Assert(t, h.runsOfPrompt(key) <= 1, "%s ran %d times", key, h.runsOfPrompt(key))
 		assert.Assert(t, served[key] <= 1, "%s was served %d times", key, served[key])
-		ran += h.runs(key)
+		ran += h.runsOfPrompt(key)
 	}
 	assert.Assert(t, ran > 0)
 	t.Logf("%d of %d keys ran, none twice", ran, keys)
@@ -292,7 +292,7 @@
 		assert.Equal(t, got.Ran, "no")
 		plain := call{Model: "alpha", Prompt: "plain-" + string(down), Tokens: 2}
 		assertServed(t, plain, ask(t.Context(), nodes[0], plain, nil))
-		assert.Equal(t, readHistory(t, w).runs("once-"+string(down)), 0)
+		assert.Equal(t, readHistory(t, w).runsOfPrompt("once-"+string(down)), 0)
 		assert.NilError(t, w.SetStoreFaults(storestub.Faults{}))
 	}
 }
--- a/test/runner_limit_test.go
+++ b/test/runner_limit_test.go
@@ -20,21 +20,21 @@
 const (
 	// limitContact is how long after a runner first named its limit that binds, limitTold how long
 	// after a node passed such an answer on it binds that node.
-	limitContact = 3 * time.Second
-	limitTold    = 500 * time.Millisecond
+	limitBindsAfter   = 3 * time.Second
+	limitAppliedAfter = 500 * time.Millisecond
 	// limitWindow is the sliding window of the bound, limitShare and limitSlack what of the limit
 	// may come within it, and how many requests more.
 	limitWindow = 4 * time.Second
 	limitShare  = 1.5
 	limitSlack  = 5
 	// limitedFor is how long runners name their limits.
-	limitedFor = 11 * time.Second
+	limitDuration = 11 * time.Second
 )
 
 // TestRunnerGotMoreThanItsLimit: runners that name a limit get no more of all nodes together.
 func TestRunnerGotMoreThanItsLimit(t *testing.T) {
 	t.Parallel()
-	for name, test := range map[string]statedTest{
+	for name, test := range map[string]statementTest{
 		"some, many requests": {limit: "2", crowd: 40},
 		"less than one":       {limit: "0.3", all: true},
 		"many requests":       {limit: "1", all: true, crowd: 40},
@@ -44,59 +44,59 @@
 	}
 }
 
-func runLimited(t *testing.T, test statedTest) {
+func runLimited(t *testing.T, test statementTest) {
 	t.Helper()
-	s := startStated(t, test)
+	s := startStatementWorld(t, test)
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
 	var senders sync.WaitGroup
 	senders.Go(func() { s.send(ctx) })
 	time.Sleep(time.Second)
-	assert.NilError(t, s.suffer())
-	for _, name := range s.stating() {
+	assert.NilError(t, s.applyStoreFaults())
+	for _, name := range s.statingRunners() {
 		assert.NilError(t, s.world.SetRunnerFaults(name, runnerstub.Faults{Limit: test.limit}))
 	}
 	s.sendCrowds(ctx, &senders)
-	time.Sleep(limitedFor)
+	time.Sleep(limitDuration)
 	end()
 	senders.Wait()
 	assert.NilError(t, s.world.SetStoreFaults(storestub.Faults{}))
 	s.checkClients(t)
-	s.checkLimits(t)
+	s.checkLimitWindows(t)
 }
 
 // checkLimits checks each window of each runner that named a limit.
-func (s *stated) checkLimits(t *testing.T) {
+func (s *statementWorld) checkLimitWindows(t *testing.T) {
 	t.Helper()
 	rate, err := strconv.ParseFloat(s.limit, 64)
 	assert.NilError(t, err)
 	allowed := int(rate*limitShare*limitWindow.Seconds() + limitSlack)
-	byRunner := make(map[string][]visit)
-	for _, visited := range s.visits(t) {
+	byRunner := make(map[string][]arrival)
+	for _, visited := range s.arrivals(t) {
 		byRunner[visited.runner] = append(byRunner[visited.runner], visited)
 	}
 	assert.Assert(t, len(byRunner) > 0, "no request reached a runner that names a limit")
-	for runner, visits := range byRunner {
-		most := mostInWindow(visits)
-		t.Logf("%s got %d requests, %d at most in %v, allowed %d", runner, len(visits), most, limitWindow, allowed)
+	for runner, arrivals := range byRunner {
+		most := mostInWindow(arrivals)
+		t.Logf("%s got %d requests, %d at most in %v, allowed %d", runner, len(arrivals), most, limitWindow, allowed)
 		assert.Check(t, most <= allowed, "%s got %d in %v, allowed %d", runner, most, limitWindow, allowed)
 	}
 }
 
 // mostInWindow is how many requests of nodes that knew the limit reached a runner within one window
 // at most, once the limit binds.
-func mostInWindow(visits []visit) int {
+func mostInWindow(arrivals []arrival) int {
 	told := make(map[*world.Node]time.Time)
-	for _, visited := range visits {
+	for _, visited := range arrivals {
 		if known, heard := told[visited.node]; (!heard || visited.end.Before(known)) && visited.answer.Status != 0 {
 			told[visited.node] = visited.end
 		}
 	}
 	var counted []time.Time
 	most, first := 0, 0
-	for _, visited := range visits {
-		knew := !told[visited.node].IsZero() && visited.at.Sub(told[visited.node]) >= limitTold
-		if !knew || visited.at.Sub(visits[0].at) < limitContact {
+	for _, visited := range arrivals {
+		knew := !told[visited.node].IsZero() && visited.at.Sub(told[visited.node]) >= limitAppliedAfter
+		if !knew || visited.at.Sub(arrivals[0].at) < limitBindsAfter {
 			continue
 		}
 		counted = append(counted, visited.at)
@@ -116,7 +116,7 @@
 	startRunners(t, w, 1)
 	nodes := startNodes(t, w, 4)
 	apply(t, nodes[0], model("alpha", 1)...)
-	waitNamed(t, "alpha", nodes...)
+	waitKnown(t, "alpha", nodes...)
 	request := clientRequest{Path: "/draft/x", Model: "alpha", Events: 5, Deadline: 10 * time.Second}
 	served := func(node *world.Node) func() error {
 		return func() error {
@@ -127,12 +127,12 @@
 		}
 	}
 	waitUntil(t, "the model is served", served(nodes[0]))
-	limited := runnersOf(t, nodes[0], "alpha")[0]
+	limited := runnersHolding(t, nodes[0], "alpha")[0]
 	assert.NilError(t, w.SetRunnerFaults(limited, runnerstub.Faults{Limit: "5"}))
 	waitUntil(t, "a request is served", served(nodes[1]))
-	waitUntil(t, "all nodes are told", func() error { return loggedBy(t, w, namesLimit, limited, nodes...) })
+	waitUntil(t, "all nodes are told", func() error { return loggedBy(t, w, logLimit, limited, nodes...) })
 	for _, node := range nodes {
 		waitUntil(t, "the limited runner serves", served(node))
 	}
-	operate(t, nodes[0])(commandline.ExitOK, "hear its limit", "explain", "replica", limited)
+	newCommandCheck(t, nodes[0])(commandline.ExitOK, "hear its limit", "explain", "replica", limited)
 }
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -34,27 +34,27 @@
 	t      *testing.T
 	w      *world.World
 	random *rand.Rand
-	kinds  []injected
+	kinds  []faultKind
 	// nodes are those that run; the load goes to the first two.
-	nodes  []*world.Node
-	deaths []death
+	nodes []*world.Node
+	kills []runnerKill
 	// runners are those that run; started counts what was started in place of
 	// others.
 	runners []string
 	started int
 	// first are the kinds of which each round brings one; without any, kinds are.
-	first []injected
+	roundKinds []faultKind
 	// apart are the nodes that the round keeps out of touch, least is how long it lasts at
 	// least.
-	apart []string
-	least time.Duration
+	isolated    []string
+	minDuration time.Duration
 	// outages are the times in which nothing new may go to a zone.
 	outages []outage
 }
 
 // injected is one fault. Begin returns how to end it. Kinds of one group are not
 // brought together, as they would undo each other's effect or end.
-type injected struct {
+type faultKind struct {
 	name  string
 	group string
 	begin func(s *soak) (end func())
@@ -63,7 +63,7 @@
 // pickNode returns a node to harm.
 func (s *soak) pickNode() *world.Node {
 	node := s.nodes[s.random.IntN(len(s.nodes))]
-	s.apart = append(s.apart, node.Name)
+	s.isolated = append(s.isolated, node.Name)
 	return node
 }
 
@@ -107,11 +107,11 @@
 }
 
 // turnAway lets the store turn one node's calls away while it serves the others.
-func (s *soak) turnAway(down storestub.Down) func() {
+func (s *soak) rejectNode(down storestub.Down) func() {
 	return s.storeFault(storestub.Faults{Down: down, Only: []string{s.pickNode().StoreHost()}})
 }
 
-func (s *soak) lapse() func() {
+func (s *soak) lapseRows() func() {
 	assert.NilError(s.t, s.w.LapseRunners())
 	return func() {}
 }
@@ -151,7 +151,7 @@
 
 func (s *soak) killRunner() func() {
 	index := s.random.IntN(len(s.runners))
-	s.deaths = append(s.deaths, killRunner(s.t, s.w, s.runners[index]))
+	s.kills = append(s.kills, killRunner(s.t, s.w, s.runners[index]))
 	return func() {
 		s.started++
 		s.runners[index] = fmt.Sprintf("fresh-%d", s.started)
@@ -186,23 +186,23 @@
 // takeZoneOut takes out a zone.
 func (s *soak) takeZoneOut() func() {
 	zone := zones[s.random.IntN(len(zones))]
-	takeOut(s.t, s.w, zone, false)
-	return func() { takeOut(s.t, s.w, zone, true) }
+	setZoneOut(s.t, s.w, zone, false)
+	return func() { setZoneOut(s.t, s.w, zone, true) }
 }
 
 // takeZoneOutAgain takes out a zone, back and out again at once.
 func (s *soak) takeZoneOutAgain() func() {
 	zone := zones[s.random.IntN(len(zones))]
-	takeOut(s.t, s.w, zone, false)
-	takeOut(s.t, s.w, zone, true)
-	takeOut(s.t, s.w, zone, false)
-	return func() { takeOut(s.t, s.w, zone, true) }
+	setZoneOut(s.t, s.w, zone, false)
+	setZoneOut(s.t, s.w, zone, true)
+	setZoneOut(s.t, s.w, zone, false)
+	return func() { setZoneOut(s.t, s.w, zone, true) }
 }
 
 // groupLastNode is the group of faults that end with the start of a node.
 const groupLastNode = "last node"
 
-var soakFaults = []injected{
+var soakFaults = []faultKind{
 	{"kill a node", groupLastNode, (*soak).killNode},
 	{"stop a node", groupLastNode, (*soak).stopNode},
 	{"freeze a node", "freeze", (*soak).freezeNode},
@@ -224,11 +224,11 @@
 	{"reset connections of a runner", "runner", (*soak).resetRunner},
 	{"freeze a runner", "runner", (*soak).freezeRunner},
 	{"drain a runner", "store", (*soak).drainRunner},
-	{"store busy for a node", "store", func(s *soak) func() { return s.turnAway(storestub.Busy) }},
-	{"store throttles a node", "store", func(s *soak) func() { return s.turnAway(storestub.Many) }},
-	{"store drops a node", "store", func(s *soak) func() { return s.turnAway(storestub.Reset) }},
-	{"store silent to a node", "store", func(s *soak) func() { return s.turnAway(storestub.Silent) }},
-	{"runners' rows lapse", "store", (*soak).lapse},
+	{"store busy for a node", "store", func(s *soak) func() { return s.rejectNode(storestub.Busy) }},
+	{"store throttles a node", "store", func(s *soak) func() { return s.rejectNode(storestub.Many) }},
+	{"store drops a node", "store", func(s *soak) func() { return s.rejectNode(storestub.Reset) }},
+	{"store silent to a node", "store", func(s *soak) func() { return s.rejectNode(storestub.Silent) }},
+	{"runners' rows lapse", "store", (*soak).lapseRows},
 	{"slow links of a node", "peers", (*soak).slowLinks},
 	{"reset connections of a node", "peers", (*soak).resetNode},
 	{"take a zone out", "zones", (*soak).takeZoneOut},
@@ -236,7 +236,7 @@
 }
 
 // firstKinds is how many kinds there were when the first seeds failed.
-const firstKinds = 21
+const regressionKinds = 21
 
 // TestSoak lets faults come singly and in pairs, by a schedule that the seed
 // fixes, while requests, some of which may not be repeated, go to two nodes and
@@ -258,16 +258,16 @@
 	for seed, rounds := range map[uint64]int{1: 4, 3: 6} {
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
 			t.Parallel()
-			runSoak(t, seed, rounds, soakPlan{kinds: soakFaults[:firstKinds]})
+			runSoak(t, seed, rounds, soakPlan{kinds: soakFaults[:regressionKinds]})
 		})
 	}
 }
 
 // soakPlan says what a soak brings.
 type soakPlan struct {
-	kinds []injected
+	kinds []faultKind
 	// first are the kinds of which each round brings one; without any, kinds are.
-	first []injected
+	roundKinds []faultKind
 	// adjust changes the world's options, prepare the world once it runs.
 	adjust  func(*world.Options)
 	prepare func(*soak)
@@ -279,25 +279,25 @@
 	t.Logf("seed %d, %d rounds", seed, rounds)
 	w := newWorld(t, func(o *world.Options) {
 		o.Seed = seed
-		o.Engine.SizeMB = roomFor(2)
+		o.Engine.SizeMB = memoryForModels(2)
 		if plan.adjust != nil {
 			plan.adjust(o)
 		}
 	})
 	startRunners(t, w, soakRunners)
-	s := &soak{t: t, w: w, kinds: plan.kinds, first: plan.first, nodes: startNodes(t, w, 4), random: rand.New(rand.NewPCG(seed, 0))}
+	s := &soak{t: t, w: w, kinds: plan.kinds, roundKinds: plan.roundKinds, nodes: startNodes(t, w, 4), random: rand.New(rand.NewPCG(seed, 0))}
 	for index := range soakRunners {
 		s.runners = append(s.runners, fmt.Sprintf("runner-%d", index+1))
 	}
 	for index := range soakModels {
 		apply(t, s.nodes[0], model(fmt.Sprintf("m%d", index), soakReplicas)...)
 	}
-	waitNamed(t, fmt.Sprintf("m%d", soakModels-1), s.nodes...)
+	waitKnown(t, fmt.Sprintf("m%d", soakModels-1), s.nodes...)
 	if plan.prepare != nil {
 		plan.prepare(s)
 	}
 	callers := append([]*world.Node(nil), s.nodes[:2]...)
-	load := startBackground(t, 8, func(who, number int) (*world.Node, call) {
+	load := startLoad(t, 8, func(who, number int) (*world.Node, call) {
 		c := call{Model: fmt.Sprintf("m%d", (who+number/20)%soakModels), Prompt: fmt.Sprintf("p%d-%d", who, number), Tokens: 8, Deadline: 15 * time.Second}
 		if who%2 == 0 {
 			c.Key = c.Prompt
@@ -309,7 +309,7 @@
 	})
 	load.waitServed(t, 10)
 	for range rounds {
-		s.round()
+		s.runRound()
 		load.waitServed(t, 10)
 	}
 	load.finish()
@@ -317,18 +317,18 @@
 }
 
 // draw returns one of the kinds.
-func (s *soak) draw(kinds []injected) injected { return kinds[s.random.IntN(len(kinds))] }
+func (s *soak) pickFault(kinds []faultKind) faultKind { return kinds[s.random.IntN(len(kinds))] }
 
 // round begins one or two faults, lets them last and ends them.
-func (s *soak) round() {
-	s.apart, s.least = nil, 0
-	firsts := s.first
+func (s *soak) runRound() {
+	s.isolated, s.minDuration = nil, 0
+	firsts := s.roundKinds
 	if len(firsts) == 0 {
 		firsts = s.kinds
 	}
-	first := s.draw(firsts)
-	second := s.draw(s.kinds)
-	brought := []injected{first}
+	first := s.pickFault(firsts)
+	second := s.pickFault(s.kinds)
+	brought := []faultKind{first}
 	if second.group != first.group {
 		brought = append(brought, second)
 	}
@@ -344,20 +344,20 @@
 		ends = append(ends, end)
 	}
 	s.t.Logf("%s", strings.Join(names, " and "))
-	time.Sleep(max(time.Duration(1500+s.random.IntN(2500))*time.Millisecond, s.least))
+	time.Sleep(max(time.Duration(1500+s.random.IntN(2500))*time.Millisecond, s.minDuration))
 	// A node that starts needs the store, so it is started when the rest is over.
 	for _, end := range append(ends, restarts...) {
 		end()
 	}
 }
 
-func (s *soak) verify(load *background) {
-	h := readHistory(s.t, s.w, s.deaths...)
-	h.assertMemory(s.t)
-	h.assertTurns(s.t, turnGap)
+func (s *soak) verify(load *backgroundLoad) {
+	h := readHistory(s.t, s.w, s.kills...)
+	h.assertMemoryNeverExceeded(s.t)
+	h.assertOrderGap(s.t, turnGap)
 	for index := range soakModels {
 		name := fmt.Sprintf("m%d", index)
-		assert.Assert(s.t, h.most(name) <= soakReplicas, "%d replicas of %s", h.most(name), name)
+		assert.Assert(s.t, h.maxReplicas(name) <= soakReplicas, "%d replicas of %s", h.maxReplicas(name), name)
 	}
 	s.verifyParts(h)
 	load.assertTruthful(s.t, h)
@@ -366,7 +366,7 @@
 		c := load.calls[index]
 		assert.Assert(s.t, !got.Broken, "a request ended without a final outcome: %+v %+v", c, got)
 		if c.Key != "" {
-			assert.Assert(s.t, h.runs(c.Prompt) <= 1, "%s ran %d times", c.Prompt, h.runs(c.Prompt))
+			assert.Assert(s.t, h.runsOfPrompt(c.Prompt) <= 1, "%s ran %d times", c.Prompt, h.runsOfPrompt(c.Prompt))
 		}
 		if got.Served {
 			counts["served"]++
--- a/test/statements_soak_test.go
+++ b/test/statements_soak_test.go
@@ -36,7 +36,7 @@
 
 // statementSoak is a world with such runners under faults.
 type statementSoak struct {
-	*stated
+	*statementWorld
 	t      *testing.T
 	random *rand.Rand
 	// states counts what was brought, by its name.
@@ -45,25 +45,25 @@
 
 const (
 	// statementSoakLasts is how long requests and faults come in the soak.
-	statementSoakLasts = 12 * time.Second
+	statementSoakDuration = 12 * time.Second
 	// keptEach is how many clients with a kept connection each node has.
-	keptEach = 2
+	persistentClientsPerNode = 2
 )
 
 func runStatementSoak(t *testing.T, seed uint64) {
-	s := &statementSoak{stated: startStatedReturning(t), t: t, random: rand.New(rand.NewPCG(seed, 1)), states: make(map[string]int)}
-	ctx, end := context.WithTimeout(t.Context(), statementSoakLasts)
+	s := &statementSoak{statementWorld: startRestartingWorld(t), t: t, random: rand.New(rand.NewPCG(seed, 1)), states: make(map[string]int)}
+	ctx, end := context.WithTimeout(t.Context(), statementSoakDuration)
 	defer end()
 	var senders sync.WaitGroup
 	senders.Go(func() { s.send(ctx) })
 	for _, node := range s.nodes {
-		for number := range keptEach {
-			senders.Go(func() { s.keep(ctx, node, number) })
+		for number := range persistentClientsPerNode {
+			senders.Go(func() { s.sendOnOneConnection(ctx, node, number) })
 		}
 	}
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(100+s.random.IntN(500)) * time.Millisecond)
-		s.bring(ctx, &senders)
+		s.injectFault(ctx, &senders)
 	}
 	assert.NilError(t, s.world.SetStoreFaults(storestub.Faults{}))
 	senders.Wait()
@@ -72,53 +72,53 @@
 }
 
 // startStatedReturning starts a world whose runners are back under their names after they ended.
-func startStatedReturning(t *testing.T) *stated {
+func startRestartingWorld(t *testing.T) *statementWorld {
 	t.Helper()
-	return startStatedWith(t, statedTest{}, world.Return{After: 700 * time.Millisecond})
+	return startStatementWorldWith(t, statementTest{}, world.Return{After: 700 * time.Millisecond})
 }
 
 // keep sends requests of all kinds to a node on a connection that it keeps, one after the other.
-func (s *statementSoak) keep(ctx context.Context, node *world.Node, number int) {
-	client := &keptClient{node: node}
+func (s *statementSoak) sendOnOneConnection(ctx context.Context, node *world.Node, number int) {
+	client := &persistentClient{node: node}
 	defer client.close()
 	for ; ctx.Err() == nil; number++ {
-		request := mixed(number)
-		s.note(try{request: request, node: node, sent: time.Now()})
+		request := mixedRequest(number)
+		s.record(clientExchange{request: request, node: node, sent: time.Now()})
 		ended, sent := client.do(request)
 		if !sent {
-			time.Sleep(statedPause)
+			time.Sleep(requestPause)
 			continue
 		}
-		s.note(try{request: request, node: node, sent: ended.sent, answer: ended.answer, end: ended.end})
+		s.record(clientExchange{request: request, node: node, sent: ended.sent, answer: ended.answer, end: ended.end})
 	}
 }
 
 // bring lets one thing happen. What lasts goes on beside what comes after it.
-func (s *statementSoak) bring(ctx context.Context, lasting *sync.WaitGroup) {
+func (s *statementSoak) injectFault(ctx context.Context, running *sync.WaitGroup) {
 	pause := time.Duration(300+s.random.IntN(2500)) * time.Millisecond
 	node := s.nodes[s.random.IntN(len(s.nodes))]
 	switch kind := s.random.IntN(10); {
 	case kind < 3:
-		s.bringRest(pause, lasting)
+		s.startRests(pause, running)
 	case kind < 5:
-		s.bringLeaving(pause, lasting)
+		s.startLeaving(pause, running)
 	case kind == 5:
 		s.states["crowd"]++
 		s.crowd = 20 + s.random.IntN(40)
-		s.sendCrowds(ctx, lasting)
+		s.sendCrowds(ctx, running)
 	case kind == 6:
 		s.states["kill"]++
 		node.Kill()
-		s.disturb(node)
+		s.recordDisturbance(node)
 		assert.NilError(s.t, s.world.RestartNode(node))
-		s.disturb(node)
+		s.recordDisturbance(node)
 	case kind == 7:
 		s.states["freeze"]++
 		assert.NilError(s.t, node.Freeze())
-		s.disturb(node)
+		s.recordDisturbance(node)
 		time.Sleep(pause / 2)
 		assert.NilError(s.t, node.Thaw())
-		s.disturb(node)
+		s.recordDisturbance(node)
 	default:
 		s.states["store"]++
 		faults := storestub.Faults{Down: storestub.Busy}
@@ -132,13 +132,13 @@
 }
 
 // some draws runners, one or all of a service.
-func (s *statementSoak) some() []string {
+func (s *statementSoak) pickRunners() []string {
 	service := []string{"runner", "mailer"}[s.random.IntN(2)]
 	if s.random.IntN(4) > 0 {
-		return []string{fmt.Sprintf("%s-%d", service, 1+s.random.IntN(runnersEach))}
+		return []string{fmt.Sprintf("%s-%d", service, 1+s.random.IntN(runnersPerService))}
 	}
 	var all []string
-	for index := range runnersEach {
+	for index := range runnersPerService {
 		all = append(all, fmt.Sprintf("%s-%d", service, index+1))
 	}
 	return all
@@ -146,27 +146,27 @@
 
 // bringRest lets runners turn some or all requests away, or what they have no room for, and ask
 // for rest.
-func (s *statementSoak) bringRest(lasts time.Duration, lasting *sync.WaitGroup) {
+func (s *statementSoak) startRests(lasts time.Duration, running *sync.WaitGroup) {
 	faults := runnerstub.Faults{ShedShare: []float64{0, 0.5, 1}[s.random.IntN(3)], Rest: strconv.FormatFloat(float64(s.random.IntN(40))/10, 'f', -1, 64)}
 	s.states["rest"]++
-	s.suffering(s.some(), faults, lasts, lasting)
+	s.applyFaults(s.pickRunners(), faults, lasts, running)
 }
 
 // bringLeaving lets runners say in their answers that they leave, and end.
-func (s *statementSoak) bringLeaving(lasts time.Duration, lasting *sync.WaitGroup) {
-	names := s.some()
+func (s *statementSoak) startLeaving(lasts time.Duration, running *sync.WaitGroup) {
+	names := s.pickRunners()
 	s.states["leaving"]++
-	s.suffering(names, runnerstub.Faults{Leaving: true}, leavingBound+lasts, lasting)
+	s.applyFaults(names, runnerstub.Faults{Leaving: true}, leavingAppliedWithin+lasts, running)
 }
 
 // suffering brings faults to runners for a while. Those that left end then.
-func (s *statementSoak) suffering(names []string, faults runnerstub.Faults, lasts time.Duration, lasting *sync.WaitGroup) {
+func (s *statementSoak) applyFaults(names []string, faults runnerstub.Faults, lasts time.Duration, running *sync.WaitGroup) {
 	for _, name := range names {
 		// One that just ended takes none.
 		if s.world.SetRunnerFaults(name, faults) != nil {
 			continue
 		}
-		lasting.Go(func() {
+		running.Go(func() {
 			time.Sleep(lasts)
 			if faults.Leaving {
 				s.world.CrashRunner(name)
@@ -180,6 +180,6 @@
 }
 
 // disturb notes that a node was killed, started, or stood still.
-func (s *statementSoak) disturb(node *world.Node) {
+func (s *statementSoak) recordDisturbance(node *world.Node) {
 	s.disturbed[node] = append(s.disturbed[node], time.Now())
 }
--- a/test/statements_test.go
+++ b/test/statements_test.go
@@ -31,17 +31,17 @@
 const (
 	// leavingBound is how long after an answer that said so a runner that leaves may still be
 	// sent requests by the node that passed it on.
-	leavingBound = 2 * time.Second
+	leavingAppliedWithin = 2 * time.Second
 	// restSlack is when a rest binds after the answer that asked for it, restSends how many
 	// requests of the node may reach the runner all the same.
-	restSlack = 500 * time.Millisecond
-	restSends = 2
+	restAppliedAfter = 500 * time.Millisecond
+	maxSendsInRest   = 2
 	// statedPause lies between requests of a test.
-	statedPause = 15 * time.Millisecond
+	requestPause = 15 * time.Millisecond
 )
 
 // statedTest is how runners state something of themselves, and in which world.
-type statedTest struct {
+type statementTest struct {
 	// leave is set where runners leave, rest is what they ask for else.
 	leave bool
 	rest  string
@@ -63,7 +63,7 @@
 // leave, and serve on.
 func TestRunnersThatLeaveGetNothing(t *testing.T) {
 	t.Parallel()
-	for name, test := range map[string]statedTest{
+	for name, test := range map[string]statementTest{
 		"in answers alone":    {leave: true},
 		"store down":          {leave: true, listed: true, store: storestub.Busy},
 		"store refuses some":  {leave: true, store: storestub.Reset, refused: 2},
@@ -72,7 +72,7 @@
 		"all, in the list":    {leave: true, all: true, listed: true},
 		"all, many, no store": {leave: true, all: true, crowd: 40, store: storestub.Busy},
 	} {
-		t.Run(name, func(t *testing.T) { runStated(t, test) })
+		t.Run(name, func(t *testing.T) { runStatementTest(t, test) })
 	}
 }
 
@@ -80,7 +80,7 @@
 // a time without any, until they take requests again.
 func TestRunnersThatWantRestGetIt(t *testing.T) {
 	t.Parallel()
-	for name, test := range map[string]statedTest{
+	for name, test := range map[string]statementTest{
 		"seconds":            {rest: "3"},
 		"a fraction":         {rest: "1.5"},
 		"store down":         {rest: "2", store: storestub.Busy},
@@ -90,25 +90,25 @@
 		"all, many requests": {rest: "1.5", all: true, crowd: 40},
 		"all, when full":     {rest: "1", all: true, crowd: 80, full: true},
 	} {
-		t.Run(name, func(t *testing.T) { runStated(t, test) })
+		t.Run(name, func(t *testing.T) { runStatementTest(t, test) })
 	}
 }
 
 // stated is a world in which runners state something, and all that clients saw of it.
-type stated struct {
-	statedTest
+type statementWorld struct {
+	statementTest
 	world *world.World
 	nodes []*world.Node
 
 	mutex sync.Mutex
 	// tries are all requests, by identifier.
-	tries map[string]try
+	tries map[string]clientExchange
 	// disturbed is when nodes were killed, started, or went on after they stood still.
 	disturbed map[*world.Node][]time.Time
 }
 
 // try is a request of a client, and what became of it.
-type try struct {
+type clientExchange struct {
 	request   clientRequest
 	answer    clientAnswer
 	node      *world.Node
@@ -116,18 +116,18 @@
 }
 
 // runnersEach is how many runners there are of each service.
-const runnersEach = 4
+const runnersPerService = 4
 
-func startStated(t *testing.T, test statedTest) *stated {
+func startStatementWorld(t *testing.T, test statementTest) *statementWorld {
 	t.Helper()
-	return startStatedWith(t, test, world.Return{})
+	return startStatementWorldWith(t, test, world.Return{})
 }
 
 // startStatedWith starts such a world with runners that are started again as it says.
-func startStatedWith(t *testing.T, test statedTest, returns world.Return) *stated {
+func startStatementWorldWith(t *testing.T, test statementTest, returns world.Return) *statementWorld {
 	t.Helper()
 	w := newWorld(t, nil)
-	for index := range runnersEach {
+	for index := range runnersPerService {
 		zone := zones[index%len(zones)]
 		engine, mailer := engineOptions(w, fmt.Sprintf("runner-%d", index+1), zone), mailerOptions(fmt.Sprintf("mailer-%d", index+1), zone)
 		engine.Returns, mailer.Returns = returns, returns
@@ -136,11 +136,11 @@
 			assert.NilError(t, err)
 		}
 	}
-	s := &stated{statedTest: test, world: w, nodes: startNodes(t, w, 4), tries: make(map[string]try), disturbed: make(map[*world.Node][]time.Time)}
-	apply(t, s.nodes[0], append(model("alpha", runnersEach), keep("alpha", runnersEach))...)
-	waitNamed(t, "alpha", s.nodes...)
+	s := &statementWorld{statementTest: test, world: w, nodes: startNodes(t, w, 4), tries: make(map[string]clientExchange), disturbed: make(map[*world.Node][]time.Time)}
+	apply(t, s.nodes[0], append(model("alpha", runnersPerService), readyPolicy("alpha", runnersPerService))...)
+	waitKnown(t, "alpha", s.nodes...)
 	waitUntil(t, "all runners hold the model", func() error {
-		if got := len(runnersOf(t, s.nodes[0], "alpha")); got != runnersEach {
+		if got := len(runnersHolding(t, s.nodes[0], "alpha")); got != runnersPerService {
 			return fmt.Errorf("%d do", got)
 		}
 		return nil
@@ -148,21 +148,21 @@
 	return s
 }
 
-func runStated(t *testing.T, test statedTest) {
+func runStatementTest(t *testing.T, test statementTest) {
 	t.Helper()
-	s := startStated(t, test)
+	s := startStatementWorld(t, test)
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
 	var senders sync.WaitGroup
 	senders.Go(func() { s.send(ctx) })
 	time.Sleep(time.Second)
-	assert.NilError(t, s.suffer())
+	assert.NilError(t, s.applyStoreFaults())
 	s.state(t)
 	s.sendCrowds(ctx, &senders)
-	time.Sleep(leavingBound + 2*time.Second)
+	time.Sleep(leavingAppliedWithin + 2*time.Second)
 	if !test.leave {
-		s.takeAgain(t)
-		time.Sleep(s.lasting() + time.Second)
+		s.acceptAgain(t)
+		time.Sleep(s.restDuration() + time.Second)
 	}
 	end()
 	senders.Wait()
@@ -172,7 +172,7 @@
 }
 
 // suffer brings what the store suffers.
-func (s *stated) suffer() error {
+func (s *statementWorld) applyStoreFaults() error {
 	var hosts []string
 	for _, node := range s.nodes[:s.refused] {
 		hosts = append(hosts, node.StoreHost())
@@ -181,10 +181,10 @@
 }
 
 // stating are the names of the runners that state something.
-func (s *stated) stating() []string {
-	count := runnersEach / 2
+func (s *statementWorld) statingRunners() []string {
+	count := runnersPerService / 2
 	if s.all {
-		count = runnersEach
+		count = runnersPerService
 	}
 	var names []string
 	for index := range count {
@@ -194,9 +194,9 @@
 }
 
 // state lets runners state it.
-func (s *stated) state(t *testing.T) {
+func (s *statementWorld) state(t *testing.T) {
 	t.Helper()
-	for _, name := range s.stating() {
+	for _, name := range s.statingRunners() {
 		switch {
 		case s.leave && s.listed:
 			assert.NilError(t, s.world.DrainRunner(name))
@@ -211,32 +211,32 @@
 }
 
 // takeAgain lets runners that wanted rest take requests again.
-func (s *stated) takeAgain(t *testing.T) {
+func (s *statementWorld) acceptAgain(t *testing.T) {
 	t.Helper()
-	for _, name := range s.stating() {
+	for _, name := range s.statingRunners() {
 		assert.NilError(t, s.world.SetRunnerFaults(name, runnerstub.Faults{Rest: s.rest}))
 	}
 }
 
 // lasting is the rest that runners ask for.
-func (s *stated) lasting() time.Duration {
+func (s *statementWorld) restDuration() time.Duration {
 	seconds, _ := strconv.ParseFloat(s.rest, 64)
 	return time.Duration(seconds * float64(time.Second))
 }
 
 // send sends requests of all kinds to all nodes in turn until ctx ends, without waiting for
 // answers.
-func (s *stated) send(ctx context.Context) {
+func (s *statementWorld) send(ctx context.Context) {
 	var sending sync.WaitGroup
 	defer sending.Wait()
 	for number := 0; ctx.Err() == nil; number++ {
-		sending.Go(func() { s.try(mixed(number), s.nodes[(number/4)%len(s.nodes)]) })
-		time.Sleep(statedPause)
+		sending.Go(func() { s.sendAndRecord(mixedRequest(number), s.nodes[(number/4)%len(s.nodes)]) })
+		time.Sleep(requestPause)
 	}
 }
 
 // sendCrowds sends many requests at once to each node, now and twice again.
-func (s *stated) sendCrowds(ctx context.Context, senders *sync.WaitGroup) {
+func (s *statementWorld) sendCrowds(ctx context.Context, senders *sync.WaitGroup) {
 	for after := range 3 {
 		for number := range s.crowd {
 			for _, node := range s.nodes {
@@ -244,7 +244,7 @@
 					select {
 					case <-ctx.Done():
 					case <-time.After(time.Duration(after) * time.Second):
-						s.try(mixed(number), node)
+						s.sendAndRecord(mixedRequest(number), node)
 					}
 				})
 			}
@@ -253,36 +253,36 @@
 }
 
 // try sends a request and notes what became of it.
-func (s *stated) try(request clientRequest, node *world.Node) {
+func (s *statementWorld) sendAndRecord(request clientRequest, node *world.Node) {
 	ctx, cancel := context.WithTimeout(context.Background(), request.Deadline+answerMargin)
 	defer cancel()
-	made := try{request: request, node: node, sent: time.Now()}
-	s.note(made)
+	made := clientExchange{request: request, node: node, sent: time.Now()}
+	s.record(made)
 	made.answer = send(ctx, node, request)
 	made.end = time.Now()
-	s.note(made)
+	s.record(made)
 }
 
-func (s *stated) note(made try) {
+func (s *statementWorld) record(made clientExchange) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.tries[made.request.ID] = made
 }
 
 // visit is a request of a node that reached a runner which states something.
-type visit struct {
-	try
+type arrival struct {
+	clientExchange
 	runnerstub.Arrival
 	at     time.Time
 	runner string
 }
 
 // turned reports whether the runner turned the request away.
-func (v *visit) turned() bool { return v.Status != 0 }
+func (v *arrival) rejected() bool { return v.Status != 0 }
 
 // lasting is the rest that the answer asked for.
-func (v *visit) lasting() time.Duration {
-	if !v.turned() {
+func (v *arrival) restDuration() time.Duration {
+	if !v.rejected() {
 		return 0
 	}
 	seconds, _ := strconv.ParseFloat(v.Rest, 64)
@@ -290,61 +290,61 @@
 }
 
 // visits are all such requests, in the order of their arrival.
-func (s *stated) visits(t *testing.T) []visit {
+func (s *statementWorld) arrivals(t *testing.T) []arrival {
 	t.Helper()
-	var visits []visit
+	var arrivals []arrival
 	for _, record := range readHistory(t, s.world).records {
 		made, ours := s.tries[record.Request]
 		if !ours || record.Event != journal.EventArrival {
 			continue
 		}
-		visited := visit{try: made, at: record.Time, runner: record.Runner}
+		visited := arrival{clientExchange: made, at: record.Time, runner: record.Runner}
 		assert.NilError(t, json.Unmarshal([]byte(record.Detail), &visited.Arrival))
-		visits = append(visits, visited)
+		arrivals = append(arrivals, visited)
 	}
-	return visits
+	return arrivals
 }
 
 // checkRunners checks that no node sent a runner what it had said that it does not want.
-func (s *stated) checkRunners(t *testing.T) {
+func (s *statementWorld) checkRunners(t *testing.T) {
 	t.Helper()
-	visits := s.visits(t)
-	assert.Assert(t, len(visits) > 0, "no request reached a runner that states something")
+	arrivals := s.arrivals(t)
+	assert.Assert(t, len(arrivals) > 0, "no request reached a runner that states something")
 	late := make(map[string]bool)
-	turned := 0
-	for index, told := range visits {
-		if told.turned() {
-			turned++
+	rejected := 0
+	for index, told := range arrivals {
+		if told.rejected() {
+			rejected++
 		}
-		leaving, resting := s.unwanted(told, visits[index+1:])
-		if len(resting) <= restSends {
+		leaving, resting := s.violations(told, arrivals[index+1:])
+		if len(resting) <= maxSendsInRest {
 			resting = nil
 		}
 		for _, visited := range append(leaving, resting...) {
 			if key := visited.request.ID + visited.at.String(); !late[key] {
 				late[key] = true
-				s.explain(t, told, visited)
+				s.logViolation(t, told, visited)
 			}
 		}
 	}
-	t.Logf("%d of %d requests at runners that stated something were not wanted, %d were turned away", len(late), len(visits), turned)
+	t.Logf("%d of %d requests at runners that stated something were not wanted, %d were turned away", len(late), len(arrivals), rejected)
 	assert.Equal(t, len(late), 0)
 }
 
 // explain logs what a node knew of an answer that a later request of it went against: how long after
 // the runner gave it the node read it.
-func (s *stated) explain(t *testing.T, told, visited visit) {
+func (s *statementWorld) logViolation(t *testing.T, told, visited arrival) {
 	t.Helper()
 	t.Logf("%s at %s: %s arrived at %s, %s after %s, which asked for a rest of %q, arrived", told.node.Name, told.runner, visited.request.ID,
 		visited.at.Format(time.RFC3339Nano), visited.at.Sub(told.at).Round(time.Millisecond), told.request.ID, told.Rest)
 	content := readFile(t, s.world.LogPath(told.node))
-	for _, line := range slices.Concat(linesWith(content, told.request.ID), linesWith(content, visited.request.ID), linesWith(content, `"runner wants rest"`, told.runner)) {
+	for _, line := range slices.Concat(linesContaining(content, told.request.ID), linesContaining(content, visited.request.ID), linesContaining(content, `"runner wants rest"`, told.runner)) {
 		t.Logf("  %.400s", line)
 	}
 }
 
 // linesWith returns the lines of a log that contain all the words.
-func linesWith(content string, words ...string) []string {
+func linesContaining(content string, words ...string) []string {
 	var lines []string
 	for line := range strings.Lines(content) {
 		if !slices.ContainsFunc(words, func(word string) bool { return !strings.Contains(line, word) }) {
@@ -357,15 +357,15 @@
 // unwanted are the later requests of the same node at the same incarnation that an answer does
 // not want: what clients sent after the bound of a leaving that the node passed on, and what
 // arrived in a rest. A node that was started or stood still since then is excused.
-func (s *stated) unwanted(told visit, later []visit) (leaving, resting []visit) {
+func (s *statementWorld) violations(told arrival, later []arrival) (leaving, resting []arrival) {
 	for _, visited := range later {
-		if visited.node != told.node || visited.runner != told.runner || visited.Born != told.Born || s.disturbedWithin(told.node, told.at, visited.at) {
+		if visited.node != told.node || visited.runner != told.runner || visited.Born != told.Born || s.disturbedBetween(told.node, told.at, visited.at) {
 			continue
 		}
-		if told.Leaving && told.answer.Whole && !told.turned() && visited.sent.Sub(told.end) > leavingBound {
+		if told.Leaving && told.answer.Whole && !told.rejected() && visited.sent.Sub(told.end) > leavingAppliedWithin {
 			leaving = append(leaving, visited)
 		}
-		if after := visited.at.Sub(told.at); after > restSlack && after < told.lasting() {
+		if after := visited.at.Sub(told.at); after > restAppliedAfter && after < told.restDuration() {
 			resting = append(resting, visited)
 		}
 	}
@@ -373,13 +373,13 @@
 }
 
 // disturbedWithin reports whether a node was started or stood still between two moments.
-func (s *stated) disturbedWithin(node *world.Node, from, to time.Time) bool {
+func (s *statementWorld) disturbedBetween(node *world.Node, from, to time.Time) bool {
 	return slices.ContainsFunc(s.disturbed[node], func(at time.Time) bool { return at.After(from) && at.Before(to) })
 }
 
 // checkClients checks that each client had a final answer in time, and each refused one the time to
 // come back.
-func (s *stated) checkClients(t *testing.T) {
+func (s *statementWorld) checkClients(t *testing.T) {
 	t.Helper()
 	statuses := make(map[int]int)
 	var held time.Duration
@@ -387,7 +387,7 @@
 		statuses[made.answer.Status]++
 		if made.answer.Status == http.StatusServiceUnavailable {
 			held += made.end.Sub(made.sent)
-			assert.Check(t, made.answer.Retry != "", "%s: refused without a time to come back", made.request.Path)
+			assert.Check(t, made.answer.RetryAfter != "", "%s: refused without a time to come back", made.request.Path)
 		}
 		took := made.end.Sub(made.sent)
 		// A stream that began late is cut off as its client's time ends.
@@ -407,7 +407,7 @@
 	startRunners(t, w, 3)
 	nodes := startNodes(t, w, 4)
 	apply(t, nodes[0], model("alpha", 2)...)
-	waitNamed(t, "alpha", nodes...)
+	waitKnown(t, "alpha", nodes...)
 	request := clientRequest{Path: "/draft/x", Model: "alpha", Events: 5, Deadline: 10 * time.Second}
 	waitUntil(t, "the model is served", func() error {
 		if got := send(t.Context(), nodes[0], request); got.Status != http.StatusOK {
@@ -415,18 +415,18 @@
 		}
 		return nil
 	})
-	leaving := runnersOf(t, nodes[0], "alpha")[0]
+	leaving := runnersHolding(t, nodes[0], "alpha")[0]
 	assert.NilError(t, w.SetRunnerFaults(leaving, runnerstub.Faults{Leaving: true}))
-	hears := other(nodes, holderOf(t, w, nodes[0]))
+	hears := anyNodeExcept(nodes, leaseHolder(t, w, nodes[0]))
 	waitUntil(t, "a node hears that the runner leaves", func() error {
 		got := send(t.Context(), hears, request)
 		if got.Signature == "" {
 			return fmt.Errorf("%+v", got)
 		}
-		return loggedBy(t, w, saysLeaving, leaving, hears)
+		return loggedBy(t, w, logLeaving, leaving, hears)
 	})
-	waitUntil(t, "all nodes are told", func() error { return loggedBy(t, w, saysLeaving, leaving, nodes...) })
-	before := len(eventsOf(readHistory(t, w), journal.EventArrival))
+	waitUntil(t, "all nodes are told", func() error { return loggedBy(t, w, logLeaving, leaving, nodes...) })
+	before := len(eventTimes(readHistory(t, w), journal.EventArrival))
 	for _, node := range nodes {
 		waitUntil(t, "the model is served from elsewhere", func() error {
 			if got := send(t.Context(), node, request); got.Status != http.StatusOK {
@@ -435,23 +435,23 @@
 			return nil
 		})
 	}
-	assert.Equal(t, len(eventsOf(readHistory(t, w), journal.EventArrival)), before, "requests reached %s", leaving)
-	operate(t, nodes[0])(commandline.ExitOK, "hear that it leaves", "explain", "replica", leaving)
+	assert.Equal(t, len(eventTimes(readHistory(t, w), journal.EventArrival)), before, "requests reached %s", leaving)
+	newCommandCheck(t, nodes[0])(commandline.ExitOK, "hear that it leaves", "explain", "replica", leaving)
 }
 
 // What nodes log of runners' statements.
 const (
-	saysLeaving = "runner says that it leaves"
-	namesLimit  = "runner names a limit"
+	logLeaving = "runner says that it leaves"
+	logLimit   = "runner names a limit"
 )
 
 // loggedBy returns nil once all nodes have logged that a runner stated something.
-func loggedBy(t *testing.T, w *world.World, stated, runner string, nodes ...*world.Node) error {
+func loggedBy(t *testing.T, w *world.World, statementWorld, runner string, nodes ...*world.Node) error {
 	t.Helper()
 	for _, node := range nodes {
 		found := false
 		for line := range strings.Lines(readFile(t, w.LogPath(node))) {
-			found = found || strings.Contains(line, stated) && strings.Contains(line, runner)
+			found = found || strings.Contains(line, statementWorld) && strings.Contains(line, runner)
 		}
 		if !found {
 			return fmt.Errorf("%s does not know", node.Name)
--- a/test/stops_test.go
+++ b/test/stops_test.go
@@ -28,12 +28,12 @@
 				begun <- struct{}{}
 			}
 		}
-		results = append(results, inBackground(t.Context(), nodes[index%len(nodes)], c, progress))
+		results = append(results, sendInBackground(t.Context(), nodes[index%len(nodes)], c, progress))
 	}
 	for range count {
 		select {
 		case <-begun:
-		case <-time.After(patience):
+		case <-time.After(waitTimeout):
 			t.Fatal("a stream did not begin")
 		}
 	}
@@ -56,15 +56,15 @@
 	late := call{Model: "alpha", Prompt: "late", Tokens: 4, Key: "late-key", Deadline: 30 * time.Second}
 	assertServed(t, late, ask(t.Context(), nodes[1], late, nil))
 	for _, stream := range streams {
-		assertServed(t, longStream, await(t, stream))
+		assertServed(t, longStream, awaitOutcome(t, stream))
 	}
-	assert.NilError(t, nodes[0].Wait(patience))
+	assert.NilError(t, nodes[0].Wait(waitTimeout))
 	again := call{Model: "alpha", Prompt: "again", Tokens: 4, Deadline: 30 * time.Second}
 	assertServed(t, again, ask(t.Context(), nodes[2], again, nil))
 	for _, c := range []call{early, late} {
 		duplicate := ask(t.Context(), nodes[2], c, nil)
 		assert.Assert(t, !duplicate.Served, "the claim of %s was forgotten", c.Key)
-		assert.Equal(t, readHistory(t, w).runs(c.Prompt), 1)
+		assert.Equal(t, readHistory(t, w).runsOfPrompt(c.Prompt), 1)
 	}
 }
 
@@ -84,18 +84,18 @@
 	startRunners(t, w, 1)
 	nodes := startNodes(t, w, 2)
 	stuckModel(t, w, nodes[0], "alpha")
-	waitNamed(t, "alpha", nodes...)
+	waitKnown(t, "alpha", nodes...)
 	result := make(chan clientAnswer, 1)
 	go func() {
 		result <- send(t.Context(), nodes[0], clientRequest{Path: "/draft/x", Model: "alpha", Events: 3, Deadline: 8 * time.Second})
 	}()
-	waitWaiting(t, nodes[0], 1)
+	waitQueued(t, nodes[0], 1)
 	assert.NilError(t, nodes[0].Terminate())
 	got := <-result
 	assert.Assert(t, got.Whole, "%+v", got)
 	assert.Equal(t, got.Status, http.StatusServiceUnavailable)
-	assert.Assert(t, got.Retry != "")
-	assert.NilError(t, nodes[0].Wait(patience))
+	assert.Assert(t, got.RetryAfter != "")
+	assert.NilError(t, nodes[0].Wait(waitTimeout))
 }
 
 // TestStopAnswersOperators: a node is asked to stop while it commits an operator's change at
@@ -118,8 +118,8 @@
 	asked := time.Now()
 	assert.NilError(t, nodes[1].Terminate())
 	assert.NilError(t, <-result)
-	assert.NilError(t, nodes[1].Wait(patience))
-	assert.Assert(t, time.Since(asked) < fastGrace/2, "the stop took %s", time.Since(asked))
+	assert.NilError(t, nodes[1].Wait(waitTimeout))
+	assert.Assert(t, time.Since(asked) < stopGrace/2, "the stop took %s", time.Since(asked))
 }
 
 // TestStopOfRunnerCutsOffNoRequest: a runner is drained while long streams run
@@ -129,7 +129,7 @@
 	t.Parallel()
 	w, nodes := startWithAlpha(t, 3, 2, model("alpha", 1)...)
 	streams := startStreams(t, nodes, longStream, 4)
-	runner := runnersOf(t, nodes[0], "alpha")[0]
+	runner := runnersHolding(t, nodes[0], "alpha")[0]
 	revision := apply(t, nodes[0], api.NewObject(api.KindDrain, "drain-1", api.Drain{Target: api.DrainRunner, Name: runner}))
 	waitUntil(t, "the drain is in force", func() error {
 		for _, node := range nodes {
@@ -146,9 +146,9 @@
 	inForce := time.Now()
 	// A request that comes during the stop waits until the replica has moved.
 	moved := call{Model: "alpha", Prompt: "moved", Tokens: 4, Deadline: 50 * time.Second}
-	movedResult := inBackground(t.Context(), nodes[0], moved, nil)
+	movedResult := sendInBackground(t.Context(), nodes[0], moved, nil)
 	for _, stream := range streams {
-		assertServed(t, longStream, await(t, stream))
+		assertServed(t, longStream, awaitOutcome(t, stream))
 	}
 	waitUntil(t, "the drain is finished", func() error {
 		progress, err := nodes[1].Client().DrainProgress(t.Context(), "drain-1")
@@ -160,9 +160,9 @@
 		}
 		return nil
 	})
-	assertServed(t, moved, await(t, movedResult))
+	assertServed(t, moved, awaitOutcome(t, movedResult))
 	h := readHistory(t, w)
-	assert.Equal(t, h.most("alpha"), 1)
+	assert.Equal(t, h.maxReplicas("alpha"), 1)
 	assertNoRunFrom(t, h, runner, inForce)
 }
 
@@ -183,10 +183,10 @@
 	w, nodes := startWithAlpha(t, 3, 3, model("alpha", 2)...)
 	first := call{Model: "alpha", Prompt: "first", Tokens: 4}
 	assertServed(t, first, ask(t.Context(), nodes[0], first, nil))
-	runner := runnersOf(t, nodes[0], "alpha")[0]
-	holder := holderOf(t, w, nodes[0])
-	caller := other(nodes, holder)
-	load := startBackground(t, 4, func(who, number int) (*world.Node, call) {
+	runner := runnersHolding(t, nodes[0], "alpha")[0]
+	holder := leaseHolder(t, w, nodes[0])
+	caller := anyNodeExcept(nodes, holder)
+	load := startLoad(t, 4, func(who, number int) (*world.Node, call) {
 		return caller, call{Model: "alpha", Prompt: fmt.Sprintf("p%d-%d", who, number), Tokens: 4, Deadline: 20 * time.Second}
 	})
 	load.waitServed(t, 5)
@@ -194,7 +194,7 @@
 	holder.Kill()
 	waitUntil(t, "the node learned of it", func() error {
 		content := readLog(t, w, caller)
-		if !containsAll(content, "runners leaving", runner) {
+		if !hasLineWith(content, "runners leaving", runner) {
 			return fmt.Errorf("not in its log yet")
 		}
 		return nil
@@ -204,6 +204,6 @@
 	load.finish()
 	h := readHistory(t, w)
 	assertNoRunFrom(t, h, runner, learned)
-	assert.Assert(t, h.mostTogether("alpha") <= 2)
+	assert.Assert(t, h.maxLoaded("alpha") <= 2)
 	load.assertTruthful(t, h)
 }
