--- a/test/tenants_test.go
+++ b/test/tenants_test.go
@@ -24,7 +24,7 @@
 )
 
 // tenantOf is a tenant whose only key is its name with "-key".
-func tenantOf(name string, rate, burst float64) protocol.Tenant {
+func newTenant(name string, rate, burst float64) protocol.Tenant {
 	return protocol.Tenant{Name: name, APIKeys: []string{name + "-key"}, RatePerS: rate, Burst: burst}
 }
 
@@ -49,18 +49,18 @@
 	w := newWorld(t, nil)
 	startMailers(t, w, 1)
 	nodes := startNodes(t, w, 2)
-	assert.NilError(t, w.ConfigureTenants([]protocol.Tenant{tenantOf("first", 0, 0), tenantOf("second", 0, 0)}))
+	assert.NilError(t, w.ConfigureTenants([]protocol.Tenant{newTenant("first", 0, 0), newTenant("second", 0, 0)}))
 	waitStatus(t, "", http.StatusUnauthorized, nodes...)
 	forged := http.Header{protocol.HeaderTenant: {"second"}}
 	served := send(t.Context(), nodes[1], clientRequest{Path: "/read/x", Key: "first-key", Header: forged})
 	assert.Equal(t, served.Status, http.StatusOK)
-	assert.Equal(t, readHistory(t, w).runOf(served.ID).Tenant, "first")
+	assert.Equal(t, readHistory(t, w).runRecord(served.ID).Tenant, "first")
 	unknown := send(t.Context(), nodes[0], clientRequest{Path: "/read/x", Key: "third-key"})
 	assert.Equal(t, unknown.Status, http.StatusUnauthorized)
-	assert.NilError(t, w.ConfigureTenants([]protocol.Tenant{tenantOf("second", 0, 0)}))
+	assert.NilError(t, w.ConfigureTenants([]protocol.Tenant{newTenant("second", 0, 0)}))
 	waitStatus(t, "first-key", http.StatusUnauthorized, nodes...)
 	waitStatus(t, "second-key", http.StatusOK, nodes...)
-	assert.Equal(t, readHistory(t, w).runOf(unknown.ID).Event, journal.Event(""))
+	assert.Equal(t, readHistory(t, w).runRecord(unknown.ID).Event, journal.Event(""))
 }
 
 // TestRevokedKeyBesideStoreThatTurnsANodeAway: a node that the store does not answer
@@ -70,15 +70,15 @@
 	w := newWorld(t, nil)
 	startMailers(t, w, 1)
 	nodes := startNodes(t, w, 3)
-	assert.NilError(t, w.ConfigureTenants([]protocol.Tenant{tenantOf("first", 0, 0), tenantOf("second", 0, 0)}))
+	assert.NilError(t, w.ConfigureTenants([]protocol.Tenant{newTenant("first", 0, 0), newTenant("second", 0, 0)}))
 	waitStatus(t, "first-key", http.StatusOK, nodes...)
 	nodes[2].StoreProxy.Block()
-	assert.NilError(t, w.ConfigureTenants([]protocol.Tenant{tenantOf("second", 0, 0)}))
+	assert.NilError(t, w.ConfigureTenants([]protocol.Tenant{newTenant("second", 0, 0)}))
 	waitStatus(t, "first-key", http.StatusUnauthorized, nodes...)
 }
 
 // runOf returns the record of a request's run; an empty one when it did not run.
-func (h history) runOf(id string) journal.Record {
+func (h history) runRecord(id string) journal.Record {
 	for _, record := range h.records {
 		if record.Event == journal.EventRun && record.Request == id {
 			return record
@@ -95,14 +95,14 @@
 )
 
 // exact counts the use of tenants' limits in short windows.
-func exact(s *settings.Settings) {
-	fast(s)
+func useShortLimitWindows(s *settings.Settings) {
+	useShortIntervals(s)
 	s.Limits = settings.Limits{Window: hotWindow, Share: hotShare}
 }
 
 // press sends requests of a tenant to a node, rate a second, until ctx ends, and tells
 // the status of each.
-func press(ctx context.Context, group *sync.WaitGroup, node *world.Node, key string, rate float64, told func(int)) {
+func sendAtRate(ctx context.Context, group *sync.WaitGroup, node *world.Node, key string, rate float64, told func(int)) {
 	group.Go(func() {
 		ticker := time.NewTicker(time.Duration(float64(time.Second) / rate))
 		defer ticker.Stop()
@@ -143,10 +143,10 @@
 // loses nothing.
 func TestHotTenantKeepsItsLimit(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, func(o *world.Options) { o.Adjust = exact })
+	w := newWorld(t, func(o *world.Options) { o.Adjust = useShortLimitWindows })
 	startMailers(t, w, 3)
 	nodes := startNodes(t, w, 4)
-	assert.NilError(t, w.ConfigureTenants([]protocol.Tenant{tenantOf("hot", hotRate, hotBurst), tenantOf("calm", hotRate, hotBurst)}))
+	assert.NilError(t, w.ConfigureTenants([]protocol.Tenant{newTenant("hot", hotRate, hotBurst), newTenant("calm", hotRate, hotBurst)}))
 	waitStatus(t, "hot-key", http.StatusOK, nodes...)
 	waitStatus(t, "calm-key", http.StatusOK, nodes...)
 
@@ -162,10 +162,10 @@
 			counts[status]++
 		}
 	}
-	press(ctx, &group, nodes[0], "hot-key", 2*hotRate, count(hot))
-	press(ctx, &group, nodes[1], "hot-key", 2*hotRate, count(hot))
-	press(ctx, &group, nodes[0], "calm-key", hotRate/6, count(calm))
-	press(ctx, &group, nodes[2], "calm-key", hotRate/6, count(calm))
+	sendAtRate(ctx, &group, nodes[0], "hot-key", 2*hotRate, count(hot))
+	sendAtRate(ctx, &group, nodes[1], "hot-key", 2*hotRate, count(hot))
+	sendAtRate(ctx, &group, nodes[0], "calm-key", hotRate/6, count(calm))
+	sendAtRate(ctx, &group, nodes[2], "calm-key", hotRate/6, count(calm))
 	time.Sleep(5 * time.Second)
 	mutex.Lock()
 	served, asked := hot[http.StatusOK], hot[http.StatusOK]+hot[http.StatusTooManyRequests]
@@ -179,7 +179,7 @@
 	nodes[1].Proxy.Heal()
 	nodes[3].Kill()
 	assert.NilError(t, w.RestartNode(nodes[3]))
-	press(ctx, &group, nodes[3], "hot-key", hotRate, count(hot))
+	sendAtRate(ctx, &group, nodes[3], "hot-key", hotRate, count(hot))
 	time.Sleep(2 * time.Second)
 	assert.NilError(t, nodes[2].Freeze())
 	time.Sleep(2 * time.Second)
@@ -193,12 +193,12 @@
 
 // startWordsNodes starts nodes that serve a tenant, words, whose limit counts tokens: rate a
 // second, and as many on top.
-func startWordsNodes(t *testing.T, count int, rate float64) []*world.Node {
+func startTokenLimitNodes(t *testing.T, count int, rate float64) []*world.Node {
 	t.Helper()
-	w := newWorld(t, func(o *world.Options) { o.Adjust = exact })
+	w := newWorld(t, func(o *world.Options) { o.Adjust = useShortLimitWindows })
 	startMailers(t, w, 1)
 	nodes := startNodes(t, w, count)
-	words := tenantOf("words", rate, rate)
+	words := newTenant("words", rate, rate)
 	words.Unit, words.RawTokens = protocol.UnitToken, 1
 	assert.NilError(t, w.ConfigureTenants([]protocol.Tenant{words}))
 	waitStatus(t, "words-key", http.StatusOK, nodes...)
@@ -209,30 +209,30 @@
 // what could never be within it too, and counts that cannot be read are an error.
 func TestLimitedRequestsAreTold(t *testing.T) {
 	t.Parallel()
-	nodes := startWordsNodes(t, 1, 100)
-	ask := func(tokens string) clientAnswer {
+	nodes := startTokenLimitNodes(t, 1, 100)
+	sendTokens := func(tokens string) clientAnswer {
 		return send(t.Context(), nodes[0], clientRequest{Path: "/read/x", Key: "words-key", Header: http.Header{protocol.HeaderTokens: {tokens}}})
 	}
 	for _, tokens := range []string{"-1,2", "x", "1e3,5", "99999999999999999999,1", ""} {
-		assert.Equal(t, ask(tokens).Status, http.StatusBadRequest, "%q", tokens)
+		assert.Equal(t, sendTokens(tokens).Status, http.StatusBadRequest, "%q", tokens)
 	}
-	tooLarge := ask("100000,1")
+	tooLarge := sendTokens("100000,1")
 	assert.Equal(t, tooLarge.Status, http.StatusTooManyRequests)
-	assert.Equal(t, tooLarge.Retry, "10.00")
+	assert.Equal(t, tooLarge.RetryAfter, "10.00")
 	waitUntil(t, "the limit is used up", func() error {
-		got := ask("30,10")
+		got := sendTokens("30,10")
 		if got.Status != http.StatusTooManyRequests {
 			return errors.New("still served")
 		}
-		seconds, err := strconv.ParseFloat(got.Retry, 64)
+		seconds, err := strconv.ParseFloat(got.RetryAfter, 64)
 		assert.NilError(t, err)
-		assert.Assert(t, seconds > 0 && seconds < 2, "%s", got.Retry)
+		assert.Assert(t, seconds > 0 && seconds < 2, "%s", got.RetryAfter)
 		return nil
 	})
 }
 
 // keyIn finds the key that a command showed.
-func keyIn(t *testing.T, output string) string {
+func shownKey(t *testing.T, output string) string {
 	t.Helper()
 	_, key, found := strings.Cut(output, "key: ")
 	assert.Assert(t, found, output)
@@ -247,7 +247,7 @@
 	startRunners(t, w, 1)
 	nodes := startNodes(t, w, 2)
 	apply(t, nodes[0], model("alpha", 1)...)
-	waitNamed(t, "alpha", nodes...)
+	waitKnown(t, "alpha", nodes...)
 	run := func(code int, arguments ...string) string {
 		t.Helper()
 		output, got := lilacvane(t, nodes[0], arguments...)
@@ -273,9 +273,9 @@
 	good := writeFile(t, "good.yaml", "kind: Tenant\nname: club\nspec: {priority: 1, limit: {unit: tokens, rate: 100000, burst: 1000}}\n")
 	run(commandline.ExitOK, "apply", "-f", good)
 	answered("", http.StatusUnauthorized)
-	first := keyIn(t, run(commandline.ExitOK, "tenant", "add", "club", "--id", "old"))
+	first := shownKey(t, run(commandline.ExitOK, "tenant", "add", "club", "--id", "old"))
 	answered(first, http.StatusOK)
-	second := keyIn(t, run(commandline.ExitOK, "tenant", "rotate", "club", "--id", "new"))
+	second := shownKey(t, run(commandline.ExitOK, "tenant", "rotate", "club", "--id", "new"))
 	answered(second, http.StatusOK)
 	answered(first, http.StatusUnauthorized)
 	assert.Assert(t, strings.Contains(run(commandline.ExitOK, "tenant", "list"), "club"))
@@ -293,7 +293,7 @@
 // less than the limit lets through at once, is served.
 func TestLargeRequestIsLentTogether(t *testing.T) {
 	t.Parallel()
-	nodes := startWordsNodes(t, 4, 1000)
+	nodes := startTokenLimitNodes(t, 4, 1000)
 	for _, node := range nodes {
 		waitUntil(t, "a large request is served", func() error {
 			header := http.Header{protocol.HeaderTokens: {"600,10"}}
--- a/test/traps_test.go
+++ b/test/traps_test.go
@@ -27,10 +27,10 @@
 	startRunners(t, w, runners)
 	startMailers(t, w, 2)
 	started := startNodes(t, w, nodes)
-	apply(t, started[0], append(model("alpha", runners), keep("alpha", runners))...)
-	waitNamed(t, "alpha", started...)
+	apply(t, started[0], append(model("alpha", runners), readyPolicy("alpha", runners))...)
+	waitKnown(t, "alpha", started...)
 	waitUntil(t, "all runners hold the model", func() error {
-		if got := len(runnersOf(t, started[0], "alpha")); got != runners {
+		if got := len(runnersHolding(t, started[0], "alpha")); got != runners {
 			return fmt.Errorf("%d do", got)
 		}
 		return nil
@@ -45,7 +45,7 @@
 }
 
 // runsOf counts how often runners ran a request.
-func runsOf(h history, id string) int {
+func runsOfRequest(h history, id string) int {
 	count := 0
 	for _, record := range h.records {
 		if record.Event == journal.EventRun && record.Request == id {
@@ -77,7 +77,7 @@
 			broken++
 		}
 		assert.Assert(t, !got.Whole || got.Status != http.StatusOK || got.Body == expectedEvents(id, 9), "%+v", got)
-		assert.Assert(t, runsOf(readHistory(t, w), id) <= 1, "a request that may not be repeated ran again")
+		assert.Assert(t, runsOfRequest(readHistory(t, w), id) <= 1, "a request that may not be repeated ran again")
 	}
 	t.Logf("%d of 12 streams that may not be resumed broke off", broken)
 }
@@ -116,11 +116,11 @@
 		for number := range 12 {
 			id := newID()
 			got := sendWith(t.Context(), client, nodes[number%2], clientRequest{ID: id, Path: "/send/x", Method: http.MethodPost, Body: []byte(strings.Repeat("b", 3000))})
-			runs := runsOf(readHistory(t, w), id)
+			runs := runsOfRequest(readHistory(t, w), id)
 			assert.Assert(t, runs <= 1, "%+v: ran %d times", faults, runs)
 			if got.Status == http.StatusServiceUnavailable || got.Status == http.StatusTooManyRequests {
 				assert.Equal(t, runs, 0, "%+v: a false promise %+v", faults, got)
-				assert.Assert(t, got.Retry != "")
+				assert.Assert(t, got.RetryAfter != "")
 			}
 			if got.Status == http.StatusOK {
 				assert.Assert(t, got.Whole && strings.Contains(got.Body, id), "%+v: %+v", faults, got)
@@ -157,7 +157,7 @@
 		done <- send(ctx, nodes[0], clientRequest{ID: id, Path: "/draft/x", Model: "alpha", Events: 500})
 	}()
 	waitUntil(t, "it runs", func() error {
-		if runsOf(readHistory(t, w), id) == 0 {
+		if runsOfRequest(readHistory(t, w), id) == 0 {
 			return fault.New(fault.CodeNotFound, "test", "not yet")
 		}
 		return nil
@@ -175,10 +175,10 @@
 	// One that waits for a model that never comes leaves no trace.
 	waiting, leave := context.WithCancel(t.Context())
 	go func() { done <- send(waiting, nodes[0], clientRequest{Path: "/draft/x", Model: "unknown"}) }()
-	waitWaiting(t, nodes[0], 1)
+	waitQueued(t, nodes[0], 1)
 	leave()
 	<-done
-	waitNothingWaits(t, nodes[0])
+	waitNoneWaiting(t, nodes[0])
 }
 
 // TestTimeoutOfRouteIsFinal: a request that outlasts its route's time-out gets
@@ -232,7 +232,7 @@
 	t.Parallel()
 	w, nodes := startLoaded(t, 2, 3)
 	apply(t, nodes[0], model("beta", 1)...)
-	waitNamed(t, "beta", nodes...)
+	waitKnown(t, "beta", nodes...)
 	for _, down := range []storestub.Down{storestub.Silent, storestub.Busy, storestub.Reset} {
 		assert.NilError(t, w.SetStoreFaults(storestub.Faults{Down: down}))
 		time.Sleep(2500 * time.Millisecond) // longer than the lease
@@ -270,7 +270,7 @@
 	nodes[0].StoreProxy.Reset()
 	nodes[0].StoreProxy.Heal()
 	waitUntil(t, "the list is read", func() error {
-		if !containsAll(readLog(t, w, nodes[0]), "runners listed", `"runners":0`, `"doubtful":true`) {
+		if !hasLineWith(readLog(t, w, nodes[0]), "runners listed", `"runners":0`, `"doubtful":true`) {
 			return fault.New(fault.CodeNotFound, "test", "not yet")
 		}
 		return nil
@@ -290,7 +290,7 @@
 	content := readFile(t, nodes[0].SettingsPath())
 	writeTo(t, nodes[0].SettingsPath(), strings.Replace(content, "level: debug", "level: info", 1))
 	waitUntil(t, "the settings are in force", func() error {
-		if !containsAll(readLog(t, w, nodes[0]), "settings in force") {
+		if !hasLineWith(readLog(t, w, nodes[0]), "settings in force") {
 			return fault.New(fault.CodeNotFound, "test", "not yet")
 		}
 		return nil
@@ -335,7 +335,7 @@
 	))
 	waitUntil(t, "only the other runner counts", func() error {
 		for _, node := range nodes {
-			if got := runnersOf(t, node, "alpha"); len(got) != 1 || got[0] != "runner-2" {
+			if got := runnersHolding(t, node, "alpha"); len(got) != 1 || got[0] != "runner-2" {
 				return fmt.Errorf("%v do at %s", got, node.Name)
 			}
 		}
--- a/test/zones_test.go
+++ b/test/zones_test.go
@@ -16,7 +16,7 @@
 )
 
 // takeOut takes out a zone, or takes it back, as the platform's operator does.
-func takeOut(t *testing.T, w *world.World, zone string, back bool) {
+func setZoneOut(t *testing.T, w *world.World, zone string, back bool) {
 	t.Helper()
 	assert.NilError(t, w.PutRows(protocol.Row{
 		Table: protocol.OperatorTable, Key: protocol.EvacuationPrefix + zone, Value: []byte("{}"), Deleted: back,
@@ -28,7 +28,7 @@
 	t.Helper()
 	for _, node := range nodes {
 		waitUntil(t, node.Name+" knows that "+zone+" is "+state, func() error {
-			if last := lastLine(readLog(t, w, node), "zone's state changed", `"zone":"`+zone+`"`); !containsAll(last, `"state":"`+state+`"`) {
+			if last := lastLineWith(readLog(t, w, node), "zone's state changed", `"zone":"`+zone+`"`); !hasLineWith(last, `"state":"`+state+`"`) {
 				return fmt.Errorf("its last word is %q", last)
 			}
 			return nil
@@ -82,30 +82,30 @@
 // serves again.
 func TestZoneOutGetsNothingNew(t *testing.T) {
 	t.Parallel()
-	w, nodes := startWithAlpha(t, 3, 3, append(model("alpha", 3), keep("alpha", 3))...)
+	w, nodes := startWithAlpha(t, 3, 3, append(model("alpha", 3), readyPolicy("alpha", 3))...)
 	apply(t, nodes[0], append(model("beta", 3), model("only", 1)...)...)
-	waitNamed(t, "beta", nodes...)
-	waitNamed(t, "only", nodes...)
+	waitKnown(t, "beta", nodes...)
+	waitKnown(t, "only", nodes...)
 	long := call{Model: "only", Prompt: "long", Tokens: 600, Deadline: 50 * time.Second}
-	stream := inBackground(t.Context(), nodes[0], long, nil)
+	stream := sendInBackground(t.Context(), nodes[0], long, nil)
 	zone := zoneOf(runnerOfPrompt(t, w, "long"))
-	load := startBackground(t, 3, func(who, number int) (*world.Node, call) {
+	load := startLoad(t, 3, func(who, number int) (*world.Node, call) {
 		return nodes[who], call{Model: "alpha", Prompt: fmt.Sprintf("p%d-%d", who, number), Tokens: 4, Deadline: 20 * time.Second}
 	})
 	load.waitServed(t, 5)
-	takeOut(t, w, zone, false)
+	setZoneOut(t, w, zone, false)
 	waitZone(t, w, zone, "out", nodes...)
 	learned := time.Now()
 	waits := call{Model: "beta", Prompt: "waits", Tokens: 4, Deadline: 20 * time.Second}
-	assertServed(t, waits, await(t, inBackground(t.Context(), nodes[1], waits, nil)))
+	assertServed(t, waits, awaitOutcome(t, sendInBackground(t.Context(), nodes[1], waits, nil)))
 	unserved := call{Model: "only", Prompt: "unserved", Tokens: 4, Deadline: 2 * time.Second}
-	got := await(t, inBackground(t.Context(), nodes[1], unserved, nil))
+	got := awaitOutcome(t, sendInBackground(t.Context(), nodes[1], unserved, nil))
 	assert.Assert(t, !got.Served && got.Ran == "no", "%+v", got)
 	load.waitServed(t, 10)
-	assertServed(t, long, await(t, stream))
+	assertServed(t, long, awaitOutcome(t, stream))
 	assert.Assert(t, zoneOf(runnerOfPrompt(t, w, "waits")) != zone)
 	assertNothingNewIn(t, readHistory(t, w), zone, learned, time.Now())
-	takeOut(t, w, zone, true)
+	setZoneOut(t, w, zone, true)
 	waitZone(t, w, zone, "in", nodes...)
 	returned := call{Model: "only", Prompt: "returned", Tokens: 4, Deadline: 20 * time.Second}
 	assertServed(t, returned, ask(t.Context(), nodes[2], returned, nil))
@@ -119,14 +119,14 @@
 // back. Then a second zone goes, and the first is taken back and out again at once.
 func TestZoneOutThroughFaults(t *testing.T) {
 	t.Parallel()
-	w, nodes := startWithAlpha(t, 6, 4, append(model("alpha", 6), keep("alpha", 3))...)
-	load := startBackground(t, 4, func(who, number int) (*world.Node, call) {
+	w, nodes := startWithAlpha(t, 6, 4, append(model("alpha", 6), readyPolicy("alpha", 3))...)
+	load := startLoad(t, 4, func(who, number int) (*world.Node, call) {
 		return nodes[who], call{Model: "alpha", Prompt: fmt.Sprintf("p%d-%d", who, number), Tokens: 4, Deadline: 10 * time.Second}
 	})
 	load.waitServed(t, 5)
 	assert.NilError(t, w.SetStoreFaults(storestub.Faults{Down: storestub.Busy, Only: []string{nodes[3].StoreHost()}}))
 	assert.NilError(t, nodes[2].Freeze())
-	takeOut(t, w, zones[0], false)
+	setZoneOut(t, w, zones[0], false)
 	nodes[1].Kill()
 	assert.NilError(t, w.RestartNode(nodes[1]))
 	assert.NilError(t, w.ForgetHistory())
@@ -135,7 +135,7 @@
 	first := time.Now()
 	assert.NilError(t, w.SetStoreFaults(storestub.Faults{}))
 	load.waitServed(t, 10)
-	takeOut(t, w, zones[1], false)
+	setZoneOut(t, w, zones[1], false)
 	waitZone(t, w, zones[1], "out", nodes...)
 	second := time.Now()
 	load.waitServed(t, 10)
@@ -143,8 +143,8 @@
 	h := readHistory(t, w)
 	assertNothingNewIn(t, h, zones[0], first, again)
 	assertNothingNewIn(t, h, zones[1], second, again)
-	takeOut(t, w, zones[0], true)
-	takeOut(t, w, zones[0], false)
+	setZoneOut(t, w, zones[0], true)
+	setZoneOut(t, w, zones[0], false)
 	// A node may have heard nothing yet, so that its last word is that of the first time.
 	third := time.Now().Add(settings.Default().Evacuation.Within)
 	waitUntil(t, "the zone must be out", func() error {
@@ -171,9 +171,9 @@
 	nodes := startNodes(t, w, 3)
 	read := clientRequest{Path: "/read/x"}
 	for _, zone := range zones {
-		takeOut(t, w, zone, false)
+		setZoneOut(t, w, zone, false)
 	}
-	takeOut(t, w, "zone-nobody-knows", false)
+	setZoneOut(t, w, "zone-nobody-knows", false)
 	var restarts sync.WaitGroup
 	for _, node := range nodes {
 		node.Kill()
@@ -186,10 +186,10 @@
 		assert.NilError(t, node.WaitReady())
 		got := send(t.Context(), node, read)
 		assert.Equal(t, got.Status, 503)
-		assert.Assert(t, got.Retry != "", "%+v", got)
+		assert.Assert(t, got.RetryAfter != "", "%+v", got)
 	}
 	ran := len(readHistory(t, w).records)
-	takeOut(t, w, zones[0], true)
+	setZoneOut(t, w, zones[0], true)
 	for _, node := range nodes {
 		waitUntil(t, "requests are served again", func() error {
 			if got := send(t.Context(), node, read); got.Status != 200 {
