--- a/test/cold_test.go
+++ b/test/cold_test.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// A cold runner of these tests bears coldRate requests a second and may get coldShare
-	// times that and coldSlack more: coldMost.
+	// A cold runner in these tests can serve coldRate requests a second. All nodes together
+	// may send it coldShare times that rate plus coldSlack, that is coldMaxPerSecond.
 	coldRate         = 4.0
 	coldShare        = 1.5
 	coldSlack        = 2.0
@@ -41,7 +41,7 @@
 	})
 }
 
-// waitCold waits until each node knows so many cold runners.
+// waitCold waits until each node reports this number of cold runners.
 func waitCold(t *testing.T, count int, nodes ...*world.Node) {
 	t.Helper()
 	for _, node := range nodes {
@@ -63,7 +63,8 @@
 	}
 }
 
-// sentTo returns when each request was sent to a runner last, by the nodes' logs.
+// sendTimes returns when each request was last sent to a runner, according to the nodes'
+// logs.
 func sendTimes(t *testing.T, w *world.World, runner string) map[string]time.Time {
 	t.Helper()
 	sent := make(map[string]time.Time)
@@ -73,7 +74,7 @@
 	return sent
 }
 
-// sentBy is sentTo for one node.
+// sendTimesFrom is sendTimes for one node.
 func sendTimesFrom(t *testing.T, w *world.World, node *world.Node, runner string) map[string]time.Time {
 	t.Helper()
 	sent := make(map[string]time.Time)
@@ -92,7 +93,8 @@
 		if json.Unmarshal(lines.Bytes(), &line) != nil || line.Msg != "request sent" {
 			continue
 		}
-		// Nodes log the incarnation of a runner: its name and, after a mark, its start.
+		// Nodes log a runner's incarnation: its name and, after an "@", the time of its
+		// start.
 		if name, _, _ := strings.Cut(line.Runner, "@"); name == runner {
 			sent[line.Request] = line.Time
 		}
@@ -101,8 +103,9 @@
 	return sent
 }
 
-// mostInASecond is the largest number of requests that were both sent to a runner and ran
-// there within one second between two times.
+// maxSentAndRunInSecond returns the largest number of requests that were sent to a runner
+// and run there within the same second, and the number of all requests that ran, between
+// two times.
 func maxSentAndRunInSecond(t *testing.T, w *world.World, runner string, from, to time.Time) (most, all int) {
 	t.Helper()
 	type exchange struct{ sent, ran time.Time }
@@ -129,7 +132,7 @@
 	return most, len(exchanges)
 }
 
-// sendersTo returns the nodes whose requests ran at a runner between two times.
+// nodesWithRunsAt returns the nodes whose requests ran at a runner between two times.
 func nodesWithRunsAt(t *testing.T, w *world.World, runner string, from, to time.Time) map[string]bool {
 	t.Helper()
 	ran := make(map[string]bool)
@@ -149,9 +152,9 @@
 	return senders
 }
 
-// TestColdRunnerGetsItsBound: a runner that becomes cold under load gets no more than its
-// bound of all nodes together, also while the node that lends permits is frozen, and it
-// does not fall over; it serves, and serves more when it is warm.
+// TestColdRunnerGetsItsBound: a runner that becomes cold under load receives no more than
+// its bound from all nodes together, also while the node that lends the permits is frozen,
+// and it does not collapse. It keeps serving, and serves more once it is warm.
 func TestColdRunnerGetsItsBound(t *testing.T) {
 	t.Parallel()
 	w := newColdWorld(t)
--- a/test/command_test.go
+++ b/test/command_test.go
@@ -24,8 +24,7 @@
 	"lilacvane/internal/wire"
 )
 
-// lilacvane runs the command line against a node and returns its output and exit
-// code.
+// lilacvane runs the command line against a node and returns its output and exit code.
 func lilacvane(t *testing.T, node *world.Node, arguments ...string) (string, int) {
 	t.Helper()
 	run := exec.CommandContext(t.Context(), filepath.Join(programs, "lilacvane"), arguments...)
@@ -37,7 +36,7 @@
 	return string(output), run.ProcessState.ExitCode()
 }
 
-// write puts a file into the test's directory.
+// writeFile writes a file into a temporary directory of the test and returns its path.
 func writeFile(t *testing.T, name, content string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -59,8 +58,8 @@
 spec: {models: [alpha], ready: "weekday >= 1 && weekday <= 5 && hour >= 7 ? 1 : 0"}
 `
 
-// TestCommandLine: an operator's day: apply, conflicts, dry runs, policies,
-// explanations, a drain; exit codes as documented.
+// TestCommandLine goes through an operator's work: apply, conflicts, dry runs, policies,
+// explanations and a drain. Exit codes are as documented.
 func TestCommandLine(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -97,7 +96,8 @@
 	expect(command.ExitUnavailable, "not_ready", "status")
 }
 
-// operate returns a check of a command's exit code and of what its output contains.
+// newCommandCheck returns a function that runs a command and checks its exit code and that
+// its output contains a text.
 func newCommandCheck(t *testing.T, node *world.Node) func(code int, contains string, arguments ...string) string {
 	return func(code int, contains string, arguments ...string) string {
 		t.Helper()
@@ -108,7 +108,7 @@
 	}
 }
 
-// read returns the body of a call that succeeds.
+// getBody returns the body of a GET request that must succeed.
 func getBody(t *testing.T, url string) string {
 	t.Helper()
 	response, err := http.Get(url)
@@ -120,8 +120,8 @@
 	return string(body)
 }
 
-// TestZoneCommands: zones, a planned stop of one, why a request found no runner, and errors
-// that name the field and the step.
+// TestZoneCommands covers zones, a planned stop of one, the reason why a request found no
+// runner, and errors that name the field and the step.
 func TestZoneCommands(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, func(o *world.Options) { o.ColdStart, o.ColdRate = time.Second, coldRate })
@@ -163,7 +163,7 @@
 	output := expect(commandline.ExitOK, "RUNNER", "get", "runners", "--cold")
 	assert.Assert(t, !strings.Contains(output, "runner-"), output)
 	assert.NilError(t, w.ChillRunner("runner-2", 5*time.Minute))
-	waitUntil(t, "a cold runner is shown", func() error {
+	waitUntil(t, "a cold runner is listed", func() error {
 		if shown := zone("zone-b"); shown.Cold != 1 || shown.Ready != 0 {
 			return fault.New(fault.CodeNotFound, "list zones", "%+v", shown)
 		}
@@ -182,8 +182,8 @@
 	expect(commandline.ExitUsage, "unknown kind", "get", "weather")
 }
 
-// TestConfigCheck: all problems of a settings file at once, unknown fields with
-// their line.
+// TestConfigCheck: all problems of a settings file are reported at once, and unknown fields
+// with their line.
 func TestConfigCheck(t *testing.T) {
 	t.Parallel()
 	run := func(content string) (string, int) {
@@ -201,8 +201,8 @@
 	}
 }
 
-// TestCallerThatGoesAwayCancels: a caller that closes its connection stops its
-// request on the runner.
+// TestCallerThatGoesAwayCancels: a caller that closes its connection stops its request on
+// the runner.
 func TestCallerThatGoesAwayCancels(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -219,7 +219,7 @@
 	<-begun
 	cancel()
 	assert.Assert(t, awaitOutcome(t, result).Broken)
-	waitUntil(t, "the runner stops", func() error {
+	waitUntil(t, "the runner cancels the request", func() error {
 		for _, record := range readHistory(t, w).records {
 			if record.Event == journal.EventCanceled {
 				return nil
@@ -229,8 +229,8 @@
 	})
 }
 
-// TestHealthMeansWhatItSays: a node without table or peers is alive, not ready,
-// and refuses requests as not run.
+// TestHealthMeansWhatItSays: a node without tables or peers is alive but not ready, and
+// refuses requests as not run.
 func TestHealthMeansWhatItSays(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
--- a/test/configuration_test.go
+++ b/test/configuration_test.go
@@ -26,10 +26,10 @@
 	"lilacvane/platform/protocol"
 )
 
-// settingsType shortens the signature of adjustments.
+// settingsType shortens the signatures of functions that adjust settings.
 type settingsType = settings.Settings
 
-// readLog returns what a node has logged.
+// readLog returns the log of a node.
 func readLog(t *testing.T, w *world.World, node *world.Node) string {
 	t.Helper()
 	content, err := os.ReadFile(w.LogPath(node))
@@ -37,7 +37,7 @@
 	return string(content)
 }
 
-// containsAll reports whether one line of a log contains all texts.
+// hasLineWith reports whether one line of a log contains all texts.
 func hasLineWith(log string, texts ...string) bool {
 	for line := range strings.SplitSeq(log, "\n") {
 		all := true
@@ -51,7 +51,8 @@
 	return false
 }
 
-// lastLine returns the last line of a log that contains all texts; empty for none.
+// lastLineWith returns the last line of a log that contains all texts, or "" if there is
+// none.
 func lastLineWith(log string, texts ...string) string {
 	last := ""
 	for line := range strings.SplitSeq(log, "\n") {
@@ -62,20 +63,22 @@
 	return last
 }
 
-// write is one operator's change of an object that it saw at a generation.
+// updateInput is an operator's update of an object, based on the generation that the
+// operator read.
 type updateInput struct {
 	seen uint64
 }
 
-// written is the answer to a write.
+// updateOutput is the result of an update.
 type updateOutput struct {
 	generation uint64
 	conflict   bool
 	unknown    bool
 }
 
-// acceptance is the model of accepted changes: an object takes a change only at
-// the generation its author saw, and its generation only grows.
+// updateModel is the sequential specification of updates for the linearizability check: an
+// object accepts an update only if it is based on the current generation, and the
+// generation only grows.
 var updateModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
@@ -92,7 +95,7 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v -> %+v", input, output) },
 }
 
-// operatorHistory collects the concurrent writes of several operators.
+// changeHistory collects the concurrent updates of several operators.
 type changeHistory struct {
 	mutex      sync.Mutex
 	operations []porcupine.Operation
@@ -115,8 +118,8 @@
 	h.operations = append(h.operations, operation)
 }
 
-// operate changes one object again and again through a node until ctx ends. What
-// became of a change whose answer is unknown is asked until it is known.
+// changeRepeatedly updates one object through a node until ctx ends. An update whose answer
+// is lost is submitted again until its outcome is known.
 func (h *changeHistory) changeRepeatedly(ctx context.Context, client int, node *world.Node, name string) {
 	for number := 0; ctx.Err() == nil; number++ {
 		object, err := node.Client().Get(ctx, api.KindPolicy, name)
@@ -136,8 +139,8 @@
 	}
 }
 
-// submitOnce submits until the outcome is definite, always under the same
-// operation. It reports false when nothing is known to have been tried.
+// submitOnce submits until the outcome is known, always under the same operation ID. It
+// returns false when nothing is known to have been tried.
 func submitOnce(node *world.Node, submission operator.Submission) (updateOutput, bool) {
 	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
@@ -155,11 +158,11 @@
 	return updateOutput{unknown: true}, true
 }
 
-// reader watches the generation of an object at a node: it must never step back.
+// generationWatcher reads the generation of an object at a node, which must never decrease.
 type generationWatcher struct {
-	node  *world.Node
-	seen  []uint64
-	steps []string
+	node      *world.Node
+	seen      []uint64
+	decreases []string
 }
 
 func (r *generationWatcher) watch(ctx context.Context, name string) {
@@ -168,7 +171,7 @@
 		object, err := r.node.Client().Get(ctx, api.KindPolicy, name)
 		if err == nil {
 			if object.Generation < last {
-				r.steps = append(r.steps, fmt.Sprintf("%s went from %d back to %d", r.node.Name, last, object.Generation))
+				r.decreases = append(r.decreases, fmt.Sprintf("%s went from %d back to %d", r.node.Name, last, object.Generation))
 			}
 			last = max(last, object.Generation)
 			r.seen = append(r.seen, object.Generation)
@@ -177,8 +180,8 @@
 	}
 }
 
-// race runs operators and readers at the nodes while disturb does its worst, and
-// checks the history.
+// runConcurrentChanges runs operators and watchers at the nodes while disturb injects
+// faults, and checks the history.
 func runConcurrentChanges(t *testing.T, nodes []*world.Node, disturb func()) *changeHistory {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
@@ -196,7 +199,7 @@
 	stop()
 	group.Wait()
 	for _, r := range watchers {
-		assert.Equal(t, len(r.steps), 0, "%v", r.steps)
+		assert.Equal(t, len(r.decreases), 0, "%v", r.decreases)
 	}
 	result := porcupine.CheckOperationsTimeout(updateModel, h.operations, waitTimeout)
 	assert.Equal(t, result, porcupine.Ok, "%d operations", len(h.operations))
@@ -205,7 +208,7 @@
 	return h
 }
 
-// newest is the generation accepted last.
+// newest returns the highest generation that was accepted.
 func (h *changeHistory) newest() uint64 {
 	var newest uint64
 	for _, operation := range h.operations {
@@ -214,10 +217,10 @@
 	return newest
 }
 
-// waitInForce waits until nodes show at least a generation of an object.
+// waitGeneration waits until the nodes return at least this generation of an object.
 func waitGeneration(t *testing.T, generation uint64, name string, nodes ...*world.Node) {
 	t.Helper()
-	waitUntil(t, "the newest change is in force", func() error {
+	waitUntil(t, "the newest change is active", func() error {
 		for _, node := range nodes {
 			object, err := node.Client().Get(t.Context(), api.KindPolicy, name)
 			if err != nil {
@@ -231,10 +234,10 @@
 	})
 }
 
-// TestConfigurationUnderRacesAndLostAnswers: operators race on one object while
-// the store slows down, loses answers before and after the effect, refuses, goes
-// down and forgets its history; what is accepted is linearizable, no node steps
-// back, and the newest change comes into force everywhere.
+// TestConfigurationUnderRacesAndLostAnswers: operators change one object concurrently while
+// the store slows down, loses answers before and after the effect, refuses, goes down and
+// drops its history. Accepted changes are linearizable, no node goes back to an older
+// generation, and the newest change reaches every node.
 func TestConfigurationUnderRacesAndLostAnswers(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -254,19 +257,19 @@
 	waitGeneration(t, h.newest(), "raced", nodes...)
 }
 
-// TestConfigurationAtFrozenNode: a node is frozen while a model is deleted; after
-// the thaw it does not serve from its old configuration.
+// TestConfigurationAtFrozenNode: a node is frozen while a model is deleted. After it
+// resumes it does not serve from its old configuration.
 func TestConfigurationAtFrozenNode(t *testing.T) {
 	t.Parallel()
 	w, nodes := startWithAlpha(t, 2, 3, model("alpha", 1)...)
 	frozen := anyNodeExcept(nodes, nodes[0], leaseHolder(t, w, nodes[0]))
 	first := call{Model: "alpha", Prompt: "first", Tokens: 2}
 	assertServed(t, first, ask(t.Context(), frozen, first, nil))
-	// Nothing may wait in the frozen node's socket: it would tell the node of the
-	// change at the thaw.
+	// No data may be left in the frozen node's socket, as it would tell the node of the
+	// change when it resumes.
 	frozen.StoreProxy.Reset()
 	assert.NilError(t, frozen.Freeze())
-	time.Sleep(1500 * time.Millisecond) // longer than a process may stand still unnoticed
+	time.Sleep(1500 * time.Millisecond) // longer than a process can be paused without noticing
 	object, err := nodes[0].Client().Get(t.Context(), api.KindModel, "alpha")
 	assert.NilError(t, err)
 	_, err = nodes[0].Client().Submit(t.Context(), operator.Submission{Operation: "test-" + rand.Text(), Delete: []api.Object{object}})
@@ -277,9 +280,9 @@
 	assert.Equal(t, readHistory(t, w).runsOfPrompt("stale"), 0)
 }
 
-// TestConfigurationWhenNodeIsCutOff: a node loses the store; it keeps what it has
-// in force, refuses changes truthfully, and takes in what it missed after the
-// cut, though the history is gone by then.
+// TestConfigurationWhenNodeIsCutOff: a node loses the store. It keeps its current
+// configuration, refuses changes with the right error, and catches up after the connection
+// is back, although the store has dropped its history by then.
 func TestConfigurationWhenNodeIsCutOff(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -297,8 +300,8 @@
 	waitGeneration(t, h.newest(), "raced", nodes...)
 }
 
-// TestFreshNodeWithoutStoreIsNotReady: a node that starts while the store is down
-// serves nothing, rather than something old, and begins when the store is back.
+// TestFreshNodeWithoutStoreIsNotReady: a node that starts while the store is down serves
+// nothing rather than something outdated, and begins once the store is back.
 func TestFreshNodeWithoutStoreIsNotReady(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -307,7 +310,7 @@
 	assert.NilError(t, w.SetStoreFaults(storestub.Faults{Down: storestub.Busy}))
 	fresh, err := w.LaunchNode("node-fresh", zones[0])
 	assert.NilError(t, err)
-	waitUntil(t, "it answers", func() error {
+	waitUntil(t, "the node answers", func() error {
 		got := send(t.Context(), fresh, clientRequest{Path: "/read/x"})
 		if got.Status == 0 {
 			return fault.New(fault.CodeNotReady, "test", "not yet")
@@ -321,9 +324,9 @@
 	assert.Equal(t, got.Status, http.StatusOK)
 }
 
-// TestRoutesNeverStepBack: routes come and go in quick succession while the
-// history is dropped and reads are stale; once a node showed a version it shows
-// no older one.
+// TestRoutesNeverStepBack: routes are added and removed in quick succession while the store
+// drops its history and returns stale reads. Once a node has served a version it serves no
+// older one.
 func TestRoutesNeverStepBack(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -353,7 +356,7 @@
 		if number%4 == 2 {
 			assert.NilError(t, w.SetStoreFaults(storestub.Faults{StaleMs: 500}))
 			assert.NilError(t, w.ForgetHistory())
-			for range 20 { // while the nodes read anew
+			for range 20 { // while the nodes read everything again
 				probe(number)
 				time.Sleep(20 * time.Millisecond)
 			}
@@ -361,7 +364,7 @@
 		probe(number)
 	}
 	assert.NilError(t, w.SetStoreFaults(storestub.Faults{}))
-	waitUntil(t, "the newest routes are in force", func() error {
+	waitUntil(t, "the newest routes are active", func() error {
 		probe(versions - 1)
 		for index, node := range nodes {
 			if newest[index] != versions-1 {
@@ -372,9 +375,9 @@
 	})
 }
 
-// TestBadConfigurationLeavesTheLastGoodOne: a configuration that cannot be read,
-// and settings that cannot, are logged with the step and the field; the last good
-// ones stay in force. An unknown field is logged and passed over.
+// TestBadConfigurationLeavesTheLastGoodOne: a configuration or a settings file that cannot
+// be read is logged with the step and the field, and the last valid one stays active. An
+// unknown field is logged and ignored.
 func TestBadConfigurationLeavesTheLastGoodOne(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -398,8 +401,9 @@
 	assert.Equal(t, send(t.Context(), nodes[0], clientRequest{Path: "/read/x"}).Status, http.StatusOK)
 }
 
-// TestSignalDuringStart: a signal that the settings changed comes while a node still reads
-// them. It ends no process: the node goes on, here to the error of a file without content.
+// TestSignalDuringStart: the signal to reload the settings arrives while a node is still
+// reading them. It must not end the process: the node continues, here until the error for
+// an empty file.
 func TestSignalDuringStart(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "settings.yaml")
@@ -411,7 +415,7 @@
 	assert.NilError(t, node.Process.Signal(syscall.SIGHUP))
 	time.Sleep(100 * time.Millisecond) // a process that the signal ends is gone by then
 	assert.NilError(t, writer.Close())
-	_ = node.Wait() // the exit code is judged below
+	_ = node.Wait() // the exit status is checked below
 	status, ok := node.ProcessState.Sys().(syscall.WaitStatus)
 	assert.Assert(t, ok && !status.Signaled(), "%s", node.ProcessState)
 }
--- a/test/documentation_test.go
+++ b/test/documentation_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestPublicItemsAreDocumented: every package, and every public type, function,
-// method of a public type, constant and variable, has a doc comment.
+// TestPublicItemsAreDocumented: every package and every exported type, function, method of
+// an exported type, constant and variable has a doc comment.
 func TestPublicItemsAreDocumented(t *testing.T) {
 	t.Parallel()
 	packages := make(map[string]bool)
@@ -42,7 +42,7 @@
 	}
 }
 
-// undocumented returns the public names a declaration leaves without comment.
+// undocumented returns the exported names of a declaration that have no comment.
 func undocumented(declaration ast.Decl) []string {
 	switch d := declaration.(type) {
 	case *ast.FuncDecl:
@@ -67,8 +67,8 @@
 	return isName && name.IsExported()
 }
 
-// undocumentedSpecs looks at types, constants and variables. A comment on the
-// group covers its members.
+// undocumentedSpecs checks types, constants and variables. A comment on a group covers its
+// members.
 func undocumentedSpecs(d *ast.GenDecl) []string {
 	var missing []string
 	for _, spec := range d.Specs {
--- a/test/handover_test.go
+++ b/test/handover_test.go
@@ -13,20 +13,20 @@
 	"lilacvane/internal/lab/world"
 )
 
-// A client lost the rest of a stream that its runner would have finished. The runner had
-// paused for longer than streams are meant to, so the node reserved a place at another
-// runner, closed the first one's connection and only then sent the request on. The other
-// runner refused it, and nothing was left to go on with. The node's log of a run of this
-// test tells the four steps, of a stream whose runner went on 0.9 s after the first line:
+// A client lost the rest of a stream that its runner would have completed. The runner had
+// paused for longer than a stream should, so the node reserved a slot at another runner,
+// closed the connection to the first one and only then sent the request on. The other
+// runner refused it, and there was no connection left to continue with. The node's log
+// shows the four steps, here of a stream whose runner resumed 0.9 s after the first line:
 //
 //	"attempt failed","runner":"runner-1","attempt":2,"error":"... use of closed network connection","endedBy":"silence","events":4,"silentMs":1601,"lateMs":0
 //	"attempt failed","runner":"runner-2","attempt":3,"error":"... overloaded: runner answered 503, not run","endedBy":"runner","events":4
 //	"attempt failed","runner":"runner-2","attempt":4,"error":"... overloaded: runner answered 503, not run","endedBy":"runner","events":4
 //	"request ended","result":"broken","status":200,"step":"send request","events":4
 //
-// TestRestingStreamIsKeptUntilAnotherRunnerHasIt: streams pause at a runner while the
-// other one, which holds their model too, refuses, fails, breaks off or says nothing. Each
-// reaches its client whole, from the runner that paused.
+// TestRestingStreamIsKeptUntilAnotherRunnerHasIt: streams pause at a runner while the other
+// one, which also holds their model, refuses, fails, breaks off or does not answer. Each
+// reaches its client complete, from the runner that paused.
 func TestRestingStreamIsKeptUntilAnotherRunnerHasIt(t *testing.T) {
 	t.Parallel()
 	for name, other := range otherRunnerFaults {
@@ -35,13 +35,13 @@
 			w, nodes := startLoaded(t, 2, 1)
 			const first, spare = "runner-1", "runner-2"
 			assert.NilError(t, w.SetRunnerFaults(first, runnerstub.Faults{RestMs: 2500}))
-			// All begin at one runner: one that begins at the spare has no other left where
-			// that breaks off and the first one rests.
+			// All streams must begin at one runner. One that begins at the other has no
+			// alternative if that one breaks off while the first one pauses.
 			w.Runners[spare].Proxy.Block()
 			answers := sendPausingStreams(t, nodes[0])
-			waitUntil(t, "all streams have begun", func() error {
+			waitUntil(t, "all streams are running", func() error {
 				if at := runningByRunner(readHistory(t, w)); at[first] < pausingStreams {
-					return fmt.Errorf("%v have", at)
+					return fmt.Errorf("running by runner: %v", at)
 				}
 				return nil
 			})
@@ -52,8 +52,9 @@
 	}
 }
 
-// TestRestingStreamIsKeptWhereverItBegan: the same, where streams began at both runners and both
-// pause: one may break off at the spare once it has moved there for a pause.
+// TestRestingStreamIsKeptWhereverItBegan is the same with streams that began at both
+// runners, both of which pause. A stream may break off at the other runner after it moved
+// there because of a pause.
 func TestRestingStreamIsKeptWhereverItBegan(t *testing.T) {
 	t.Parallel()
 	for name, other := range otherRunnerFaults {
@@ -66,13 +67,13 @@
 			}
 			answers := sendPausingStreams(t, nodes[0])
 			var at map[string]int
-			waitUntil(t, "all streams have begun", func() error {
+			waitUntil(t, "all streams are running", func() error {
 				if at = runningByRunner(readHistory(t, w)); at[runners[0]]+at[runners[1]] < pausingStreams {
-					return fmt.Errorf("%v have", at)
+					return fmt.Errorf("running by runner: %v", at)
 				}
 				return nil
 			})
-			// The faults are of what runners begin from now on.
+			// The faults apply to what the runner begins from now on.
 			spare := runners[1]
 			if at[spare] > at[runners[0]] {
 				spare = runners[0]
@@ -83,10 +84,11 @@
 	}
 }
 
-// restingStreams is how many streams pause, restingEvents how many events each has.
+// pausingStreams is the number of streams that pause, pausingStreamEvents the number of
+// events of each.
 const pausingStreams, pausingStreamEvents = 4, 40
 
-// spareFaults are what the runner does to which a resting stream may go.
+// otherRunnerFaults are the faults of the runner to which a pausing stream may move.
 var otherRunnerFaults = map[string]runnerstub.Faults{
 	"refuses":    {ShedShare: 1},
 	"fails":      {ErrorShare: 1},
@@ -94,7 +96,7 @@
 	"is mute":    {MuteShare: 1},
 }
 
-// sendResting sends the streams to a node, and returns their answers as they come.
+// sendPausingStreams sends the streams to a node and returns their answers as they arrive.
 func sendPausingStreams(t *testing.T, node *world.Node) <-chan clientAnswer {
 	t.Helper()
 	answers := make(chan clientAnswer, pausingStreams)
@@ -106,7 +108,7 @@
 	return answers
 }
 
-// checkWhole checks that each stream reaches its client whole.
+// checkStreamsComplete checks that each stream reached its client complete.
 func checkStreamsComplete(t *testing.T, answers <-chan clientAnswer) {
 	t.Helper()
 	for range pausingStreams {
@@ -115,7 +117,7 @@
 	}
 }
 
-// running counts the requests that runners began and did not end, by runner.
+// runningByRunner counts the requests that each runner has begun and not ended.
 func runningByRunner(h history) map[string]int {
 	where := make(map[string]string)
 	for _, record := range h.records {
@@ -133,15 +135,15 @@
 	return count
 }
 
-// A node that stood still took its own pause for its runners' silence: its timers fired
-// before it had read what lay in its sockets, and it turned away from runners that had gone
-// on all the time. Its log tells of such an attempt that it was ended for silence and that
-// the runner had been heard of within the same millisecond:
+// A node that was paused mistook its own pause for silence of its runners. Its timers fired
+// before it had read what was in its sockets, and it left runners that had been sending all
+// along. Its log shows that such an attempt was ended for silence although data of the
+// runner had arrived within the same millisecond:
 //
 //	"attempt failed","runner":"runner-2","attempt":1,"elapsedMs":2050,"endedBy":"silence","events":5,"silentMs":0
 //
-// TestOwnPauseIsNotARunnersSilence: a node is frozen for longer than streams may pause. They
-// reach their clients whole, and no other runner is asked to go on with them.
+// TestOwnPauseIsNotARunnersSilence: a node is frozen for longer than streams may pause. The
+// streams reach their clients complete, and no other runner is asked to continue them.
 func TestOwnPauseIsNotARunnersSilence(t *testing.T) {
 	t.Parallel()
 	const streams, events = 8, 300
@@ -152,9 +154,9 @@
 			answers <- send(t.Context(), nodes[0], clientRequest{Path: "/draft/x", Model: "alpha", Events: events})
 		}()
 	}
-	waitUntil(t, "all streams have begun", func() error {
+	waitUntil(t, "all streams are running", func() error {
 		if at := runningByRunner(readHistory(t, w)); at["runner-1"]+at["runner-2"] < streams {
-			return fmt.Errorf("%v have", at)
+			return fmt.Errorf("running by runner: %v", at)
 		}
 		return nil
 	})
--- a/test/names_test.go
+++ b/test/names_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestPlatformNamesStayInItsFolder: no source outside platform/ spells a name of
-// the platform's; platform/names.txt lists them.
+// TestPlatformNamesStayInItsFolder: no source file outside platform/ contains a name that
+// belongs to the platform, as listed in platform/names.txt.
 func TestPlatformNamesStayInItsFolder(t *testing.T) {
 	t.Parallel()
 	content, err := os.ReadFile("../platform/names.txt")
@@ -29,7 +29,7 @@
 			}
 			for _, name := range names {
 				if strings.Contains(string(source), name) {
-					t.Errorf("%s spells %s", path, name)
+					t.Errorf("%s contains %s", path, name)
 				}
 			}
 			return nil
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestAdapterOnlyTranslates: the adapter starts nothing and keeps no lock: it has
-// no state and decides nothing.
+// TestAdapterOnlyTranslates: the platform adapter only translates. It starts no goroutine,
+// holds no lock and keeps no state, and it makes no decisions of its own.
 func TestAdapterOnlyTranslates(t *testing.T) {
 	t.Parallel()
 	files, err := filepath.Glob("../platform/*.go")
