--- a/test/homes_test.go
+++ b/test/homes_test.go
@@ -20,16 +20,16 @@
 	"lilacvane/platform/protocol"
 )
 
-// regions lays the zones of the tests in two regions.
+// regions places the zones of the tests in two regions.
 var regions = place.Map{"zone-a": "north", "zone-b": "south", "zone-c": "south"}
 
-// twoRegions is a world whose zones lie in two regions.
+// newTwoRegionWorld starts a world whose zones lie in two regions.
 func newTwoRegionWorld(t *testing.T) *world.World {
 	t.Helper()
 	return newWorld(t, func(options *world.Options) { options.Zones = regions })
 }
 
-// atHome is a tenant whose requests are served in one region alone.
+// tenantWithHome returns a tenant whose requests may only be served in one region.
 func tenantWithHome(name, region string) protocol.Tenant {
 	return protocol.Tenant{Name: name, APIKeys: []string{name + "-key"}, Homes: []string{region}}
 }
@@ -40,8 +40,8 @@
 	assert.NilError(t, err)
 }
 
-// assertHome checks that all runs of a tenant's requests were at runners in its region, and
-// returns how many there were.
+// assertRunsInRegion checks that all runs of a tenant's requests were at runners in a
+// region, and returns the number of these runs.
 func (h history) assertRunsInRegion(t *testing.T, w *world.World, tenant, region string) int {
 	t.Helper()
 	runs := 0
@@ -56,9 +56,9 @@
 	return runs
 }
 
-// TestRequestsStayHome: a tenant's requests are served in its region through kills of
-// runners and repetitions, from nodes of both regions; they are refused at once while no
-// runner is listed there, and served again when one is.
+// TestRequestsStayHome: a tenant's requests are served in its home region while runners are
+// killed and requests are repeated, from nodes of both regions. They are refused at once
+// while no runner is listed there, and served again when one is.
 func TestRequestsStayHome(t *testing.T) {
 	t.Parallel()
 	w := newTwoRegionWorld(t)
@@ -105,7 +105,8 @@
 	}
 }
 
-// countsBetweenRegions reports whether a node counts bytes to other regions for a purpose.
+// countsBetweenRegions reports whether any node counts bytes sent to other regions for a
+// purpose.
 func countsBetweenRegions(t *testing.T, nodes []*world.Node, purpose string) bool {
 	t.Helper()
 	for _, node := range nodes {
@@ -121,8 +122,8 @@
 	return false
 }
 
-// assertRefusedAtOnce checks that a request is refused with its reason, as not run and with
-// a time to come back, without a wait.
+// assertRefusedAtOnce checks that a request is refused without a wait, as not run, with the
+// reason and a Retry-After time.
 func assertRefusedAtOnce(t *testing.T, w *world.World, node *world.Node, c clientRequest) {
 	t.Helper()
 	got := send(t.Context(), node, c)
@@ -142,8 +143,8 @@
 	})
 }
 
-// TestModelsAreLoadedAtHome: a model that another region holds is loaded in the region of a
-// tenant that asks for it, and a stream whose runner is killed goes on there.
+// TestModelsAreLoadedAtHome: a model that another region holds is loaded in the home region
+// of a tenant that requests it, and a stream whose runner is killed continues there.
 func TestModelsAreLoadedAtHome(t *testing.T) {
 	t.Parallel()
 	w := newTwoRegionWorld(t)
@@ -188,7 +189,7 @@
 	h.assertRunsInRegion(t, w, "southern", "south")
 }
 
-// waitDraft waits until a draft for alpha is served under a key.
+// waitDraft waits until a draft of the model alpha is served for a key.
 func waitDraft(t *testing.T, node *world.Node, key string) {
 	t.Helper()
 	waitUntil(t, "a draft is served for "+key, func() error {
@@ -200,8 +201,9 @@
 	})
 }
 
-// TestHomesOfOperatorsAreChecked: a region in which no zone lies is refused by name, on the
-// platform's part it is never served elsewhere and told once in the log.
+// TestHomesOfOperatorsAreChecked: a home region that contains no zone is refused by name in
+// operators' objects. In the platform's configuration, requests with such a home are never
+// served elsewhere, and the problem is logged once.
 func TestHomesOfOperatorsAreChecked(t *testing.T) {
 	t.Parallel()
 	w := newTwoRegionWorld(t)
--- a/test/kept_soak_test.go
+++ b/test/kept_soak_test.go
@@ -29,7 +29,8 @@
 	keptClients  = flag.Int("kept.clients", 6, "clients of each node")
 )
 
-// keptSoak is a world whose clients keep their connections while series of changes overlap.
+// persistentSoak is a world whose clients reuse their connections while several kinds of
+// changes overlap.
 type persistentSoak struct {
 	t     *testing.T
 	w     *world.World
@@ -37,29 +38,30 @@
 	until time.Time
 	nodes []*world.Node
 
-	// worldMutex guards changes of the world that are not a single node's.
+	// worldMutex guards changes of the world that do not belong to a single node.
 	worldMutex sync.Mutex
-	// runners are those that serve; guarded by world.
+	// runners are the names of the runners that serve; guarded by worldMutex.
 	runners      []string
 	replacements int
 
 	mutex   sync.Mutex
 	results []requestResult
-	// stops are the times in which nodes were stopped, or killed, by name, pauses those in
-	// which they stood still.
+	// stops are the intervals in which nodes were being stopped or killed, by name; pauses
+	// those in which they were frozen.
 	stops        map[string][]interval
 	pauses       map[string][]interval
 	changeCounts map[string]int
 }
 
-// span is a time in which a node was ending, from when it was asked to until its process was
-// gone and until another one was ready; hard when it was killed.
+// interval is the time in which a node was ending: from the request to end until its
+// process was gone, and until it was ready again. killed is set when it was killed.
 type interval struct {
 	from, gone, to time.Time
 	killed         bool
 }
 
-// around tells the times of a request's node by how long after the request's begin they were.
+// describeNear lists the intervals of a request's node that are close to the start of the
+// request, relative to it.
 func describeNear(end requestResult, spans map[string][]interval) string {
 	var text strings.Builder
 	for _, one := range spans[end.node.Name] {
@@ -75,11 +77,12 @@
 	return text.String()
 }
 
-// told is how far from a request's begin such times are of interest.
+// reportRange is how far from the start of a request intervals are reported.
 const reportRange = 5 * time.Second
 
-// series are the kinds of changes that go on beside each other, each after pauses of its
-// own. Of none is a request lost: a killed node's clients alone are left without an answer.
+// disturbances are the kinds of changes that run concurrently, each with its own pauses.
+// None of them may lose a request: only clients of a killed node may remain without an
+// answer.
 var disturbances = []struct {
 	name  string
 	pause time.Duration
@@ -95,12 +98,12 @@
 	{"let a node stand still", 1500 * time.Millisecond, (*persistentSoak).pauseNode},
 }
 
-// TestKeptConnectionsSoak: clients use their connections until the node has closed them or
-// is gone, while series of stops, kills, pauses, changes of the configuration, of settings
-// and of runners overlap, as the seed draws them. Every request ends with its whole answer, a
-// truthful refusal or, where its node was killed under it, nothing; one that crosses the close of
-// a resting connection was not run. By hand: go test ./test -run TestKeptConnectionsSoak
-// -kept.seed=100 -kept.seeds=50 -timeout 1h
+// TestKeptConnectionsSoak: clients reuse their connections until the node has closed them
+// or has ended, while stops, kills, pauses, changes of the configuration, of settings and
+// of runners overlap, as drawn by the seed. Every request ends with its complete answer, a
+// truthful refusal or, if its node was killed during it, nothing. A request that crosses
+// the close of an idle connection was not run. To run more seeds: go test ./test -run
+// TestKeptConnectionsSoak -kept.seed=100 -kept.seeds=50 -timeout 1h
 func TestKeptConnectionsSoak(t *testing.T) {
 	t.Parallel()
 	for seed := *keptSeed; seed < *keptSeed+uint64(*keptSeeds); seed++ {
@@ -108,13 +111,13 @@
 	}
 }
 
-// TestKeptConnectionsSoakRegressions plays the seeds that once failed again.
+// TestKeptConnectionsSoakRegressions repeats the seeds that have failed before.
 //
-//   - 1: two streams that paused were given up for a runner that refused them; a node that was
-//     told of changed settings while it started ended.
-//   - 5: a node that had just started answered requests of routes with 404.
-//   - 151: a new connection was reset, unread as far as is known, where no time of its node's stops
-//     was kept that shows why.
+//   - 1: two streams that paused were abandoned for a runner that refused them; a node that
+//     was signaled about changed settings during its start ended.
+//   - 5: a node that had just started answered requests that match routes with 404.
+//   - 151: a new connection was reset, probably unread, and the test recorded no stop of its
+//     node that explains it.
 func TestKeptConnectionsSoakRegressions(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{1, 5, 151} {
@@ -144,7 +147,7 @@
 	waitKnown(t, "alpha", s.nodes...)
 	waitUntil(t, "all runners hold the model", func() error {
 		if got := len(runnersHolding(t, s.nodes[0], "alpha")); got < *keptRunners {
-			return fmt.Errorf("%d do", got)
+			return fmt.Errorf("%d hold it", got)
 		}
 		return nil
 	})
@@ -200,7 +203,8 @@
 	}
 }
 
-// claimNode takes a node whose process nobody else ends; false when there is none.
+// claimNode picks a node whose process nothing else is ending. It returns false if the node
+// drawn is being ended, or if too many nodes are.
 func (s *persistentSoak) claimNode(random *rand.Rand, killed bool) (*world.Node, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -219,11 +223,12 @@
 	return node, true
 }
 
-// hangups is how often a start may be ended by the signal that settings changed, before the
-// process listens for it: the platform starts such a process again. It took no request.
+// maxSignalRestarts is how often the signal for changed settings may end a node during its
+// start, before the process listens for it. The platform restarts such a process; it had
+// accepted no request.
 const maxSignalRestarts = 3
 
-// returnNode starts a node whose process is gone.
+// restartNode starts a node whose process has ended.
 func (s *persistentSoak) restartNode(node *world.Node) {
 	s.mutex.Lock()
 	ending := s.stops[node.Name]
@@ -260,16 +265,16 @@
 	s.restartNode(node)
 }
 
-// pauseNode stops a node's execution for up to 2 s, which is longer than a stream's pause is
-// borne, also while the node is stopped or started.
+// pauseNode freezes a node's process for up to 2 s, which is longer than a stream may
+// pause, also while the node is being stopped or started.
 func (s *persistentSoak) pauseNode(random *rand.Rand) {
 	node := s.nodes[random.IntN(len(s.nodes))]
 	process, from := node.Current(), time.Now()
 	if process.Freeze() != nil {
-		return // It has just ended.
+		return // The process has just ended.
 	}
 	time.Sleep(100*time.Millisecond + time.Duration(random.Int64N(int64(1900*time.Millisecond))))
-	_ = process.Thaw() // It may have been killed.
+	_ = process.Thaw() // The process may have been killed.
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.pauses[node.Name] = append(s.pauses[node.Name], interval{from: from, to: time.Now()})
@@ -293,7 +298,7 @@
 	assert.Check(s.t, s.w.Configure(routes))
 }
 
-// changeSettings writes a node's settings anew and signals it, or not.
+// changeSettings changes a node's settings file, and signals the node in half of the cases.
 func (s *persistentSoak) changeSettings(random *rand.Rand) {
 	node := s.nodes[random.IntN(len(s.nodes))]
 	content := readFile(s.t, node.SettingsPath())
@@ -301,16 +306,17 @@
 	if changed == content {
 		changed = strings.Replace(content, "level: debug", "level: info", 1)
 	}
-	// Laid whole: a process that starts reads the old file or the new one, never a part.
-	laid := node.SettingsPath() + ".new"
-	writeTo(s.t, laid, changed)
-	assert.Check(s.t, os.Rename(laid, node.SettingsPath()))
+	// The file is replaced atomically: a process that starts reads the old file or the new
+	// one, never a part.
+	newPath := node.SettingsPath() + ".new"
+	writeTo(s.t, newPath, changed)
+	assert.Check(s.t, os.Rename(newPath, node.SettingsPath()))
 	if random.IntN(2) == 0 {
-		_ = node.Current().Reload() // It may just have ended.
+		_ = node.Current().Reload() // The process may just have ended.
 	}
 }
 
-// changeRunner lets one runner pause, refuse, slow down, or serve as before.
+// changeRunner makes one runner pause, refuse, slow down, or serve normally again.
 func (s *persistentSoak) changeRunner(random *rand.Rand) {
 	s.worldMutex.Lock()
 	defer s.worldMutex.Unlock()
@@ -319,7 +325,7 @@
 	assert.Check(s.t, s.w.SetRunnerFaults(runner, faults[random.IntN(len(faults))]))
 }
 
-// replaceRunner lets a runner leave as planned, with a new one in its place.
+// replaceRunner drains a runner and starts a new one in its place.
 func (s *persistentSoak) replaceRunner(random *rand.Rand) {
 	index := random.IntN(*keptRunners)
 	s.worldMutex.Lock()
@@ -331,7 +337,7 @@
 	s.worldMutex.Unlock()
 }
 
-// verify checks the end of every request against what runners did.
+// verify checks the result of every request against what runners did.
 func (s *persistentSoak) verify() {
 	h := readHistory(s.t, s.w)
 	runs := make(map[string]int)
@@ -348,7 +354,7 @@
 			end.request.ID, end.request.Path, end.node.Name, end.used, end.sent.Format(time.RFC3339Nano), end.sent.Sub(end.dialed), end.sent.Sub(end.connected), end.end.Sub(end.sent).Round(time.Millisecond),
 			runs[end.request.ID], describeNear(end, s.stops), describeNear(end, s.pauses), end.problem, end.answer.Status, end.answer.Body)
 		if problem != "" {
-			s.t.Logf("what %s logged of it: %s", end.node.Name, strings.Join(linesContaining(readFile(s.t, s.w.LogPath(end.node)), end.request.ID), ""))
+			s.t.Logf("log of %s: %s", end.node.Name, strings.Join(linesContaining(readFile(s.t, s.w.LogPath(end.node)), end.request.ID), ""))
 		}
 		if strings.HasPrefix(end.request.Path, "/send/") {
 			assert.Check(s.t, runs[end.request.ID] <= 1, "seed %d: %s ran %d times", s.seed, end.request.ID, runs[end.request.ID])
@@ -357,37 +363,38 @@
 	s.t.Logf("seed %d: %d requests %v, changes %v", s.seed, len(s.results), counts, s.changeCounts)
 }
 
-// crossing is how long after its request at most a connection ends that its node was about
-// to close: one that ends later may have been read.
+// maxCloseRace is the longest time between sending a request and the end of a connection
+// that its node was about to close. If the connection ends later, the node may have read
+// the request.
 const maxCloseRace = 200 * time.Millisecond
 
-// judge names the end of a request, and what is wrong with it.
+// classify names the result of a request, and what is wrong with it.
 func (s *persistentSoak) classify(end requestResult, runs int) (kind, problem string) {
 	got := end.answer
 	switch {
 	case got.Status == http.StatusOK && got.Whole:
 		stream := end.request.Events > 0
 		if stream && got.Body != expectedEvents(got.ID, end.request.Events) || !stream && !strings.Contains(got.Body, got.ID) {
-			return "served", "an answer that is not its own"
+			return "served", "the body is not the expected one"
 		}
 		return "served", ""
 	case got.Whole && (got.Status == http.StatusServiceUnavailable || got.Status == http.StatusTooManyRequests):
 		if runs > 0 {
-			return "refused", "a refusal of a request that ran"
+			return "refused", "refused as not run, but ran"
 		}
 		return "refused", ""
 	case got.Whole:
-		return fmt.Sprint(got.Status), "a failure without any fault"
+		return fmt.Sprint(got.Status), "failed without a fault"
 	case s.ended(end, true):
 		return "killed", ""
 	case got.Status == 0 && runs == 0 && end.end.Sub(end.sent)-s.paused(end) <= maxCloseRace && (end.used && s.ended(end, false) || s.listenerClosed(end)):
 		return "crossed", ""
 	default:
-		return "lost", "no whole answer"
+		return "lost", "no complete answer"
 	}
 }
 
-// paused is how long a request's node stood still while it was under way.
+// paused is how long a request's node was frozen while the request was in progress.
 func (s *persistentSoak) paused(end requestResult) time.Duration {
 	total := time.Duration(0)
 	for _, pause := range s.pauses[end.node.Name] {
@@ -403,9 +410,10 @@
 	return total
 }
 
-// listenerClosed reports whether a request was sent on a new connection as its node closed
-// its listener, the notice of a stop after its begin: the connections that the node has not
-// accepted yet, as it may have stood still, are reset then, and nothing of them was read.
+// listenerClosed reports whether a request was sent on a new connection while its node
+// closed its listener, which happens the notice time after a stop began. Connections that
+// the node had not accepted yet, as it may have been frozen, are reset then, and nothing
+// was read from them.
 func (s *persistentSoak) listenerClosed(end requestResult) bool {
 	const early, late = 20 * time.Millisecond, 500 * time.Millisecond
 	for _, stop := range s.stops[end.node.Name] {
@@ -419,9 +427,10 @@
 	return false
 }
 
-// ended reports whether a request's node was stopping, or being killed, at some time between
-// the begin of the connection and the end of the request. A client learns of an end only when
-// it uses the connection next, and of its connection some time after the kernel made it.
+// ended reports whether a request's node was being stopped, or killed, at some time between
+// dialing the connection and the end of the request. A client learns that a connection
+// ended only when it next uses it, and that a connection was made some time after the
+// kernel made it.
 func (s *persistentSoak) ended(end requestResult, killed bool) bool {
 	for _, stop := range s.stops[end.node.Name] {
 		if stop.killed == killed && stop.gone.After(end.dialed) && stop.from.Before(end.end) {
--- a/test/limit_soak_test.go
+++ b/test/limit_soak_test.go
@@ -15,20 +15,20 @@
 	"lilacvane/platform/protocol"
 )
 
-// sending is a request that a client sent.
+// tenantRequest is a request that a client sent for a tenant.
 type tenantRequest struct {
 	tenant string
 	at     time.Time
 }
 
-// pressure sends requests of tenants all the time and remembers when.
+// tenantLoad sends requests of tenants continuously and records when each was sent.
 type tenantLoad struct {
 	mutex sync.Mutex
 	sent  map[string]tenantRequest
 	group sync.WaitGroup
 }
 
-// press sends rate requests a second of a tenant to a node until ctx ends.
+// sendAtRate sends a tenant's requests to a node, rate per second, until ctx ends.
 func (p *tenantLoad) sendAtRate(ctx context.Context, node *world.Node, tenant string, rate float64) {
 	p.group.Go(func() {
 		ticker := time.NewTicker(time.Duration(float64(time.Second) / rate))
@@ -50,8 +50,8 @@
 	})
 }
 
-// assertKept checks that in each window no more of a tenant's requests were both sent and
-// ran than its limit allows.
+// assertRunsWithinLimit checks that in each window no more of a tenant's requests were both
+// sent and run than its limit allows.
 func (p *tenantLoad) assertRunsWithinLimit(t *testing.T, h history, tenant string) (runs int) {
 	t.Helper()
 	type pair struct{ sent, ran time.Time }
@@ -82,12 +82,12 @@
 	return len(pairs)
 }
 
-// limitFaults are the groups of faults that strike nodes, their peers and the store.
+// limitFaults are the groups of faults that affect nodes, their peers and the store.
 var limitFaults = []string{groupLastNode, "freeze", "peers", "store"}
 
-// TestLimitSoak lets faults of nodes, links and the store come by a schedule that the seed
-// fixes, while a tenant asks for several times its limit at all nodes and another one
-// stays within its own. At the end every window of both is checked.
+// TestLimitSoak injects faults of nodes, links and the store on a schedule that the seed
+// determines, while one tenant sends several times its limit to all nodes and another stays
+// within its own. At the end every window of both is checked.
 func TestLimitSoak(t *testing.T) {
 	t.Parallel()
 	t.Logf("seed %d, %d rounds", *soakSeed, *soakRounds)
--- a/test/links_test.go
+++ b/test/links_test.go
@@ -21,17 +21,17 @@
 )
 
 const (
-	// answerMargin is how long after a request's own deadline a client still waits
-	// for its final answer.
+	// answerMargin is how long after a request's own deadline a client still waits for its
+	// final answer.
 	answerMargin = 5 * time.Second
-	// afterLeaving is when no runner works any more for a client that left, and
-	// stragglers how many may still do.
+	// cancellationBound is the time after which no runner may still work for a client that
+	// disconnected, maxLateRequests the number of requests that may exceed it.
 	cancellationBound = 500 * time.Millisecond
 	maxLateRequests   = 3
 )
 
-// silenceAll silences every open connection between nodes, store and runners for
-// good, and returns how many they were.
+// silenceConnections permanently silences every open connection between nodes, store and
+// runners, and returns their number.
 func silenceConnections(w *world.World, nodes []*world.Node) int {
 	count := 0
 	for _, node := range nodes {
@@ -43,7 +43,8 @@
 	return count
 }
 
-// mixed is one request of each kind that the default routes have.
+// mixedRequest returns a request of one of the kinds of the default routes, which take
+// turns by number.
 func mixedRequest(number int) clientRequest {
 	c := clientRequest{ID: newID(), Deadline: 3 * time.Second}
 	switch number % 4 {
@@ -59,7 +60,7 @@
 	return c
 }
 
-// mixedFor returns requests of all kinds for nodes, so many of each kind for each.
+// mixedRequests returns requests of all kinds for the nodes, each of every kind per node.
 func mixedRequests(nodes []*world.Node, each int) []clientRequest {
 	var requests []clientRequest
 	for number := range 4 * each {
@@ -70,8 +71,8 @@
 	return requests
 }
 
-// sendAll sends requests to nodes in turn, all at once, and returns the answers; one
-// that did not come has no status.
+// sendAll sends requests to the nodes in turn, all at once, and returns the answers. An
+// answer that did not come has no status.
 func sendAll(t *testing.T, nodes []*world.Node, requests []clientRequest) []clientAnswer {
 	t.Helper()
 	answers := make([]clientAnswer, len(requests))
@@ -87,8 +88,9 @@
 	return answers
 }
 
-// waitStreaming waits until a stream of each node runs, of requests that were sent to nodes in
-// turn: a node without any hears of a silence only with its next requests.
+// waitStreaming waits until a stream of each node runs, given requests that were sent to
+// the nodes in turn. A node without a running stream would notice the silence only with its
+// next requests.
 func waitStreaming(t *testing.T, w *world.World, nodes int, requests []clientRequest) {
 	t.Helper()
 	of := make(map[string]int)
@@ -111,14 +113,14 @@
 		}
 		for node := range nodes {
 			if streaming[node] <= 0 {
-				return fmt.Errorf("none of node %d does", node)
+				return fmt.Errorf("no stream of node %d runs", node)
 			}
 		}
 		return nil
 	})
 }
 
-// lengthen lets streams last for a second.
+// lengthenStreams makes streams last a second.
 func lengthenStreams(requests []clientRequest) {
 	for index := range requests {
 		if requests[index].Model != "" {
@@ -127,17 +129,17 @@
 	}
 }
 
-// strike sends requests while all connections go silent, and returns the answers and how many
-// connections were silenced.
+// silencing sends requests while all connections go silent, and returns the answers and the
+// number of silenced connections.
 type silencing func(t *testing.T, w *world.World, nodes []*world.Node, affected []clientRequest) ([]clientAnswer, int)
 
-// strikeAtRest silences connections before the requests are sent.
+// silenceBeforeRequests silences connections before the requests are sent.
 func silenceBeforeRequests(t *testing.T, w *world.World, nodes []*world.Node, affected []clientRequest) ([]clientAnswer, int) {
 	silenced := silenceConnections(w, nodes)
 	return sendAll(t, nodes, affected), silenced
 }
 
-// strikeStreams silences connections while a stream of each node runs.
+// silenceDuringStreams silences connections while a stream of each node runs.
 func silenceDuringStreams(t *testing.T, w *world.World, nodes []*world.Node, affected []clientRequest) ([]clientAnswer, int) {
 	lengthenStreams(affected)
 	answers := make(chan []clientAnswer, 1)
@@ -147,7 +149,8 @@
 	return <-answers, silenced
 }
 
-// strikeAfter silences connections a while after the requests were sent, however far these are.
+// silenceAfter silences connections at a fixed time after the requests were sent, whatever
+// their progress.
 func silenceAfter(delay time.Duration) silencing {
 	return func(t *testing.T, w *world.World, nodes []*world.Node, affected []clientRequest) ([]clientAnswer, int) {
 		silenced := make(chan int, 1)
@@ -157,18 +160,17 @@
 	}
 }
 
-// TestAllConnectionsGoSilent: every open connection between nodes, store and runners
-// goes silent for good, in the middle of requests and at rest. Each request has a
-// final answer in its time, or an answer that visibly ends early; none that may not
-// be repeated runs twice. Each node pays once, then serves as before, and hears
-// changes.
+// TestAllConnectionsGoSilent: every open connection between nodes, store and runners goes
+// silent for good, during requests and while idle. Each request gets a final answer in
+// time, or an answer that visibly ends early; none that must not be repeated runs twice.
+// Each node loses requests only once, then serves as before and receives changes.
 func TestAllConnectionsGoSilent(t *testing.T) {
 	t.Parallel()
 	runSilenceTest(t, silenceDuringStreams)
 }
 
-// TestAllConnectionsGoSilentSoonAfterRequests: the same, where a node whose requests all ended
-// before may have found no connection silent.
+// TestAllConnectionsGoSilentSoonAfterRequests is the same, where a node whose requests all
+// ended earlier may not have noticed any silent connection.
 func TestAllConnectionsGoSilentSoonAfterRequests(t *testing.T) {
 	t.Parallel()
 	runSilenceTest(t, silenceAfter(50*time.Millisecond))
@@ -179,7 +181,7 @@
 	silenceSeeds = flag.Int("silence.seeds", 3, "how many seeds are played")
 )
 
-// TestAllConnectionsGoSilentAtAnyMoment: the same at moments that seeds draw.
+// TestAllConnectionsGoSilentAtAnyMoment is the same at moments drawn by seeds.
 func TestAllConnectionsGoSilentAtAnyMoment(t *testing.T) {
 	t.Parallel()
 	for seed := *silenceSeed; seed < *silenceSeed+uint64(*silenceSeeds); seed++ {
@@ -191,7 +193,7 @@
 	}
 }
 
-// runSilences lets connections go silent in the middle of requests and at rest.
+// runSilenceTest silences connections during requests and while they are idle.
 func runSilenceTest(t *testing.T, inUse silencing) {
 	t.Helper()
 	w, nodes := startLoaded(t, 3, 3)
@@ -229,8 +231,8 @@
 	waitKnown(t, "beta", nodes...)
 }
 
-// TestThousandClientsLeaveAtOnce: half a second after a thousand clients left, no
-// runner works for any of them, and none is sent anything more.
+// TestThousandClientsLeaveAtOnce: half a second after a thousand clients disconnected, no
+// runner works for any of them, and nothing more is sent to runners for them.
 func TestThousandClientsLeaveAtOnce(t *testing.T) {
 	t.Parallel()
 	const clients = 1000
@@ -250,16 +252,16 @@
 	}
 	waitUntil(t, "runners are busy", func() error {
 		if busy := len(runningRequests(readHistory(t, w), ids)); busy < 8 {
-			return fmt.Errorf("%d run", busy)
+			return fmt.Errorf("%d requests run", busy)
 		}
 		return nil
 	})
 	leave()
 	asking.Wait()
 	left := time.Now()
-	waitUntil(t, "no runner works", func() error {
+	waitUntil(t, "no runner works for these clients", func() error {
 		if busy := runningRequests(readHistory(t, w), ids); len(busy) > 0 {
-			return fmt.Errorf("%d run", len(busy))
+			return fmt.Errorf("%d requests run", len(busy))
 		}
 		return nil
 	})
@@ -277,14 +279,14 @@
 			late++
 		}
 	}
-	t.Logf("runners were done with the last request %s after its client had left", last.Round(time.Millisecond))
-	assert.Assert(t, late <= maxLateRequests, "runners did something for %d clients after %s", late, cancellationBound)
+	t.Logf("runners ended the last request %s after its client had disconnected", last.Round(time.Millisecond))
+	assert.Assert(t, late <= maxLateRequests, "runners still worked for %d clients after %s", late, cancellationBound)
 }
 
-// waitNothingWaits waits until no request waits at a node.
+// waitNoneWaiting waits until no request waits at a node.
 func waitNoneWaiting(t *testing.T, node *world.Node) {
 	t.Helper()
-	waitUntil(t, "nothing waits at "+node.Name, func() error {
+	waitUntil(t, "no request waits at "+node.Name, func() error {
 		status, err := node.Client().Status(t.Context())
 		if err != nil {
 			return err
@@ -296,7 +298,7 @@
 	})
 }
 
-// working returns the requests among ids that runners began and did not end.
+// runningRequests returns the requests among ids that runners have begun and not ended.
 func runningRequests(h history, ids map[string]bool) map[string]bool {
 	running := make(map[string]bool)
 	for _, record := range h.records {
@@ -312,8 +314,8 @@
 	return running
 }
 
-// TestHalfACloseIsALeaving: a client that ends its sending side after its request is
-// taken for one that left, as the two look alike: nothing waits for it any more.
+// TestHalfACloseIsALeaving: a client that closes only its sending side after its request is
+// treated as disconnected, as the two cannot be told apart. Nothing waits for it any more.
 func TestHalfACloseIsALeaving(t *testing.T) {
 	t.Parallel()
 	_, nodes := startLoaded(t, 1, 1)
--- a/test/poison_test.go
+++ b/test/poison_test.go
@@ -176,7 +176,7 @@
 	waitKnown(t, "alpha", p.nodes...)
 	waitUntil(t, "all runners hold the model", func() error {
 		if got := len(runnersHolding(t, p.nodes[0], "alpha")); got != runners {
-			return fmt.Errorf("%d do", got)
+			return fmt.Errorf("%d hold it", got)
 		}
 		return nil
 	})
@@ -371,7 +371,7 @@
 		t.Helper()
 		waitUntil(t, "runners ended", func() error {
 			if ended := len(eventTimes(readHistory(t, w), journal.EventCrash)); ended < count {
-				return fmt.Errorf("%d did", ended)
+				return fmt.Errorf("%d runners ended", ended)
 			}
 			return nil
 		})
@@ -456,7 +456,7 @@
 	waitUntil(t, "runners ended", func() error {
 		crashes := eventTimes(readHistory(t, w), journal.EventCrash)
 		if len(crashes) < ends {
-			return fmt.Errorf("%d did", len(crashes))
+			return fmt.Errorf("%d runners ended", len(crashes))
 		}
 		third = crashes[ends-1]
 		return nil
--- a/test/statements_test.go
+++ b/test/statements_test.go
@@ -141,7 +141,7 @@
 	waitKnown(t, "alpha", s.nodes...)
 	waitUntil(t, "all runners hold the model", func() error {
 		if got := len(runnersHolding(t, s.nodes[0], "alpha")); got != runnersPerService {
-			return fmt.Errorf("%d do", got)
+			return fmt.Errorf("%d hold it", got)
 		}
 		return nil
 	})
--- a/test/traps_test.go
+++ b/test/traps_test.go
@@ -31,7 +31,7 @@
 	waitKnown(t, "alpha", started...)
 	waitUntil(t, "all runners hold the model", func() error {
 		if got := len(runnersHolding(t, started[0], "alpha")); got != runners {
-			return fmt.Errorf("%d do", got)
+			return fmt.Errorf("%d hold it", got)
 		}
 		return nil
 	})
