--- a/test/parts_soak_test.go
+++ b/test/parts_soak_test.go
@@ -16,23 +16,24 @@
 	"lilacvane/platform/protocol"
 )
 
-// What a soak's world has of the parts.
+// What the world of the soak contains.
 const (
-	// soakColdRate is the requests a second that a cold runner bears, coldLasting how long
-	// a runner is cold.
+	// soakColdRate is the number of requests per second that a cold runner can serve,
+	// coldDuration how long a runner is cold.
 	soakColdRate = 5
 	coldDuration = 2 * time.Second
-	// afterBound is how long a zone stays out beyond the bound.
+	// zoneOutMargin is how long a zone stays out after the time within which nodes must
+	// know it.
 	zoneOutMargin = time.Second
-	// homedTenant is the tenant with homes in homeRegion, in which homeZone alone lies.
+	// homedTenant is the tenant whose home is homeRegion, which contains only homeZone.
 	homedTenant = "homed"
 	freeTenant  = "free"
 	homeRegion  = "region-2"
 	homeZone    = "zone-a"
 )
 
-// outOf lets nothing new go to a zone drawn, with a bound on how late that holds, and
-// returns how to take it back.
+// takeOutRandomZone takes a randomly drawn zone out and returns a function that takes it
+// back. After bound, nodes must send nothing new there.
 func (s *soak) takeOutRandomZone(bound time.Duration, out, back func(zone place.Zone)) func() {
 	zone := place.Zone(zones[s.random.IntN(len(zones))])
 	out(zone)
@@ -62,8 +63,9 @@
 	return func() {}
 }
 
-// besideParts are the faults that come together with a part: they leave the store alone, so
-// that changes are accepted, and the first node, to which they are submitted.
+// concurrentFaults are the faults that are combined with a zone's outage. They leave the
+// store alone, so that changes are accepted, and the first node, which receives these
+// changes.
 func concurrentFaults() []faultKind {
 	var concurrent []faultKind
 	for _, fault := range soakFaults {
@@ -81,9 +83,10 @@
 	return func() { assert.NilError(s.t, node.Thaw()) }
 }
 
-// TestSoakParts takes a zone out and back in each round, beside another fault, and checks
-// that nothing new went there meanwhile. Zones go by planned stops, and with -soak.parts
-// also by the operator's rows; runners become cold, and a tenant has homes.
+// TestSoakParts takes a zone out and back in each round, together with another fault, and
+// checks that nothing new was sent there meanwhile. Zones go out by planned stops and, with
+// -soak.parts, also by the operator's rows; runners become cold, and a tenant has a home
+// region.
 func TestSoakParts(t *testing.T) {
 	t.Parallel()
 	plan := soakPlan{kinds: concurrentFaults(), roundKinds: []faultKind{{"drain a zone", "store", (*soak).drainZone}}}
@@ -114,7 +117,7 @@
 	return false
 }
 
-// startTenants gives callers keys: every fourth one's tenant has homes.
+// startTenants gives callers keys. The tenant of every fourth caller has a home region.
 func (s *soak) startTenants() {
 	homed := newTenant(homedTenant, 0, 0)
 	homed.Homes = []string{homeRegion}
@@ -128,7 +131,7 @@
 	return freeTenant + "-key"
 }
 
-// verifyParts checks what the world has: zones that were out, cold runners, homes.
+// verifyParts checks outages of zones, bounds of cold runners, and home regions.
 func (s *soak) verifyParts(h history) {
 	zones := runnerZones(s.w)
 	for _, o := range s.outages {
--- a/test/parts_test.go
+++ b/test/parts_test.go
@@ -15,15 +15,15 @@
 	"lilacvane/internal/place"
 )
 
-// outage is a time in which nothing new may go to the runners of a zone.
+// outage is an interval in which nothing new may be sent to the runners of a zone.
 type outage struct {
 	zone     place.Zone
 	from, to time.Time
-	// apart are the nodes that were out of touch for a part of it.
+	// isolated are the nodes that were cut off for a part of it.
 	isolated []string
 }
 
-// zonesOf tells the zone of each runner that ever ran in a world.
+// runnerZones returns the zone of each runner that ever ran in a world.
 func runnerZones(w *world.World) map[string]place.Zone {
 	zones := make(map[string]place.Zone)
 	for name, runner := range w.Runners {
@@ -32,7 +32,8 @@
 	return zones
 }
 
-// senderOf is the node that sent a request or ordered a load; empty when that is not told.
+// orderingNode returns the node that sent a request or ordered a load, or "" if the record
+// does not name one.
 func orderingNode(record journal.Record) string {
 	if _, owner, ordered := strings.Cut(record.Detail, " owner "); ordered {
 		return owner
@@ -43,7 +44,8 @@
 	return ""
 }
 
-// zoneKept returns an error when a node in touch sent something new to a zone in an outage.
+// checkOutage returns an error if a node that was not isolated sent something new to a zone
+// during an outage.
 func (h history) checkOutage(o outage, zones map[string]place.Zone) error {
 	for _, record := range h.records {
 		isNew := record.Event == journal.EventRun || record.Event == journal.EventLoad
@@ -57,7 +59,8 @@
 	return nil
 }
 
-// coldKept returns an error when a cold runner got more requests within a second than most.
+// checkColdBound returns an error if a cold runner received more than most requests within
+// a second.
 func (h history) checkColdBound(most int) error {
 	for _, record := range h.records {
 		if record.Event != journal.EventCrowd {
@@ -70,7 +73,7 @@
 	return nil
 }
 
-// homesKept returns an error when a request of a tenant ran outside its homes.
+// checkHomes returns an error if a request of a tenant ran outside its home regions.
 func (h history) checkHomes(tenant string, homes place.Homes, region func(runner string) place.Region) error {
 	for _, record := range h.records {
 		if record.Event == journal.EventRun && record.Tenant == tenant && !homes.Allows(region(record.Runner)) {
@@ -80,8 +83,8 @@
 	return nil
 }
 
-// TestPartsAreChecked: the checks of zones, cold runners and homes fail for what breaks
-// them, and for nothing else.
+// TestPartsAreChecked: the checks of outages, cold runners and home regions fail for
+// violations and for nothing else.
 func TestPartsAreChecked(t *testing.T) {
 	t.Parallel()
 	begin := time.Unix(1000, 0)
@@ -94,8 +97,8 @@
 	}
 	same := func(*journal.Record) {}
 	for name, test := range map[string]struct {
-		h    history
-		kept bool
+		h      history
+		passes bool
 	}{
 		"new in the outage":     {record(time.Millisecond, same), false},
 		"load in the outage":    {record(0, func(r *journal.Record) { r.Event, r.Request, r.Detail = journal.EventLoad, "", "store owner node-1" }), false},
@@ -108,7 +111,7 @@
 			r.Event, r.Request, r.Detail = journal.EventLoad, "", "store owner node-2"
 		}), true},
 	} {
-		assert.Equal(t, test.h.checkOutage(o, zones) == nil, test.kept, name)
+		assert.Equal(t, test.h.checkOutage(o, zones) == nil, test.passes, name)
 	}
 	crowd := record(0, func(r *journal.Record) { r.Event, r.Detail = journal.EventCrowd, "7" })
 	assert.NilError(t, crowd.checkColdBound(7))
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -12,8 +12,8 @@
 	"lilacvane/platform/protocol"
 )
 
-// TestColdRequestIsServed: a request for a sleeping model is served, streamed
-// and whole, by any node.
+// TestColdRequestIsServed: a request for a model that is not loaded is served, streamed and
+// unstreamed, by any node.
 func TestColdRequestIsServed(t *testing.T) {
 	t.Parallel()
 	w, nodes := startWithAlpha(t, 2, 2, model("alpha", 1)...)
@@ -24,8 +24,8 @@
 	readHistory(t, w).assertMemoryNeverExceeded(t)
 }
 
-// TestRefusalsAreTyped: what cannot be served is refused at once, with a code,
-// and truthfully as not run.
+// TestRefusalsAreTyped: a request that cannot be served is refused at once, with an error
+// code and marked as not run.
 func TestRefusalsAreTyped(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -41,7 +41,7 @@
 	assert.Assert(t, none.RetryAfter != "")
 }
 
-// TestPolicyKeepsReplicaReady: a policy wakes a model that nobody asked for.
+// TestPolicyKeepsReplicaReady: a policy loads a model that nobody has requested.
 func TestPolicyKeepsReplicaReady(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -56,8 +56,8 @@
 	})
 }
 
-// TestRoutesServe: requests of clients are matched by host and longest prefix,
-// reach the service, and come back whole with the runner's signature.
+// TestRoutesServe: clients' requests are matched by host and longest prefix, reach the
+// service, and return complete with the runner's signature.
 func TestRoutesServe(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -75,8 +75,7 @@
 	assert.Equal(t, missing.Status, http.StatusNotFound)
 }
 
-// TestSplitRouteFollowsWeights: a route that is split sends each service exactly
-// its share.
+// TestSplitRouteFollowsWeights: a split route sends each service exactly its share.
 func TestSplitRouteFollowsWeights(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -89,7 +88,7 @@
 		Split: []protocol.Split{{Service: world.MailService, Weight: 3}, {Service: world.EngineService, Weight: 1}},
 	})
 	assert.NilError(t, w.Configure(routes))
-	waitUntil(t, "the route is in force", func() error {
+	waitUntil(t, "the route is active", func() error {
 		if got := send(t.Context(), nodes[0], clientRequest{Path: "/split/probe"}); got.Status == http.StatusNotFound {
 			return fault.New(fault.CodeNotFound, "test", "not yet")
 		}
--- a/test/poison_soak_test.go
+++ b/test/poison_soak_test.go
@@ -21,11 +21,12 @@
 	poisonSeeds = flag.Int("poison.seeds", 1, "how many seeds it plays, one after the other")
 )
 
-// TestPoisonSoak: two requests that end their runners come again and again beside innocent ones,
-// while runners end for other reasons, nodes are killed and started or stand still, and the
-// store is away, as the seed draws them. Neither reaches runners more often than is borne
-// once all nodes may have heard of its third end, and no innocent request is taken for one.
-// By hand: go test ./test -run TestPoisonSoak -poison.seed=100 -poison.seeds=50 -timeout 1h
+// TestPoisonSoak: two requests that crash their runners are sent again and again together
+// with harmless ones, while runners crash for other reasons, nodes are killed and restarted
+// or frozen, and the store is down, as drawn by the seed. Once all nodes may know of the
+// third crash under a request, it reaches runners no more often than allowed, and no
+// harmless request is refused as one that crashes runners. To run more seeds: go test
+// ./test -run TestPoisonSoak -poison.seed=100 -poison.seeds=50 -timeout 1h
 func TestPoisonSoak(t *testing.T) {
 	t.Parallel()
 	for seed := *poisonSeed; seed < *poisonSeed+uint64(*poisonSeeds); seed++ {
@@ -33,21 +34,21 @@
 	}
 }
 
-// poisonSoak is a world with requests that end runners under faults.
+// poisonSoak is a world with requests that crash runners, under faults.
 type poisonSoak struct {
 	*poisonWorld
 	random *rand.Rand
 
-	// mutex guards all below. sent is the content of each request, by identifier.
+	// mutex guards all fields below. sent is the content of each request, by identifier.
 	mutex sync.Mutex
 	sent  map[string]string
-	// calm is until when the store was away last; disturbed is when nodes were started
-	// or went on after they stood still.
+	// storeBackAt is when the store last became available again; disturbed is when nodes
+	// were restarted or resumed after a freeze.
 	storeBackAt time.Time
 	disturbed   []time.Time
 }
 
-// soakDuration is how long requests and faults come in a soak.
+// soakDuration is how long the soak sends requests and injects faults.
 const soakDuration = 9 * time.Second
 
 func runPoisonSoak(t *testing.T, seed uint64) {
@@ -72,7 +73,8 @@
 	s.check(t)
 }
 
-// repeat sends a request that ends runners to nodes in turn, without waiting for answers.
+// sendRepeatedly sends a request that crashes runners to the nodes in turn, without waiting
+// for answers.
 func (s *poisonSoak) sendRepeatedly(ctx context.Context, word string) {
 	var tries sync.WaitGroup
 	defer tries.Wait()
@@ -86,7 +88,7 @@
 	}
 }
 
-// disturb brings faults one after the other until ctx ends.
+// injectFaults injects faults one after the other until ctx ends.
 func (s *poisonSoak) injectFaults(ctx context.Context, t *testing.T) {
 	t.Helper()
 	for ctx.Err() == nil {
@@ -125,29 +127,30 @@
 	*times = append(*times, time.Now())
 }
 
-// check checks the bound for each request, and the answers to innocent ones.
+// check checks the bound for each request, and the answers to harmless ones.
 func (s *poisonSoak) check(t *testing.T) {
 	t.Helper()
 	h := readHistory(t, s.world)
 	for _, word := range []string{"first", "second"} {
-		var ends, reached []time.Time
+		var crashes, reached []time.Time
 		for _, record := range h.records {
 			switch {
 			case s.sent[record.Request] != word:
 			case record.Event == journal.EventCrash:
-				ends = append(ends, record.Time)
+				crashes = append(crashes, record.Time)
 			case record.Event == journal.EventPoison:
 				reached = append(reached, record.Time)
 			}
 		}
-		if len(ends) < maxCrashes {
-			t.Logf("%s: %d ends", word, len(ends))
+		if len(crashes) < maxCrashes {
+			t.Logf("%s: %d crashes", word, len(crashes))
 			continue
 		}
-		third := ends[maxCrashes-1]
-		// A node that was started or stood still is as if it were new: it may send once more.
+		third := crashes[maxCrashes-1]
+		// A node that was restarted or frozen knows as little as a new one: it may send
+		// once more.
 		allowed, late := maxSendsAfterCrashes+countAfter(s.disturbed, third), countAfter(reached, laterTime(third, s.storeBackAt).Add(propagationBound))
-		t.Logf("%s: %d ends, %d sends after the bound of at most %d; innocent: %v", word, len(ends), late, allowed, s.harmlessAnswers)
+		t.Logf("%s: %d crashes, %d sends after the bound of at most %d; harmless: %v", word, len(crashes), late, allowed, s.harmlessAnswers)
 		assert.Check(t, late <= allowed)
 	}
 	assert.Check(t, s.harmlessAnswers[string(codePoison)] == 0 && s.harmlessAnswers[string(fault.CodeCrashSuspected)] == 0, "%v", s.harmlessAnswers)
@@ -160,7 +163,7 @@
 	return b
 }
 
-// after counts the times after an instant.
+// countAfter counts the times after an instant.
 func countAfter(times []time.Time, instant time.Time) int {
 	count := 0
 	for _, at := range times {
--- a/test/poison_test.go
+++ b/test/poison_test.go
@@ -26,86 +26,91 @@
 	"lilacvane/internal/wire"
 )
 
-// A request ended each runner that began to run it, and came again under other identifiers at
-// other nodes. No node knew that two tries were one request, and a broken connection was taken
-// for the runner's trouble, so each try went to the next runner, and what waited for a model
-// went to the first runner that was back: "attempt failed ... attempt 1 ... interrupted:
-// unexpected EOF" at five runners within 2.1 s, each from another node, and 14 runners ended
-// under one request in 12 s, beside 78 other requests of which none was at two of these ends.
+// A request crashed each runner that began to run it, and was sent again under other
+// identifiers at other nodes. No node knew that two attempts were the same request, and a
+// broken connection was attributed to the runner, so each attempt went to the next runner,
+// and requests waiting for a model went to the first runner that came back. The logs showed
+// "attempt failed ... attempt 1 ... interrupted: unexpected EOF" at five runners within 2.1
+// s, each from another node, and 14 runners that crashed under one request in 12 s, beside
+// 78 other requests, none of which was involved in two of these crashes.
 
 const (
-	// poisonText makes a request one that ends runners.
+	// poisonText in a request or a model's name makes the emulated runner crash.
 	poisonText = "ends-its-runner"
-	// contact is the platform's bound on how soon nodes must hear of each other's news.
+	// propagationBound is the platform's bound on how soon nodes must learn each other's
+	// news.
 	propagationBound = 3 * time.Second
-	// crashesAllowed is after how many ends a request may not be sent on, sendsAllowed how
-	// often it may be all the same once contact has passed since the last of these.
+	// After maxCrashes crashes a request may not be sent on. It may still be sent
+	// maxSendsAfterCrashes times once propagationBound has passed since the last of these
+	// crashes.
 	maxCrashes           = 3
 	maxSendsAfterCrashes = 3
 	codePoison           = fault.Code("crashes_runners")
-	// poisonPause and innocentPause lie between requests.
+	// poisonPause and harmlessPause are the times between requests.
 	poisonPause   = 150 * time.Millisecond
 	harmlessPause = 40 * time.Millisecond
-	// innocentTries is how often a client sends an innocent request.
+	// harmlessTries is how often a client sends a harmless request.
 	harmlessTries = 3
 )
 
-// TestRequestThatEndsRunnersIsNotSentOn: such a request comes again and again, at all nodes,
-// beside innocent ones in the same batches. Runners come back with another identifier or
-// with their own, and are reached directly or through a proxy that accepts connections for
-// them while they are away.
+// TestRequestThatEndsRunnersIsNotSentOn: such a request is sent again and again, to all
+// nodes, together with harmless ones in the same batches. Runners come back under another
+// identifier or under their own, and are reached directly or through a proxy that accepts
+// connections for them while they are down.
 func TestRequestThatEndsRunnersIsNotSentOn(t *testing.T) {
 	t.Parallel()
 	stream := clientRequest{Path: "/reply/x", Model: "alpha", Events: 30}
 	for name, test := range map[string]poisonTest{
 		"other identifier": {renamed: true, request: stream},
 		"same identifier":  {proxied: true, request: stream},
-		// Of a service without models, whose runners answer no questions; the node itself
-		// sends it to several runners.
+		// The service holds no models, and its runners answer no questions of nodes. The
+		// node itself sends the request to several runners.
 		"safe": {renamed: true, request: clientRequest{Path: "/read/x"}},
-		// Hardly anything else is sent, so that no other request shows that a runner is away.
+		// Hardly any other requests are sent, so none shows that a runner is down.
 		"once, alone": {renamed: true, request: clientRequest{Path: "/send/x"}, harmlessPause: time.Second},
-		// There are enough others that no node turns to a runner again that ended, until it
-		// is back after some seconds.
+		// There are enough other runners that no node uses a runner that crashed again
+		// until it is back after some seconds.
 		"once, seldom": {renamed: true, request: clientRequest{Path: "/send/x"}, harmlessPause: time.Second,
 			mailers: 16, poisonPause: 400 * time.Millisecond, downtime: 8 * time.Second},
-		// The same, after requests of all nodes timed out at all of the runners.
+		// The same, after requests of all nodes have timed out at all of the runners.
 		"once, after time-outs": {renamed: true, request: clientRequest{Path: "/send/x"}, harmlessPause: time.Second,
 			mailers: 16, poisonPause: 400 * time.Millisecond, downtime: 8 * time.Second, timeOuts: true},
-		// The node that counts for all stands still from before the first end.
+		// The node that counts crashes for all nodes is frozen from before the first crash.
 		"holder still": {renamed: true, request: stream, holderFrozen: true},
 	} {
-		// One after the other: together they are a hundred processes and more.
+		// Not in parallel, as all cases together would start more than a hundred processes.
 		t.Run(name, func(t *testing.T) { runPoison(t, test) })
 	}
 }
 
-// poisonTest is a request that ends runners, and its world.
+// poisonTest describes a request that crashes runners, and its world.
 type poisonTest struct {
 	request clientRequest
-	// renamed is set where runners come back with another identifier, proxied where they are
+	// renamed is set if runners come back under another identifier, proxied if they are
 	// reached through a proxy.
 	renamed, proxied bool
-	// innocentPause lies between innocent requests; innocentPause where it is not set.
+	// harmlessPause is the time between harmless requests; the constant harmlessPause if
+	// not set.
 	harmlessPause time.Duration
-	// mailers is how many runners without models there are, away how long runners are before
-	// they are back, poisonPause lies between requests that end them; the usual where not set.
+	// mailers is the number of runners without models, downtime how long runners are down
+	// after a crash, poisonPause the time between requests that crash them. Each has a
+	// default.
 	mailers               int
 	downtime, poisonPause time.Duration
-	// timeOuts lets requests time out at all runners without models before.
+	// timeOuts makes requests time out at all runners without models first.
 	timeOuts bool
-	// holderStill lets the holder of the control lease stand still meanwhile.
+	// holderFrozen freezes the holder of the control lease during the test.
 	holderFrozen bool
 }
 
-// poisoned is a world in which one request ends the runners that run it.
+// poisonWorld is a world in which one request crashes the runners that run it.
 type poisonWorld struct {
 	world *world.World
 	nodes []*world.Node
 	poisonTest
 
 	mutex sync.Mutex
-	// innocents are the answers to other requests, by what became of them.
+	// harmlessAnswers counts the answers to harmless requests, by status or code.
 	harmlessAnswers map[string]int
 }
 
@@ -126,15 +131,15 @@
 	senders.Go(func() { p.sendPoison(ctx) })
 	senders.Go(func() { p.sendHarmless(ctx) })
 	var third time.Time
-	waitUntil(t, "the request ended its runners", func() error {
+	waitUntil(t, "the request crashed its runners", func() error {
 		crashes := eventTimes(readHistory(t, p.world), journal.EventCrash)
 		if len(crashes) < maxCrashes {
-			return fmt.Errorf("%d ended", len(crashes))
+			return fmt.Errorf("%d crashed", len(crashes))
 		}
 		third = crashes[maxCrashes-1]
 		return nil
 	})
-	// Tries go on for as long again as nodes may take to hear of it.
+	// Attempts continue for as long again as nodes may take to learn of it.
 	time.Sleep(time.Until(third.Add(2 * propagationBound)))
 	end()
 	senders.Wait()
@@ -145,9 +150,9 @@
 		}
 	}
 	crashes := eventTimes(readHistory(t, p.world), journal.EventCrash)
-	t.Logf("%d runners ended, %d sends after the bound; refused at nodes %v after the third end; innocent requests: %v",
+	t.Logf("%d runners crashed, %d sends after the bound; refused at nodes %v after the third crash; harmless requests: %v",
 		len(crashes), late, p.refusedAfter(t, third), p.harmlessAnswers)
-	assert.Assert(t, late <= maxSendsAfterCrashes, "sent %d times more, %d runners ended", late, len(crashes))
+	assert.Assert(t, late <= maxSendsAfterCrashes, "sent %d more times, %d runners crashed", late, len(crashes))
 	p.checkAnswers(t)
 }
 
@@ -183,7 +188,7 @@
 	return p
 }
 
-// timeOut lets requests of each node time out at the runners without models.
+// timeOut makes requests of each node time out at the runners without models.
 func (p *poisonWorld) timeOut(t *testing.T) {
 	t.Helper()
 	for _, faults := range []runnerstub.Faults{{MuteShare: 1}, {}} {
@@ -201,7 +206,8 @@
 	}
 }
 
-// sendPoison sends the request that ends runners until ctx ends, without waiting for answers.
+// sendPoison sends the request that crashes runners until ctx ends, without waiting for
+// answers.
 func (p *poisonWorld) sendPoison(ctx context.Context) {
 	var tries sync.WaitGroup
 	defer tries.Wait()
@@ -215,15 +221,15 @@
 	return send(ctx, node, p.poison("please"))
 }
 
-// poison is a request that ends runners, one content for each word.
+// poison returns a request that crashes runners. Its content depends on word.
 func (p *poisonWorld) poison(word string) clientRequest {
 	request := p.request
 	request.ID, request.Method, request.Body, request.Deadline = newID(), http.MethodPost, []byte(word+" "+poisonText), 4*time.Second
 	return request
 }
 
-// sendInnocent sends other requests of the same kind until ctx ends. Their clients come
-// again, with the same content, where they are not served.
+// sendHarmless sends other requests of the same kind until ctx ends. Their clients retry
+// with the same content if they are not served.
 func (p *poisonWorld) sendHarmless(ctx context.Context) {
 	var tries sync.WaitGroup
 	defer tries.Wait()
@@ -240,7 +246,7 @@
 	}
 }
 
-// tryInnocent sends an innocent request and reports whether it was served.
+// tryHarmless sends a harmless request and reports whether it was served.
 func (p *poisonWorld) tryHarmless(ctx context.Context, number int, node *world.Node) bool {
 	request := p.request
 	request.Method, request.Body, request.Deadline = http.MethodPost, []byte("innocent "+strconv.Itoa(number)), 4*time.Second
@@ -258,7 +264,8 @@
 	return got.Status == http.StatusOK && got.Whole
 }
 
-// refusedAfter returns how long after an instant each node refused the request, by its log.
+// refusedAfter returns how long after an instant each node first refused the request,
+// according to its log.
 func (p *poisonWorld) refusedAfter(t *testing.T, instant time.Time) []time.Duration {
 	t.Helper()
 	var times []time.Duration
@@ -277,8 +284,9 @@
 	return times
 }
 
-// checkAnswers checks that no innocent request was taken for the one that ends runners, that
-// this one gets a final answer at each node and runs no more, and that others are served.
+// checkAnswers checks that no harmless request was refused as one that crashes runners,
+// that the request that does gets a final answer at each node and does not run any more,
+// and that others are served.
 func (p *poisonWorld) checkAnswers(t *testing.T) {
 	t.Helper()
 	assert.Equal(t, p.harmlessAnswers[string(codePoison)]+p.harmlessAnswers[string(fault.CodeCrashSuspected)], 0, "%v", p.harmlessAnswers)
@@ -287,7 +295,7 @@
 		got := p.tryPoison(t.Context(), node)
 		assert.Equal(t, got.Status, http.StatusBadRequest, "%+v", got)
 		assert.Equal(t, errorCode(got), codePoison, "%+v", got)
-		waitUntil(t, "innocent requests are served", func() error {
+		waitUntil(t, "harmless requests are served", func() error {
 			if !p.tryHarmless(t.Context(), int(time.Now().UnixNano()), node) {
 				return fmt.Errorf("%v", p.harmlessAnswers)
 			}
@@ -297,8 +305,8 @@
 	assert.Equal(t, len(eventTimes(readHistory(t, p.world), journal.EventPoison)), before)
 }
 
-// refusedEverywhere waits until each node refuses the request for good, and returns how often
-// it has reached runners by then.
+// waitRefusedAtAllNodes waits until each node refuses the request for good, and returns how
+// often it has reached runners by then.
 func (p *poisonWorld) waitRefusedAtAllNodes(t *testing.T) int {
 	t.Helper()
 	for _, node := range p.nodes {
@@ -312,9 +320,9 @@
 	return len(eventTimes(readHistory(t, p.world), journal.EventPoison))
 }
 
-// TestRefusedRequestIsKnownAfterNodesEnded: nodes that are started again one by one, or that
-// all ended at once, refuse what was refused before. Operators see it and why, and may let it
-// run again.
+// TestRefusedRequestIsKnownAfterNodesEnded: nodes that are restarted one by one, or that
+// were all killed at once, still refuse what was refused before. Operators can see the
+// request and the reason, and can allow it to run again.
 func TestRefusedRequestIsKnownAfterNodesEnded(t *testing.T) {
 	t.Parallel()
 	p := startPoisonWorld(t, poisonTest{renamed: true, request: clientRequest{Path: "/read/x"}})
@@ -344,7 +352,7 @@
 	expect(commandline.ExitOK, listed[0].Runners[0], "explain", "content", short)
 	expect(command.ExitNotFound, "lift quarantine", "quarantine", "lift", "0123")
 	expect(commandline.ExitOK, "may run again", "quarantine", "lift", short)
-	waitUntil(t, "it runs again at another node", func() error {
+	waitUntil(t, "the request runs again at another node", func() error {
 		if got := p.tryPoison(t.Context(), p.nodes[2]); errorCode(got) != "" && errorCode(got) == codePoison {
 			return fmt.Errorf("%+v", got)
 		}
@@ -353,25 +361,27 @@
 	assert.Assert(t, len(eventTimes(readHistory(t, p.world), journal.EventPoison)) > reached)
 }
 
-// TestModelThatEndsItsRunnersDoesNotEndAll: a model ended each runner that was ordered to load
-// it, and was ordered to the next one for as long as requests asked for it. Its loads rest
-// for longer and longer; its requests are told when to come back, and others are served.
+// TestModelThatEndsItsRunnersDoesNotEndAll: a model crashed each runner that was ordered to
+// load it, and was ordered to the next one as long as requests asked for it. Its loads must
+// be paused for longer and longer; its requests are told when to come back, and others are
+// served.
 func TestModelThatEndsItsRunnersDoesNotEndAll(t *testing.T) {
 	t.Parallel()
 	runCrashingModel(t, 2, nil)
 }
 
-// TestModelThatEndsItsRunnersIsCountedThroughFaults: ends were not counted of runners whose
-// orders got no answer, and those before the holder's own end or pause were forgotten.
+// TestModelThatEndsItsRunnersIsCountedThroughFaults: crashes were not counted for runners
+// whose orders got no answer, and those before the lease holder's own end or pause were
+// forgotten.
 func TestModelThatEndsItsRunnersIsCountedThroughFaults(t *testing.T) {
 	t.Parallel()
 	random := rand.New(rand.NewPCG(*endsSeed, 0))
 	pause := 200*time.Millisecond + time.Duration(random.Int64N(int64(800*time.Millisecond)))
-	until := func(t *testing.T, w *world.World, count int) {
+	waitCrashes := func(t *testing.T, w *world.World, count int) {
 		t.Helper()
-		waitUntil(t, "runners ended", func() error {
+		waitUntil(t, "runners crashed", func() error {
 			if ended := len(eventTimes(readHistory(t, w), journal.EventCrash)); ended < count {
-				return fmt.Errorf("%d runners ended", ended)
+				return fmt.Errorf("%d runners crashed", ended)
 			}
 			return nil
 		})
@@ -383,17 +393,18 @@
 			}
 		},
 		"holder stands still": func(t *testing.T, w *world.World, holder *world.Node) {
-			until(t, w, 1)
+			waitCrashes(t, w, 1)
 			assert.NilError(t, holder.Freeze())
 			time.Sleep(pause)
 			assert.NilError(t, holder.Thaw())
 		},
 		"holder ends": func(t *testing.T, w *world.World, holder *world.Node) {
-			until(t, w, 3)
-			waitUntil(t, "the holder counted the ends", func() error {
+			waitCrashes(t, w, 3)
+			waitUntil(t, "the holder counted the crashes", func() error {
 				return loggedBy(t, w, "runner ended as it loaded a model", `"pausedMs":1`, holder)
 			})
-			// Other nodes report to it, and are told, several times a second.
+			// Other nodes report to the holder, and receive its counts, several times a
+			// second.
 			time.Sleep(500 * time.Millisecond)
 			holder.Kill()
 		},
@@ -402,22 +413,23 @@
 	}
 }
 
-// endsSeed draws how long the holder stands still.
+// endsSeed determines how long the holder is frozen.
 var endsSeed = flag.Uint64("ends.seed", 1, "seed of the pause of the holder while a model ends its runners")
 
-// endingRunners is how many runners a model may end.
+// crashingModelRunners is the number of runners that a model may crash.
 const crashingModelRunners = 6
 
-// runModelThatEndsRunners asks nodes for a model that ends its runners, while something happens to
-// the node that holds the control lease, which is not asked then.
+// runCrashingModel requests a model that crashes its runners from the nodes, while disturb
+// affects the holder of the control lease, which then gets no requests.
 func runCrashingModel(t *testing.T, count int, disturb func(t *testing.T, w *world.World, holder *world.Node)) {
 	t.Helper()
 	const (
-		runners, ends = crashingModelRunners, 3
-		// asked is how long requests go on after the third end: less than loads rest then.
-		asked = 7 * time.Second
-		// together is how many more runners may be loading it as the third ends.
-		together = 1
+		runners, crashesBeforePause = crashingModelRunners, 3
+		// requestTime is how long requests continue after the third crash: less than loads are
+		// paused then.
+		requestTime = 7 * time.Second
+		// concurrentLoads is how many more runners may be loading the model at the third crash.
+		concurrentLoads = 1
 	)
 	w := newWorld(t, func(o *world.Options) { o.Proxied = false })
 	for index := range runners {
@@ -453,20 +465,20 @@
 		disturb(t, w, holder)
 	}
 	var third time.Time
-	waitUntil(t, "runners ended", func() error {
+	waitUntil(t, "runners crashed", func() error {
 		crashes := eventTimes(readHistory(t, w), journal.EventCrash)
-		if len(crashes) < ends {
-			return fmt.Errorf("%d runners ended", len(crashes))
+		if len(crashes) < crashesBeforePause {
+			return fmt.Errorf("%d runners crashed", len(crashes))
 		}
-		third = crashes[ends-1]
+		third = crashes[crashesBeforePause-1]
 		return nil
 	})
-	time.Sleep(time.Until(third.Add(asked)))
+	time.Sleep(time.Until(third.Add(requestTime)))
 	end()
 	senders.Wait()
 	crashes := eventTimes(readHistory(t, w), journal.EventCrash)
-	assert.Assert(t, len(crashes) <= ends+together, "%d runners ended", len(crashes))
-	// Another request waits there already, so that the node was told.
+	assert.Assert(t, len(crashes) <= crashesBeforePause+concurrentLoads, "%d runners crashed", len(crashes))
+	// Another request waits there first, so that the node is told of the pause.
 	waiting := sendInBackground(t.Context(), nodes[1], request(poisonText), nil)
 	awaitOutcome(t, waiting)
 	start := time.Now()
@@ -479,7 +491,7 @@
 	assertServed(t, request("alpha"), ask(t.Context(), nodes[1], request("alpha"), nil))
 }
 
-// codeOf is the code of an error that a node answered with; empty for other answers.
+// errorCode returns the code of an error answer, or "" for other answers.
 func errorCode(got clientAnswer) fault.Code {
 	var body fault.Body
 	if json.Unmarshal([]byte(got.Body), &body) != nil {
@@ -488,7 +500,7 @@
 	return body.Error.Code
 }
 
-// eventsOf returns when an event happened at any runner, in order.
+// eventTimes returns when an event happened at any runner, in order.
 func eventTimes(h history, event journal.Event) []time.Time {
 	var times []time.Time
 	for _, record := range h.records {
--- a/test/relay_test.go
+++ b/test/relay_test.go
@@ -12,10 +12,11 @@
 	"lilacvane/platform/protocol"
 )
 
-// tablesFromStore is what a node's status says when it reads the store itself.
+// tablesFromStore is the source of tables in the status of a node that reads the store
+// itself.
 const tablesFromStore = "store"
 
-// readersOf returns the nodes that read the store themselves.
+// storeReaders returns the nodes that read the store themselves.
 func storeReaders(t *testing.T, nodes []*world.Node) ([]*world.Node, error) {
 	t.Helper()
 	var readers []*world.Node
@@ -31,7 +32,8 @@
 	return readers, nil
 }
 
-// relayOf waits until one of the nodes reads the store and the others follow it.
+// waitSingleRelay waits until exactly one of the nodes reads the store, for the others, and
+// returns it.
 func waitSingleRelay(t *testing.T, nodes []*world.Node) *world.Node {
 	t.Helper()
 	var relay *world.Node
@@ -49,7 +51,7 @@
 	return relay
 }
 
-// without returns the nodes but one.
+// nodesExcept returns the nodes without one of them.
 func nodesExcept(nodes []*world.Node, left *world.Node) []*world.Node {
 	var others []*world.Node
 	for _, node := range nodes {
@@ -60,8 +62,8 @@
 	return others
 }
 
-// configured writes a configuration with a route more, and waits until the nodes
-// have it in force.
+// applyConfiguration writes a configuration with an additional route and waits until the
+// nodes have it.
 func applyConfiguration(t *testing.T, w *world.World, number int, nodes []*world.Node) {
 	t.Helper()
 	before := make(map[*world.Node]uint64)
@@ -74,7 +76,7 @@
 		Name: "step", Host: world.RouteHost, PathPrefix: fmt.Sprintf("/step%d/", number), Type: "safe", TimeoutMs: 3000, TargetMs: 500, Attempts: 1,
 		Service: world.MailService,
 	})))
-	waitUntil(t, "the configuration is in force", func() error {
+	waitUntil(t, "the configuration is active", func() error {
 		for _, node := range nodes {
 			status, err := node.Client().Status(t.Context())
 			if err != nil {
@@ -88,7 +90,7 @@
 	})
 }
 
-// TestTablesComeThroughRelay: one node reads the store, and changes reach all.
+// TestTablesComeThroughRelay: one node reads the store, and changes reach all nodes.
 func TestTablesComeThroughRelay(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -100,9 +102,9 @@
 	assert.Equal(t, waitSingleRelay(t, nodes), relay)
 }
 
-// TestTablesWhenRelayIsLost: the relay is frozen, cut off from its peers, cut off
-// from the store, or killed right before a change; it comes in force at all other
-// nodes all the same, and afterwards one node reads the store for them again.
+// TestTablesWhenRelayIsLost: the relay is frozen, cut off from its peers, cut off from the
+// store, or killed right before a change. The change still reaches all other nodes, and
+// afterwards one node reads the store for them again.
 func TestTablesWhenRelayIsLost(t *testing.T) {
 	t.Parallel()
 	for name, lose := range map[string]func(*testing.T, *world.Node){
@@ -135,8 +137,8 @@
 	}
 }
 
-// TestTablesAfterLostHistory: the store forgets its history and answers reads that
-// are old; nodes that follow a relay come to the newest state as well.
+// TestTablesAfterLostHistory: the store drops its history and returns stale reads. Nodes
+// that follow a relay reach the newest state as well.
 func TestTablesAfterLostHistory(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -151,9 +153,9 @@
 	waitSingleRelay(t, nodes)
 }
 
-// TestHolderWithoutStoreIsReplaced: a holder that lost the store, but still
-// answers its peers, is replaced. It failed first: the others took its answers
-// for the proof that it holds the lease and did not look at the row.
+// TestHolderWithoutStoreIsReplaced: a lease holder that lost the store but still answers
+// its peers is replaced. This failed when the other nodes took its answers as proof that it
+// holds the lease and did not read the row.
 func TestHolderWithoutStoreIsReplaced(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -170,9 +172,9 @@
 	})
 }
 
-// TestStoreTurnsTheRelayAway: the store refuses, throttles, drops or leaves
-// unanswered the node that reads it for the others, and serves the rest; changes
-// come in force at all nodes, also at the one that is turned away.
+// TestStoreTurnsTheRelayAway: the store refuses, throttles, drops or does not answer the
+// node that reads it for the others, and serves the rest. Changes reach all nodes,
+// including the rejected one.
 func TestStoreTurnsTheRelayAway(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -187,9 +189,9 @@
 	}
 }
 
-// TestRunnersComeBackAfterLapse: the rows of all runners are removed and written
-// again, as after an outage of the store; requests are served. It failed first:
-// nodes took the runners for gone until their rows changed again.
+// TestRunnersComeBackAfterLapse: the rows of all runners are removed and written again, as
+// after an outage of the store, and requests are served. This failed when nodes considered
+// the runners gone until their rows changed again.
 func TestRunnersComeBackAfterLapse(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
