--- a/test/links_test.go
+++ b/test/links_test.go
@@ -102,9 +102,9 @@
 	waitUntil(t, "a stream of each node runs", func() error {
 		streaming := make(map[int]int)
 		for _, record := range readHistory(t, w).records {
-			node, ours := of[record.Request]
+			node, known := of[record.Request]
 			switch {
-			case !ours:
+			case !known:
 			case record.Event == journal.EventRun:
 				streaming[node]++
 			case record.Event == journal.EventFinished || record.Event == journal.EventCanceled:
--- a/test/statements_soak_test.go
+++ b/test/statements_soak_test.go
@@ -22,11 +22,12 @@
 	statedSeeds = flag.Int("stated.seeds", 1, "how many seeds it plays, one after the other")
 )
 
-// TestStatementSoak: runners say that they leave, or turn requests away and ask for rests of all
-// lengths, alone and many at once, end and are back under their names, while requests come on
-// kept connections and new ones and in crowds, nodes are killed and started or stand still, and
-// the store is away, or for some. No node sends a runner what it said that it does not want.
-// By hand: go test ./test -run TestStatementSoak -stated.seed=100 -stated.seeds=50 -timeout 1h
+// TestStatementSoak: runners announce that they leave, or reject requests and ask for rests
+// of all lengths, alone and many at once, end and come back under their names, while
+// requests arrive on persistent and new connections and in bursts, nodes are killed and
+// restarted or frozen, and the store is down for all or for some nodes. No node sends a
+// runner what it has said that it does not want. To run more seeds: go test ./test -run
+// TestStatementSoak -stated.seed=100 -stated.seeds=50 -timeout 1h
 func TestStatementSoak(t *testing.T) {
 	t.Parallel()
 	for seed := *statedSeed; seed < *statedSeed+uint64(*statedSeeds); seed++ {
@@ -34,19 +35,20 @@
 	}
 }
 
-// statementSoak is a world with such runners under faults.
+// statementSoak is a world with such runners, under faults.
 type statementSoak struct {
 	*statementWorld
 	t      *testing.T
 	random *rand.Rand
-	// states counts what was brought, by its name.
+	// states counts the injected faults by name.
 	states map[string]int
 }
 
 const (
-	// statementSoakLasts is how long requests and faults come in the soak.
+	// statementSoakDuration is how long the soak sends requests and injects faults.
 	statementSoakDuration = 12 * time.Second
-	// keptEach is how many clients with a kept connection each node has.
+	// persistentClientsPerNode is the number of clients of each node that reuse a
+	// connection.
 	persistentClientsPerNode = 2
 )
 
@@ -71,13 +73,15 @@
 	s.checkRunners(t)
 }
 
-// startStatedReturning starts a world whose runners are back under their names after they ended.
+// startRestartingWorld starts a world whose runners come back under their names after they
+// have ended.
 func startRestartingWorld(t *testing.T) *statementWorld {
 	t.Helper()
 	return startStatementWorldWith(t, statementTest{}, world.Return{After: 700 * time.Millisecond})
 }
 
-// keep sends requests of all kinds to a node on a connection that it keeps, one after the other.
+// sendOnOneConnection sends requests of all kinds to a node on a connection that it reuses,
+// one after the other.
 func (s *statementSoak) sendOnOneConnection(ctx context.Context, node *world.Node, number int) {
 	client := &persistentClient{node: node}
 	defer client.close()
@@ -93,7 +97,7 @@
 	}
 }
 
-// bring lets one thing happen. What lasts goes on beside what comes after it.
+// injectFault injects one fault. Faults that last continue alongside those that follow.
 func (s *statementSoak) injectFault(ctx context.Context, running *sync.WaitGroup) {
 	pause := time.Duration(300+s.random.IntN(2500)) * time.Millisecond
 	node := s.nodes[s.random.IntN(len(s.nodes))]
@@ -131,7 +135,7 @@
 	}
 }
 
-// some draws runners, one or all of a service.
+// pickRunners returns one random runner or all runners of a random service.
 func (s *statementSoak) pickRunners() []string {
 	service := []string{"runner", "mailer"}[s.random.IntN(2)]
 	if s.random.IntN(4) > 0 {
@@ -144,25 +148,25 @@
 	return all
 }
 
-// bringRest lets runners turn some or all requests away, or what they have no room for, and ask
-// for rest.
+// startRests makes runners reject some or all requests, or those for which they have no
+// free slot, and ask for rest.
 func (s *statementSoak) startRests(lasts time.Duration, running *sync.WaitGroup) {
 	faults := runnerstub.Faults{ShedShare: []float64{0, 0.5, 1}[s.random.IntN(3)], Rest: strconv.FormatFloat(float64(s.random.IntN(40))/10, 'f', -1, 64)}
 	s.states["rest"]++
 	s.applyFaults(s.pickRunners(), faults, lasts, running)
 }
 
-// bringLeaving lets runners say in their answers that they leave, and end.
+// startLeaving makes runners announce in their answers that they leave, and end later.
 func (s *statementSoak) startLeaving(lasts time.Duration, running *sync.WaitGroup) {
 	names := s.pickRunners()
 	s.states["leaving"]++
 	s.applyFaults(names, runnerstub.Faults{Leaving: true}, leavingAppliedWithin+lasts, running)
 }
 
-// suffering brings faults to runners for a while. Those that left end then.
+// applyFaults applies faults to runners for a while. Runners that leave end afterwards.
 func (s *statementSoak) applyFaults(names []string, faults runnerstub.Faults, lasts time.Duration, running *sync.WaitGroup) {
 	for _, name := range names {
-		// One that just ended takes none.
+		// A runner that has just ended cannot be configured.
 		if s.world.SetRunnerFaults(name, faults) != nil {
 			continue
 		}
@@ -179,7 +183,7 @@
 	}
 }
 
-// disturb notes that a node was killed, started, or stood still.
+// recordDisturbance records that a node was killed, started or frozen.
 func (s *statementSoak) recordDisturbance(node *world.Node) {
 	s.disturbed[node] = append(s.disturbed[node], time.Now())
 }
--- a/test/statements_test.go
+++ b/test/statements_test.go
@@ -21,46 +21,50 @@
 	"lilacvane/internal/lab/world"
 )
 
-// Runners said in answers that they leave, or turned requests away and asked for rest, and were
-// sent requests all the same. Nodes read neither from an answer: that a runner leaves was known
-// from the platform's list alone, which stood still for 12 s while the store was away ("request
-// ended ... served" at six nodes between 35.7 and 41.2 s, "runners leaving" after 47.6 s), and a
-// runner that refused a request was left alone for 250 ms and one model ("attempt failed ...
-// 503, not run" at 7.34, 7.60, 7.85, 8.13 and 8.61 s of a rest until 9.26 s).
+// Runners announced in answers that they leave, or rejected requests and asked for rest,
+// and still received requests. Nodes read neither from answers. That a runner leaves was
+// known only from the platform's list, which was not updated for 12 s while the store was
+// down ("request ended ... served" at six nodes between 35.7 and 41.2 s, "runners leaving"
+// after 47.6 s). A runner that refused a request was avoided only for 250 ms and for one
+// model ("attempt failed ... 503, not run" at 7.34, 7.60, 7.85, 8.13 and 8.61 s of a rest
+// until 9.26 s).
 
 const (
-	// leavingBound is how long after an answer that said so a runner that leaves may still be
-	// sent requests by the node that passed it on.
+	// leavingAppliedWithin is how long after an answer announced that a runner leaves the
+	// runner may still receive requests from the node that forwarded the answer.
 	leavingAppliedWithin = 2 * time.Second
-	// restSlack is when a rest binds after the answer that asked for it, restSends how many
-	// requests of the node may reach the runner all the same.
+	// restAppliedAfter is how long after the answer that asked for it a rest binds,
+	// maxSendsInRest how many requests of the node may still reach the runner.
 	restAppliedAfter = 500 * time.Millisecond
 	maxSendsInRest   = 2
-	// statedPause lies between requests of a test.
+	// requestPause is the time between requests of a test.
 	requestPause = 15 * time.Millisecond
 )
 
-// statedTest is how runners state something of themselves, and in which world.
+// statementTest describes what runners state about themselves, and in which world.
 type statementTest struct {
-	// leave is set where runners leave, rest is what they ask for else.
+	// leave is set if runners leave; otherwise rest is what they ask for.
 	leave bool
 	rest  string
-	// limit is named by runners as the requests a second that they take.
+	// limit is the number of requests per second that runners say they accept.
 	limit string
-	// listed is set where the platform's list tells of a leaving, unless the store is away.
+	// listed is set if the platform's list also shows that runners leave, unless the store
+	// is down.
 	listed bool
-	// store is what the store suffers meanwhile; refused is how many nodes it turns away.
+	// store is the fault of the store during the test, refused the number of nodes that it
+	// rejects, or 0 for all.
 	store   storestub.Down
 	refused int
-	// crowd is how many requests each node gets at once besides, all is set where all runners
-	// state the same, full where they turn away only what they have no room for.
+	// crowd is the number of additional requests sent to each node at once, all is set if
+	// all runners state the same, full if they reject only requests for which they have no
+	// free slot.
 	crowd int
 	all   bool
 	full  bool
 }
 
-// TestRunnersThatLeaveGetNothing: half of the runners, or all, say in their answers that they
-// leave, and serve on.
+// TestRunnersThatLeaveGetNothing: half of the runners, or all, announce in their answers
+// that they leave, and keep serving.
 func TestRunnersThatLeaveGetNothing(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]statementTest{
@@ -76,8 +80,8 @@
 	}
 }
 
-// TestRunnersThatWantRestGetIt: half of the runners, or all, turn all requests away and ask for
-// a time without any, until they take requests again.
+// TestRunnersThatWantRestGetIt: half of the runners, or all, reject all requests and ask
+// for a time without any, until they accept requests again.
 func TestRunnersThatWantRestGetIt(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]statementTest{
@@ -94,20 +98,21 @@
 	}
 }
 
-// stated is a world in which runners state something, and all that clients saw of it.
+// statementWorld is a world in which runners make statements about themselves, and all that
+// clients saw of it.
 type statementWorld struct {
 	statementTest
 	world *world.World
 	nodes []*world.Node
 
 	mutex sync.Mutex
-	// tries are all requests, by identifier.
-	tries map[string]clientExchange
-	// disturbed is when nodes were killed, started, or went on after they stood still.
+	// exchanges are all requests with their answers, by identifier.
+	exchanges map[string]clientExchange
+	// disturbed is when nodes were killed, started, frozen or resumed.
 	disturbed map[*world.Node][]time.Time
 }
 
-// try is a request of a client, and what became of it.
+// clientExchange is a request of a client and its answer.
 type clientExchange struct {
 	request   clientRequest
 	answer    clientAnswer
@@ -115,7 +120,7 @@
 	sent, end time.Time
 }
 
-// runnersEach is how many runners there are of each service.
+// runnersPerService is the number of runners of each service.
 const runnersPerService = 4
 
 func startStatementWorld(t *testing.T, test statementTest) *statementWorld {
@@ -123,7 +128,8 @@
 	return startStatementWorldWith(t, test, world.Return{})
 }
 
-// startStatedWith starts such a world with runners that are started again as it says.
+// startStatementWorldWith starts such a world; returns sets whether and how its runners are
+// restarted.
 func startStatementWorldWith(t *testing.T, test statementTest, returns world.Return) *statementWorld {
 	t.Helper()
 	w := newWorld(t, nil)
@@ -136,7 +142,7 @@
 			assert.NilError(t, err)
 		}
 	}
-	s := &statementWorld{statementTest: test, world: w, nodes: startNodes(t, w, 4), tries: make(map[string]clientExchange), disturbed: make(map[*world.Node][]time.Time)}
+	s := &statementWorld{statementTest: test, world: w, nodes: startNodes(t, w, 4), exchanges: make(map[string]clientExchange), disturbed: make(map[*world.Node][]time.Time)}
 	apply(t, s.nodes[0], append(model("alpha", runnersPerService), readyPolicy("alpha", runnersPerService))...)
 	waitKnown(t, "alpha", s.nodes...)
 	waitUntil(t, "all runners hold the model", func() error {
@@ -171,7 +177,7 @@
 	s.checkRunners(t)
 }
 
-// suffer brings what the store suffers.
+// applyStoreFaults applies the store's faults.
 func (s *statementWorld) applyStoreFaults() error {
 	var hosts []string
 	for _, node := range s.nodes[:s.refused] {
@@ -180,7 +186,7 @@
 	return s.world.SetStoreFaults(storestub.Faults{Down: s.store, Only: hosts})
 }
 
-// stating are the names of the runners that state something.
+// statingRunners are the names of the runners that make the statement.
 func (s *statementWorld) statingRunners() []string {
 	count := runnersPerService / 2
 	if s.all {
@@ -193,7 +199,7 @@
 	return names
 }
 
-// state lets runners state it.
+// state makes these runners begin to state it.
 func (s *statementWorld) state(t *testing.T) {
 	t.Helper()
 	for _, name := range s.statingRunners() {
@@ -210,7 +216,7 @@
 	}
 }
 
-// takeAgain lets runners that wanted rest take requests again.
+// acceptAgain makes runners that wanted rest accept requests again.
 func (s *statementWorld) acceptAgain(t *testing.T) {
 	t.Helper()
 	for _, name := range s.statingRunners() {
@@ -218,7 +224,7 @@
 	}
 }
 
-// lasting is the rest that runners ask for.
+// restDuration is the rest that runners ask for.
 func (s *statementWorld) restDuration() time.Duration {
 	seconds, _ := strconv.ParseFloat(s.rest, 64)
 	return time.Duration(seconds * float64(time.Second))
@@ -235,7 +241,7 @@
 	}
 }
 
-// sendCrowds sends many requests at once to each node, now and twice again.
+// sendCrowds sends many requests at once to each node, now and twice more a second apart.
 func (s *statementWorld) sendCrowds(ctx context.Context, senders *sync.WaitGroup) {
 	for after := range 3 {
 		for number := range s.crowd {
@@ -252,7 +258,7 @@
 	}
 }
 
-// try sends a request and notes what became of it.
+// sendAndRecord sends a request and records its answer.
 func (s *statementWorld) sendAndRecord(request clientRequest, node *world.Node) {
 	ctx, cancel := context.WithTimeout(context.Background(), request.Deadline+answerMargin)
 	defer cancel()
@@ -266,10 +272,10 @@
 func (s *statementWorld) record(made clientExchange) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.tries[made.request.ID] = made
+	s.exchanges[made.request.ID] = made
 }
 
-// visit is a request of a node that reached a runner which states something.
+// arrival is a request of a node that reached a runner which states something.
 type arrival struct {
 	clientExchange
 	runnerstub.Arrival
@@ -277,10 +283,10 @@
 	runner string
 }
 
-// turned reports whether the runner turned the request away.
+// rejected reports whether the runner rejected the request.
 func (v *arrival) rejected() bool { return v.Status != 0 }
 
-// lasting is the rest that the answer asked for.
+// restDuration is the rest that the answer asked for.
 func (v *arrival) restDuration() time.Duration {
 	if !v.rejected() {
 		return 0
@@ -289,61 +295,62 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// visits are all such requests, in the order of their arrival.
+// arrivals are all such requests, in order of arrival.
 func (s *statementWorld) arrivals(t *testing.T) []arrival {
 	t.Helper()
 	var arrivals []arrival
 	for _, record := range readHistory(t, s.world).records {
-		made, ours := s.tries[record.Request]
-		if !ours || record.Event != journal.EventArrival {
+		made, known := s.exchanges[record.Request]
+		if !known || record.Event != journal.EventArrival {
 			continue
 		}
-		visited := arrival{clientExchange: made, at: record.Time, runner: record.Runner}
-		assert.NilError(t, json.Unmarshal([]byte(record.Detail), &visited.Arrival))
-		arrivals = append(arrivals, visited)
+		arrived := arrival{clientExchange: made, at: record.Time, runner: record.Runner}
+		assert.NilError(t, json.Unmarshal([]byte(record.Detail), &arrived.Arrival))
+		arrivals = append(arrivals, arrived)
 	}
 	return arrivals
 }
 
-// checkRunners checks that no node sent a runner what it had said that it does not want.
+// checkRunners checks that no node sent a runner requests that it had said it does not
+// want.
 func (s *statementWorld) checkRunners(t *testing.T) {
 	t.Helper()
 	arrivals := s.arrivals(t)
 	assert.Assert(t, len(arrivals) > 0, "no request reached a runner that states something")
 	late := make(map[string]bool)
 	rejected := 0
-	for index, told := range arrivals {
-		if told.rejected() {
+	for index, statement := range arrivals {
+		if statement.rejected() {
 			rejected++
 		}
-		leaving, resting := s.violations(told, arrivals[index+1:])
+		leaving, resting := s.violations(statement, arrivals[index+1:])
 		if len(resting) <= maxSendsInRest {
 			resting = nil
 		}
-		for _, visited := range append(leaving, resting...) {
-			if key := visited.request.ID + visited.at.String(); !late[key] {
+		for _, arrived := range append(leaving, resting...) {
+			if key := arrived.request.ID + arrived.at.String(); !late[key] {
 				late[key] = true
-				s.logViolation(t, told, visited)
+				s.logViolation(t, statement, arrived)
 			}
 		}
 	}
-	t.Logf("%d of %d requests at runners that stated something were not wanted, %d were turned away", len(late), len(arrivals), rejected)
+	t.Logf("%d of %d requests at runners that stated something contradicted it, %d were rejected", len(late), len(arrivals), rejected)
 	assert.Equal(t, len(late), 0)
 }
 
-// explain logs what a node knew of an answer that a later request of it went against: how long after
-// the runner gave it the node read it.
-func (s *statementWorld) logViolation(t *testing.T, told, visited arrival) {
+// logViolation logs what a node knew of an answer when a later request of the node
+// contradicted it: how long after the runner gave the answer the node read it.
+func (s *statementWorld) logViolation(t *testing.T, statement, arrived arrival) {
 	t.Helper()
-	t.Logf("%s at %s: %s arrived at %s, %s after %s, which asked for a rest of %q, arrived", told.node.Name, told.runner, visited.request.ID,
-		visited.at.Format(time.RFC3339Nano), visited.at.Sub(told.at).Round(time.Millisecond), told.request.ID, told.Rest)
-	content := readFile(t, s.world.LogPath(told.node))
-	for _, line := range slices.Concat(linesContaining(content, told.request.ID), linesContaining(content, visited.request.ID), linesContaining(content, `"runner wants rest"`, told.runner)) {
+	t.Logf("%s at %s: %s arrived at %s, %s after %s, which asked for a rest of %q, arrived", statement.node.Name, statement.runner, arrived.request.ID,
+		arrived.at.Format(time.RFC3339Nano), arrived.at.Sub(statement.at).Round(time.Millisecond), statement.request.ID, statement.Rest)
+	content := readFile(t, s.world.LogPath(statement.node))
+	for _, line := range slices.Concat(linesContaining(content, statement.request.ID), linesContaining(content, arrived.request.ID), linesContaining(content, `"runner wants rest"`, statement.runner)) {
 		t.Logf("  %.400s", line)
 	}
 }
 
-// linesWith returns the lines of a log that contain all the words.
+// linesContaining returns the lines of a log that contain all the words.
 func linesContaining(content string, words ...string) []string {
 	var lines []string
 	for line := range strings.Lines(content) {
@@ -354,53 +361,54 @@
 	return lines
 }
 
-// unwanted are the later requests of the same node at the same incarnation that an answer does
-// not want: what clients sent after the bound of a leaving that the node passed on, and what
-// arrived in a rest. A node that was started or stood still since then is excused.
-func (s *statementWorld) violations(told arrival, later []arrival) (leaving, resting []arrival) {
-	for _, visited := range later {
-		if visited.node != told.node || visited.runner != told.runner || visited.Born != told.Born || s.disturbedBetween(told.node, told.at, visited.at) {
+// violations returns the later requests of the same node to the same incarnation that
+// contradict an answer: those that clients sent after leavingAppliedWithin, if the node
+// forwarded that the runner leaves, and those that arrived during a rest. A node that was
+// started or frozen in between is excused.
+func (s *statementWorld) violations(statement arrival, later []arrival) (leaving, resting []arrival) {
+	for _, arrived := range later {
+		if arrived.node != statement.node || arrived.runner != statement.runner || arrived.Born != statement.Born || s.disturbedBetween(statement.node, statement.at, arrived.at) {
 			continue
 		}
-		if told.Leaving && told.answer.Whole && !told.rejected() && visited.sent.Sub(told.end) > leavingAppliedWithin {
-			leaving = append(leaving, visited)
+		if statement.Leaving && statement.answer.Whole && !statement.rejected() && arrived.sent.Sub(statement.end) > leavingAppliedWithin {
+			leaving = append(leaving, arrived)
 		}
-		if after := visited.at.Sub(told.at); after > restAppliedAfter && after < told.restDuration() {
-			resting = append(resting, visited)
+		if after := arrived.at.Sub(statement.at); after > restAppliedAfter && after < statement.restDuration() {
+			resting = append(resting, arrived)
 		}
 	}
 	return leaving, resting
 }
 
-// disturbedWithin reports whether a node was started or stood still between two moments.
+// disturbedBetween reports whether a node was started or frozen between two times.
 func (s *statementWorld) disturbedBetween(node *world.Node, from, to time.Time) bool {
 	return slices.ContainsFunc(s.disturbed[node], func(at time.Time) bool { return at.After(from) && at.Before(to) })
 }
 
-// checkClients checks that each client had a final answer in time, and each refused one the time to
-// come back.
+// checkClients checks that each client received a final answer in time, and each refused
+// client a time to retry.
 func (s *statementWorld) checkClients(t *testing.T) {
 	t.Helper()
 	statuses := make(map[int]int)
 	var held time.Duration
-	for _, made := range s.tries {
+	for _, made := range s.exchanges {
 		statuses[made.answer.Status]++
 		if made.answer.Status == http.StatusServiceUnavailable {
 			held += made.end.Sub(made.sent)
-			assert.Check(t, made.answer.RetryAfter != "", "%s: refused without a time to come back", made.request.Path)
+			assert.Check(t, made.answer.RetryAfter != "", "%s: refused without a time to retry", made.request.Path)
 		}
 		took := made.end.Sub(made.sent)
-		// A stream that began late is cut off as its client's time ends.
+		// A stream that began late is cut off at its client's deadline.
 		cutInTime := made.answer.Status == http.StatusOK && made.answer.Body != "" && took >= made.request.Deadline
-		assert.Check(t, made.answer.Whole || cutInTime, "%s: no whole answer after %s", made.request.Path, took)
+		assert.Check(t, made.answer.Whole || cutInTime, "%s: no complete answer after %s", made.request.Path, took)
 		assert.Check(t, made.end.Sub(made.sent) < made.request.Deadline+answerMargin, "%s", made.request.Path)
 	}
-	t.Logf("answers by status: %v; refused ones took %s in the mean", statuses, held/time.Duration(max(statuses[http.StatusServiceUnavailable], 1)))
+	t.Logf("answers by status: %v; mean time of refused ones %s", statuses, held/time.Duration(max(statuses[http.StatusServiceUnavailable], 1)))
 }
 
-// TestNodesTellEachOtherOfLeavings: one node hears in an answer that a runner leaves, which the
-// platform's list does not tell. The others send it nothing either, and the holder has its model
-// loaded elsewhere, from which it is served.
+// TestNodesTellEachOtherOfLeavings: one node reads in an answer that a runner leaves, which
+// the platform's list does not show. The other nodes send it nothing either, and the lease
+// holder has its model loaded at another runner, which serves it.
 func TestNodesTellEachOtherOfLeavings(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -418,17 +426,17 @@
 	leaving := runnersHolding(t, nodes[0], "alpha")[0]
 	assert.NilError(t, w.SetRunnerFaults(leaving, runnerstub.Faults{Leaving: true}))
 	hears := anyNodeExcept(nodes, leaseHolder(t, w, nodes[0]))
-	waitUntil(t, "a node hears that the runner leaves", func() error {
+	waitUntil(t, "a node knows that the runner leaves", func() error {
 		got := send(t.Context(), hears, request)
 		if got.Signature == "" {
 			return fmt.Errorf("%+v", got)
 		}
 		return loggedBy(t, w, logLeaving, leaving, hears)
 	})
-	waitUntil(t, "all nodes are told", func() error { return loggedBy(t, w, logLeaving, leaving, nodes...) })
+	waitUntil(t, "all nodes know that the runner leaves", func() error { return loggedBy(t, w, logLeaving, leaving, nodes...) })
 	before := len(eventTimes(readHistory(t, w), journal.EventArrival))
 	for _, node := range nodes {
-		waitUntil(t, "the model is served from elsewhere", func() error {
+		waitUntil(t, "another runner serves the model", func() error {
 			if got := send(t.Context(), node, request); got.Status != http.StatusOK {
 				return fmt.Errorf("%+v", got)
 			}
@@ -439,13 +447,13 @@
 	newCommandCheck(t, nodes[0])(commandline.ExitOK, "hear that it leaves", "explain", "replica", leaving)
 }
 
-// What nodes log of runners' statements.
+// Log messages of nodes about runners' statements.
 const (
 	logLeaving = "runner says that it leaves"
 	logLimit   = "runner names a limit"
 )
 
-// loggedBy returns nil once all nodes have logged that a runner stated something.
+// loggedBy returns nil once all nodes have logged a statement of a runner.
 func loggedBy(t *testing.T, w *world.World, statementWorld, runner string, nodes ...*world.Node) error {
 	t.Helper()
 	for _, node := range nodes {
@@ -454,7 +462,7 @@
 			found = found || strings.Contains(line, statementWorld) && strings.Contains(line, runner)
 		}
 		if !found {
-			return fmt.Errorf("%s does not know", node.Name)
+			return fmt.Errorf("%s has not logged it", node.Name)
 		}
 	}
 	return nil
--- a/test/stops_test.go
+++ b/test/stops_test.go
@@ -15,7 +15,7 @@
 	"lilacvane/internal/operator"
 )
 
-// startStreams starts long streams at nodes and waits until each has begun.
+// startStreams starts long streams at the nodes and waits until each has begun.
 func startStreams(t *testing.T, nodes []*world.Node, c call, count int) []<-chan outcome {
 	t.Helper()
 	var results []<-chan outcome
@@ -40,12 +40,12 @@
 	return results
 }
 
-// longStream lasts for several seconds, longer than the notice of any stop.
+// longStream lasts for several seconds, longer than the notice time of any stop.
 var longStream = call{Model: "alpha", Prompt: "long", Tokens: 400, Deadline: 30 * time.Second}
 
-// TestStopOfNodeCutsOffNoRequest: a node is asked to stop while streams run and
-// requests wait at it; all of them end with their whole answer or a truthful
-// refusal, the node ends, and claims made there are remembered.
+// TestStopOfNodeCutsOffNoRequest: a node is asked to stop while streams run and requests
+// wait there. All of them end with their complete answer or a truthful refusal, the node
+// ends, and claims that it made are remembered.
 func TestStopOfNodeCutsOffNoRequest(t *testing.T) {
 	t.Parallel()
 	w, nodes := startWithAlpha(t, 2, 3, model("alpha", 2)...)
@@ -68,10 +68,10 @@
 	}
 }
 
-// TestStopAnswersWaitingRequests: a node whose grace ends while a client's
-// request still waits for a model refuses it, before it closes the connection. The
-// client has less time left than the route gives, as one that came back, so it is
-// not sent back at once.
+// TestStopAnswersWaitingRequests: a node whose grace period ends while a client's request
+// still waits for a model refuses the request before it closes the connection. The client
+// has less time left than the route allows, as one that retries, so it is not sent back at
+// once.
 func TestStopAnswersWaitingRequests(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, func(o *world.Options) {
@@ -98,9 +98,9 @@
 	assert.NilError(t, nodes[0].Wait(waitTimeout))
 }
 
-// TestStopAnswersOperators: a node is asked to stop while it commits an operator's change at
-// a slow store, and while another operator watches; the change's author hears its revision,
-// and the watch does not hold the stop up.
+// TestStopAnswersOperators: a node is asked to stop while it commits an operator's change
+// at a slow store and another operator watches changes. The author of the change receives
+// its revision, and the watch does not delay the stop.
 func TestStopAnswersOperators(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -122,16 +122,16 @@
 	assert.Assert(t, time.Since(asked) < stopGrace/2, "the stop took %s", time.Since(asked))
 }
 
-// TestStopOfRunnerCutsOffNoRequest: a runner is drained while long streams run
-// on it; they end whole, new requests go elsewhere, and nothing new was run on
-// it once the drain was in force everywhere.
+// TestStopOfRunnerCutsOffNoRequest: a runner is drained while long streams run on it. They
+// complete, new requests go elsewhere, and nothing new runs on it once the drain is active
+// at all nodes.
 func TestStopOfRunnerCutsOffNoRequest(t *testing.T) {
 	t.Parallel()
 	w, nodes := startWithAlpha(t, 3, 2, model("alpha", 1)...)
 	streams := startStreams(t, nodes, longStream, 4)
 	runner := runnersHolding(t, nodes[0], "alpha")[0]
 	revision := apply(t, nodes[0], api.NewObject(api.KindDrain, "drain-1", api.Drain{Target: api.DrainRunner, Name: runner}))
-	waitUntil(t, "the drain is in force", func() error {
+	waitUntil(t, "the drain is active", func() error {
 		for _, node := range nodes {
 			status, err := node.Client().Status(t.Context())
 			if err != nil {
@@ -144,7 +144,7 @@
 		return nil
 	})
 	inForce := time.Now()
-	// A request that comes during the stop waits until the replica has moved.
+	// A request that arrives during the drain waits until the replica has moved.
 	moved := call{Model: "alpha", Prompt: "moved", Tokens: 4, Deadline: 50 * time.Second}
 	movedResult := sendInBackground(t.Context(), nodes[0], moved, nil)
 	for _, stream := range streams {
@@ -166,7 +166,7 @@
 	assertNoRunFrom(t, h, runner, inForce)
 }
 
-// assertNoRunFrom checks that a runner ran nothing new from an instant on.
+// assertNoRunFrom checks that a runner ran nothing new after an instant.
 func assertNoRunFrom(t *testing.T, h history, runner string, from time.Time) {
 	t.Helper()
 	for _, record := range h.records {
@@ -175,9 +175,9 @@
 	}
 }
 
-// TestLeavingRunnerGetsNoNewWork: a runner that the platform lists as leaving
-// gets no new work once the nodes learned of it, though requests go on and the
-// holder of the lease is killed at the same moment.
+// TestLeavingRunnerGetsNoNewWork: a runner that the platform lists as leaving gets no new
+// work once the nodes know, although requests continue and the lease holder is killed at
+// the same moment.
 func TestLeavingRunnerGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	w, nodes := startWithAlpha(t, 3, 3, model("alpha", 2)...)
@@ -192,10 +192,10 @@
 	load.waitServed(t, 5)
 	assert.NilError(t, w.DrainRunner(runner))
 	holder.Kill()
-	waitUntil(t, "the node learned of it", func() error {
+	waitUntil(t, "the node knows that the runner leaves", func() error {
 		content := readLog(t, w, caller)
 		if !hasLineWith(content, "runners leaving", runner) {
-			return fmt.Errorf("not in its log yet")
+			return fmt.Errorf("not logged yet")
 		}
 		return nil
 	})
--- a/test/tenants_test.go
+++ b/test/tenants_test.go
@@ -23,12 +23,12 @@
 	"lilacvane/platform/protocol"
 )
 
-// tenantOf is a tenant whose only key is its name with "-key".
+// newTenant returns a tenant whose only key is its name followed by "-key".
 func newTenant(name string, rate, burst float64) protocol.Tenant {
 	return protocol.Tenant{Name: name, APIKeys: []string{name + "-key"}, RatePerS: rate, Burst: burst}
 }
 
-// waitStatus waits until a request by key is answered with a status at each node.
+// waitStatus waits until each node answers a request with this key with a status.
 func waitStatus(t *testing.T, key string, status int, nodes ...*world.Node) {
 	t.Helper()
 	for _, node := range nodes {
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestKeysAreChecked: a request runs with its tenant's name and without its key; unknown,
-// missing and revoked keys do not run, and headers that are the system's to set do not
-// reach a runner as the client sent them.
+// TestKeysAreChecked: a request runs under its tenant's name and without its key. Requests
+// with unknown, missing or revoked keys do not run, and headers that only the system may
+// set do not reach a runner as the client sent them.
 func TestKeysAreChecked(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -63,8 +63,8 @@
 	assert.Equal(t, readHistory(t, w).runRecord(unknown.ID).Event, journal.Event(""))
 }
 
-// TestRevokedKeyBesideStoreThatTurnsANodeAway: a node that the store does not answer
-// learns of a revoked key from the others.
+// TestRevokedKeyBesideStoreThatTurnsANodeAway: a node that gets no answer from the store
+// learns of a revoked key from the other nodes.
 func TestRevokedKeyBesideStoreThatTurnsANodeAway(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -77,7 +77,7 @@
 	waitStatus(t, "first-key", http.StatusUnauthorized, nodes...)
 }
 
-// runOf returns the record of a request's run; an empty one when it did not run.
+// runRecord returns the record of a request's run, or an empty one if it did not run.
 func (h history) runRecord(id string) journal.Record {
 	for _, record := range h.records {
 		if record.Event == journal.EventRun && record.Request == id {
@@ -94,15 +94,15 @@
 	hotShare  = 0.1
 )
 
-// exact counts the use of tenants' limits in short windows.
+// useShortLimitWindows makes tenants' limits apply to short windows.
 func useShortLimitWindows(s *settings.Settings) {
 	useShortIntervals(s)
 	s.Limits = settings.Limits{Window: hotWindow, Share: hotShare}
 }
 
-// press sends requests of a tenant to a node, rate a second, until ctx ends, and tells
-// the status of each.
-func sendAtRate(ctx context.Context, group *sync.WaitGroup, node *world.Node, key string, rate float64, told func(int)) {
+// sendAtRate sends a tenant's requests to a node, rate per second, until ctx ends, and
+// passes the status of each to onStatus.
+func sendAtRate(ctx context.Context, group *sync.WaitGroup, node *world.Node, key string, rate float64, onStatus func(int)) {
 	group.Go(func() {
 		ticker := time.NewTicker(time.Duration(float64(time.Second) / rate))
 		defer ticker.Stop()
@@ -111,13 +111,15 @@
 			case <-ctx.Done():
 				return
 			case <-ticker.C:
-				group.Go(func() { told(send(context.WithoutCancel(ctx), node, clientRequest{Path: "/read/x", Key: key}).Status) })
+				group.Go(func() {
+					onStatus(send(context.WithoutCancel(ctx), node, clientRequest{Path: "/read/x", Key: key}).Status)
+				})
 			}
 		}
 	})
 }
 
-// assertWithinLimit checks every window of a tenant's runs.
+// assertWithinLimit checks the number of a tenant's runs in every window.
 func (h history) assertWithinLimit(t *testing.T, tenant string) (runs int) {
 	t.Helper()
 	most := int((hotRate*hotWindow.Seconds() + hotBurst) * (1 + hotShare))
@@ -137,10 +139,9 @@
 	return len(times)
 }
 
-// TestHotTenantKeepsItsLimit: a tenant that asks for several times its limit, at few of
-// the nodes, gets about its limit and never more, also while nodes are killed, started
-// again, frozen and cut off from each other and the store; another one within its limit
-// loses nothing.
+// TestHotTenantKeepsItsLimit: a tenant that sends several times its limit to a few of the
+// nodes gets about its limit and never more, also while nodes are killed, restarted, frozen
+// and cut off from each other and the store. Another tenant within its limit loses nothing.
 func TestHotTenantKeepsItsLimit(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, func(o *world.Options) { o.Adjust = useShortLimitWindows })
@@ -191,8 +192,8 @@
 	assert.Assert(t, runs >= served)
 }
 
-// startWordsNodes starts nodes that serve a tenant, words, whose limit counts tokens: rate a
-// second, and as many on top.
+// startTokenLimitNodes starts nodes that serve the tenant "words", whose limit counts
+// tokens, with rate per second and a burst of the same size.
 func startTokenLimitNodes(t *testing.T, count int, rate float64) []*world.Node {
 	t.Helper()
 	w := newWorld(t, func(o *world.Options) { o.Adjust = useShortLimitWindows })
@@ -205,8 +206,8 @@
 	return nodes
 }
 
-// TestLimitedRequestsAreTold: what is over a limit is refused with the time to come back,
-// what could never be within it too, and counts that cannot be read are an error.
+// TestLimitedRequestsAreTold: requests over a limit are refused with a time to retry, also
+// those that could never be within it, and token counts that cannot be parsed are an error.
 func TestLimitedRequestsAreTold(t *testing.T) {
 	t.Parallel()
 	nodes := startTokenLimitNodes(t, 1, 100)
@@ -219,7 +220,7 @@
 	tooLarge := sendTokens("100000,1")
 	assert.Equal(t, tooLarge.Status, http.StatusTooManyRequests)
 	assert.Equal(t, tooLarge.RetryAfter, "10.00")
-	waitUntil(t, "the limit is used up", func() error {
+	waitUntil(t, "the limit is exhausted", func() error {
 		got := sendTokens("30,10")
 		if got.Status != http.StatusTooManyRequests {
 			return errors.New("still served")
@@ -231,7 +232,7 @@
 	})
 }
 
-// keyIn finds the key that a command showed.
+// shownKey returns the key that a command printed.
 func shownKey(t *testing.T, output string) string {
 	t.Helper()
 	_, key, found := strings.Cut(output, "key: ")
@@ -239,8 +240,9 @@
 	return strings.TrimSpace(key)
 }
 
-// TestOperatorsKeys: an operator adds a tenant, gives it a key, rotates and revokes it; a
-// key is shown once and kept nowhere; callers of chat calls need one from then on.
+// TestOperatorsKeys: an operator adds a tenant, gives it a key, rotates and revokes it. A
+// key is shown once and stored nowhere. Callers of completion calls need a key from then
+// on.
 func TestOperatorsKeys(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -289,8 +291,8 @@
 	}
 }
 
-// TestLargeRequestIsLentTogether: a request that costs more than any one lender's part, but
-// less than the limit lets through at once, is served.
+// TestLargeRequestIsLentTogether: a request that costs more than any single lender's share,
+// but less than the limit allows at once, is served.
 func TestLargeRequestIsLentTogether(t *testing.T) {
 	t.Parallel()
 	nodes := startTokenLimitNodes(t, 4, 1000)
--- a/test/traps_test.go
+++ b/test/traps_test.go
@@ -35,7 +35,7 @@
 		}
 		return nil
 	})
-	waitUntil(t, "it is ready", func() error {
+	waitUntil(t, "the model is ready", func() error {
 		if got := send(t.Context(), started[0], clientRequest{Path: "/draft/warm", Model: "alpha", Events: 1}); !got.Whole {
 			return fmt.Errorf("%+v", got)
 		}
@@ -44,7 +44,7 @@
 	return w, started
 }
 
-// runsOf counts how often runners ran a request.
+// runsOfRequest returns how often runners ran a request.
 func runsOfRequest(h history, id string) int {
 	count := 0
 	for _, record := range h.records {
@@ -55,13 +55,14 @@
 	return count
 }
 
-// TestResumedStreamIsWhole: streams break off in the middle of an event; one that
-// may be resumed reaches its client whole, each event once, with the head of its
-// first runner; one that may not ends early and visibly so.
+// TestResumedStreamIsWhole: streams break off in the middle of an event. A resumable stream
+// reaches its client complete, each event once, with the headers of its first runner; one
+// that is not resumable ends early and visibly so.
 func TestResumedStreamIsWhole(t *testing.T) {
 	t.Parallel()
 	w, nodes := startLoaded(t, 3, 1)
-	// All alike: a runner that breaks off more often than another one gets no more streams.
+	// All runners alike, as a runner that breaks off more often than another gets no more
+	// streams.
 	for _, runner := range []string{"runner-1", "runner-2", "runner-3"} {
 		assert.NilError(t, w.SetRunnerFaults(runner, runnerstub.Faults{BreakShare: 0.5}))
 	}
@@ -82,9 +83,9 @@
 	t.Logf("%d of 12 streams that may not be resumed broke off", broken)
 }
 
-// TestRestingStreamIsNotBrokenOff: a runner rests in the middle of streams for
-// longer than they are meant to. They are broken off only in order to go on at
-// another runner that holds the model: with none, their clients get the rest late.
+// TestRestingStreamIsNotBrokenOff: a runner pauses in the middle of streams for longer than
+// it should. The streams are broken off only to continue at another runner that holds the
+// model. Without one, their clients get the remainder late.
 func TestRestingStreamIsNotBrokenOff(t *testing.T) {
 	t.Parallel()
 	rests := runnerstub.Faults{RestMs: 2500}
@@ -100,9 +101,9 @@
 	}
 }
 
-// TestUnsafeRequestsRunOnce: runners lose answers, fail, break connections and
-// send extra answers; a request that may not be repeated runs at most once, and a
-// refusal is true.
+// TestUnsafeRequestsRunOnce: runners lose answers, fail, break connections and send extra
+// answers. A request that must not be repeated runs at most once, and a refusal as not run
+// is true.
 func TestUnsafeRequestsRunOnce(t *testing.T) {
 	t.Parallel()
 	w, nodes := startLoaded(t, 1, 2)
@@ -119,7 +120,7 @@
 			runs := runsOfRequest(readHistory(t, w), id)
 			assert.Assert(t, runs <= 1, "%+v: ran %d times", faults, runs)
 			if got.Status == http.StatusServiceUnavailable || got.Status == http.StatusTooManyRequests {
-				assert.Equal(t, runs, 0, "%+v: a false promise %+v", faults, got)
+				assert.Equal(t, runs, 0, "%+v: refused as not run, but ran: %+v", faults, got)
 				assert.Assert(t, got.RetryAfter != "")
 			}
 			if got.Status == http.StatusOK {
@@ -130,8 +131,8 @@
 	}
 }
 
-// TestSafeRequestsSurviveBadRunners: one runner of two is mute, fails or sheds;
-// requests that may be repeated are served by the other one.
+// TestSafeRequestsSurviveBadRunners: one of two runners does not answer, fails or rejects
+// requests. Requests that may be repeated are served by the other one.
 func TestSafeRequestsSurviveBadRunners(t *testing.T) {
 	t.Parallel()
 	w, nodes := startLoaded(t, 1, 1)
@@ -144,8 +145,8 @@
 	}
 }
 
-// TestClientThatLeavesEndsTheWork: while it waits, before the first event, and in
-// the middle of a stream.
+// TestClientThatLeavesEndsTheWork: a client that disconnects while its request waits,
+// before the first event, or in the middle of a stream ends the work for it.
 func TestClientThatLeavesEndsTheWork(t *testing.T) {
 	t.Parallel()
 	w, nodes := startLoaded(t, 1, 1)
@@ -156,7 +157,7 @@
 	go func() {
 		done <- send(ctx, nodes[0], clientRequest{ID: id, Path: "/draft/x", Model: "alpha", Events: 500})
 	}()
-	waitUntil(t, "it runs", func() error {
+	waitUntil(t, "the request runs", func() error {
 		if runsOfRequest(readHistory(t, w), id) == 0 {
 			return fault.New(fault.CodeNotFound, "test", "not yet")
 		}
@@ -164,7 +165,7 @@
 	})
 	cancel()
 	assert.Assert(t, !(<-done).Whole)
-	waitUntil(t, "the runner ends its work", func() error {
+	waitUntil(t, "the runner cancels the request", func() error {
 		for _, record := range readHistory(t, w).records {
 			if record.Event == journal.EventCanceled && record.Request == id {
 				return nil
@@ -172,7 +173,7 @@
 		}
 		return fault.New(fault.CodeNotFound, "test", "not yet")
 	})
-	// One that waits for a model that never comes leaves no trace.
+	// A request that waits for a model that never loads leaves nothing behind.
 	waiting, leave := context.WithCancel(t.Context())
 	go func() { done <- send(waiting, nodes[0], clientRequest{Path: "/draft/x", Model: "unknown"}) }()
 	waitQueued(t, nodes[0], 1)
@@ -181,8 +182,8 @@
 	waitNoneWaiting(t, nodes[0])
 }
 
-// TestTimeoutOfRouteIsFinal: a request that outlasts its route's time-out gets
-// its final answer, and its runner stops.
+// TestTimeoutOfRouteIsFinal: a request that exceeds its route's time-out gets its final
+// answer, and its runner stops.
 func TestTimeoutOfRouteIsFinal(t *testing.T) {
 	t.Parallel()
 	w, nodes := startLoaded(t, 1, 1)
@@ -194,7 +195,7 @@
 	for _, mailer := range []string{"mailer-1", "mailer-2"} {
 		assert.NilError(t, w.SetRunnerFaults(mailer, runnerstub.Faults{MuteShare: 1}))
 	}
-	waitUntil(t, "the time-out is in force", func() error {
+	waitUntil(t, "the time-out is active", func() error {
 		got := send(t.Context(), nodes[0], clientRequest{Path: "/send/x", Deadline: 10 * time.Second})
 		if got.Status != http.StatusGatewayTimeout {
 			return fmt.Errorf("%+v", got)
@@ -205,9 +206,9 @@
 	assert.Assert(t, !got.Whole, "a stream outlasted its route's time-out: %d events", got.Events)
 }
 
-// TestReusedAddressRunsNothingForeign: a runner is replaced at its address by one
-// of another service, and the list still names the old one; no request of one
-// service runs at the other.
+// TestReusedAddressRunsNothingForeign: a runner is replaced at its address by one of
+// another service, and the list still contains the old one. No request of one service runs
+// at the other.
 func TestReusedAddressRunsNothingForeign(t *testing.T) {
 	t.Parallel()
 	w, nodes := startLoaded(t, 1, 1)
@@ -225,9 +226,9 @@
 	}
 }
 
-// TestServingGoesOnWithoutTheStore: with the store gone for longer than the
-// lease, what is loaded is served; no node orders anything; when it is back,
-// sleeping models wake again.
+// TestServingGoesOnWithoutTheStore: while the store is down for longer than the lease,
+// loaded models are served and no node gives orders. Once it is back, models that are not
+// loaded are loaded again.
 func TestServingGoesOnWithoutTheStore(t *testing.T) {
 	t.Parallel()
 	w, nodes := startLoaded(t, 2, 3)
@@ -248,19 +249,19 @@
 		}
 		assert.NilError(t, w.SetStoreFaults(storestub.Faults{}))
 	}
-	// With less time left than the route gives, as a client that came back, it
-	// is not sent back while no holder acts yet.
+	// The client has less time left than the route allows, as one that retries, so it is
+	// not sent back while no lease holder acts yet.
 	got := send(t.Context(), nodes[1], clientRequest{Path: "/draft/x", Model: "beta", Events: 3, Deadline: 15 * time.Second})
 	assert.Assert(t, got.Whole && got.Status == http.StatusOK, "%+v", got)
 }
 
-// TestRunnersMissingAfterOutageAreUsed: the list comes back empty after the store
-// was away; runners that still serve are used as a last choice.
+// TestRunnersMissingAfterOutageAreUsed: the runner list is empty after an outage of the
+// store. Runners that still serve are used as a last resort.
 func TestRunnersMissingAfterOutageAreUsed(t *testing.T) {
 	t.Parallel()
 	w, nodes := startLoaded(t, 1, 1)
 	nodes[0].StoreProxy.Set(faultproxy.Silence)
-	time.Sleep(3200 * time.Millisecond) // longer than a gap that leaves no doubt
+	time.Sleep(3200 * time.Millisecond) // longer than the gap after which the list is in doubt
 	var gone []protocol.Row
 	for id := range w.Runners {
 		gone = append(gone, protocol.Row{Table: protocol.RunnerTable, Key: id, Deleted: true})
@@ -279,8 +280,8 @@
 	assert.Equal(t, got.Status, http.StatusOK)
 }
 
-// TestSettingsAreReloaded: a change of the settings file comes into force without
-// a restart, with a signal or without one.
+// TestSettingsAreReloaded: a change of the settings file becomes active without a restart,
+// with a signal or without one.
 func TestSettingsAreReloaded(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -289,7 +290,7 @@
 	w.Adjust(&s)
 	content := readFile(t, nodes[0].SettingsPath())
 	writeTo(t, nodes[0].SettingsPath(), strings.Replace(content, "level: debug", "level: info", 1))
-	waitUntil(t, "the settings are in force", func() error {
+	waitUntil(t, "the settings are active", func() error {
 		if !hasLineWith(readLog(t, w, nodes[0]), "settings in force") {
 			return fault.New(fault.CodeNotFound, "test", "not yet")
 		}
@@ -297,15 +298,15 @@
 	})
 }
 
-// TestDrainedNodeComesBack: a planned stop of a node takes it out of the entry's
-// list, and its end brings it back without a restart.
+// TestDrainedNodeComesBack: a planned stop of a node removes it from the list of the entry,
+// and the end of the stop brings it back without a restart.
 func TestDrainedNodeComesBack(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
 	nodes := startNodes(t, w, 2)
 	drain := api.NewObject(api.KindDrain, "node", api.Drain{Target: api.DrainNode, Name: nodes[1].Name})
 	apply(t, nodes[0], drain)
-	waitUntil(t, "it is not ready", func() error {
+	waitUntil(t, "the node is not ready", func() error {
 		response, err := http.Get("http://" + nodes[1].Ready + "/readyz")
 		if err != nil {
 			return err
@@ -320,9 +321,9 @@
 	assert.NilError(t, nodes[1].WaitReady())
 }
 
-// TestForeignRowNamesNoRunner: another writer puts rows that cannot be used among those of the
-// runners, and over one of them. Nothing goes there; all other rows hold, and the one that
-// was written over counts again once its runner wrote it anew.
+// TestForeignRowNamesNoRunner: another writer puts invalid rows among those of the runners,
+// and overwrites one of them. Nothing is sent there, all other rows stay valid, and the
+// overwritten runner counts again once it has written its row again.
 func TestForeignRowNamesNoRunner(t *testing.T) {
 	t.Parallel()
 	w, nodes := startLoaded(t, 2, 2)
@@ -336,7 +337,7 @@
 	waitUntil(t, "only the other runner counts", func() error {
 		for _, node := range nodes {
 			if got := runnersHolding(t, node, "alpha"); len(got) != 1 || got[0] != "runner-2" {
-				return fmt.Errorf("%v do at %s", got, node.Name)
+				return fmt.Errorf("%v hold it at %s", got, node.Name)
 			}
 		}
 		return nil
--- a/test/zones_test.go
+++ b/test/zones_test.go
@@ -15,7 +15,7 @@
 	"lilacvane/platform/protocol"
 )
 
-// takeOut takes out a zone, or takes it back, as the platform's operator does.
+// setZoneOut takes a zone out, or back in, as the platform's operator does.
 func setZoneOut(t *testing.T, w *world.World, zone string, back bool) {
 	t.Helper()
 	assert.NilError(t, w.PutRows(protocol.Row{
@@ -23,21 +23,21 @@
 	}))
 }
 
-// waitZone waits until the newest word of each node on a zone is a state.
+// waitZone waits until the last state of a zone that each node has logged is state.
 func waitZone(t *testing.T, w *world.World, zone, state string, nodes ...*world.Node) {
 	t.Helper()
 	for _, node := range nodes {
 		waitUntil(t, node.Name+" knows that "+zone+" is "+state, func() error {
 			if last := lastLineWith(readLog(t, w, node), "zone's state changed", `"zone":"`+zone+`"`); !hasLineWith(last, `"state":"`+state+`"`) {
-				return fmt.Errorf("its last word is %q", last)
+				return fmt.Errorf("its last logged state is %q", last)
 			}
 			return nil
 		})
 	}
 }
 
-// assertNothingNewIn checks that nothing was begun in a zone between two instants, and that
-// nothing was unloaded there.
+// assertNothingNewIn checks that nothing was started or unloaded in a zone between two
+// instants.
 func assertNothingNewIn(t *testing.T, h history, zone string, from, until time.Time) {
 	t.Helper()
 	for _, record := range h.records {
@@ -51,7 +51,7 @@
 	}
 }
 
-// zoneOf is the zone that startRunners places a runner in.
+// zoneOf returns the zone in which startRunners places a runner.
 func zoneOf(runner string) string {
 	var number int
 	if _, err := fmt.Sscanf(runner, "runner-%d", &number); err != nil {
@@ -60,7 +60,7 @@
 	return zones[(number-1)%len(zones)]
 }
 
-// runnerOfPrompt waits until a prompt runs and returns where.
+// runnerOfPrompt waits until a prompt runs and returns the runner.
 func runnerOfPrompt(t *testing.T, w *world.World, prompt string) (runner string) {
 	t.Helper()
 	waitUntil(t, prompt+" runs", func() error {
@@ -75,11 +75,11 @@
 	return runner
 }
 
-// TestZoneOutGetsNothingNew: a zone is taken out under load, with a stream running there
-// and a request waiting for a model that nobody holds: the stream ends whole, the waiting
-// request and all others are served elsewhere, nothing is run, loaded or unloaded in the
-// zone, also for a model that may have its only replica there, and after its return it
-// serves again.
+// TestZoneOutGetsNothingNew: a zone is taken out under load, while a stream runs there and
+// a request waits for a model that no runner holds. The stream completes, and the waiting
+// request and all others are served elsewhere. Nothing is run, loaded or unloaded in the
+// zone, not even for a model whose only permitted replica is there. After its return the
+// zone serves again.
 func TestZoneOutGetsNothingNew(t *testing.T) {
 	t.Parallel()
 	w, nodes := startWithAlpha(t, 3, 3, append(model("alpha", 3), readyPolicy("alpha", 3))...)
@@ -113,10 +113,11 @@
 	load.assertTruthful(t, readHistory(t, w))
 }
 
-// TestZoneOutThroughFaults: the zone is taken out while the store turns away a node, one
-// is frozen, another killed right after and started again, the history dropped: nothing
-// new goes there from any node that knows it, and each does in the end, without stepping
-// back. Then a second zone goes, and the first is taken back and out again at once.
+// TestZoneOutThroughFaults: the zone is taken out while the store rejects one node, another
+// one is frozen, a third is killed right after and restarted, and the history is dropped.
+// No node that knows of it sends anything new there, and every node knows in the end,
+// without going back. Then a second zone is taken out, and the first is taken back in and
+// out again immediately.
 func TestZoneOutThroughFaults(t *testing.T) {
 	t.Parallel()
 	w, nodes := startWithAlpha(t, 6, 4, append(model("alpha", 6), readyPolicy("alpha", 3))...)
@@ -145,7 +146,8 @@
 	assertNothingNewIn(t, h, zones[1], second, again)
 	setZoneOut(t, w, zones[0], true)
 	setZoneOut(t, w, zones[0], false)
-	// A node may have heard nothing yet, so that its last word is that of the first time.
+	// A node may not have heard of the change yet, so that its last logged state is from
+	// the first time.
 	third := time.Now().Add(settings.Default().Evacuation.Within)
 	waitUntil(t, "the zone must be out", func() error {
 		if left := time.Until(third); left > 0 {
@@ -161,9 +163,9 @@
 	load.assertTruthful(t, h)
 }
 
-// TestAllZonesOut: requests are refused as not run, at once and with a time, and served
-// again when a zone is back. Nodes that are all killed right after it know it when they
-// serve again.
+// TestAllZonesOut: with all zones out, requests are refused at once, as not run and with a
+// time to retry, and are served again when a zone is back. Nodes that are all killed right
+// after the zones went out know it when they serve again.
 func TestAllZonesOut(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
