--- a/test/client_test.go
+++ b/test/client_test.go
@@ -28,14 +28,14 @@
 	Header http.Header
 }
 
-// clientAnswer is what a client received. Whole is false when the answer ended early or
+// clientAnswer is what a client received. Complete is false when the answer ended early or
 // never came.
 type clientAnswer struct {
 	ID         string
 	Status     int
 	Signature  string
 	Body       string
-	Whole      bool
+	Complete   bool
 	RetryAfter string
 	// Events counts the complete events received.
 	Events int
--- a/test/links_test.go
+++ b/test/connections_test.go
@@ -209,7 +209,7 @@
 		answers, silenced := silence(t, w, nodes, affected)
 		lost := 0
 		for index, got := range answers {
-			if got.Status != http.StatusOK || !got.Whole {
+			if got.Status != http.StatusOK || !got.Complete {
 				lost++
 			}
 			assert.Assert(t, got.Status != 0, "no final answer to %s at node %d", affected[index].Path, index%len(nodes))
@@ -218,7 +218,7 @@
 		after := mixedRequests(nodes, 2)
 		sent = append(sent, after...)
 		for index, got := range sendAll(t, nodes, after) {
-			assert.Assert(t, got.Status == http.StatusOK && got.Whole, "%s, %s at node %d: %+v", when, after[index].Path, index%len(nodes), got)
+			assert.Assert(t, got.Status == http.StatusOK && got.Complete, "%s, %s at node %d: %+v", when, after[index].Path, index%len(nodes), got)
 		}
 	}
 	h := readHistory(t, w)
--- a/test/traps_test.go
+++ b/test/faults_test.go
@@ -36,7 +36,7 @@
 		return nil
 	})
 	waitUntil(t, "the model is ready", func() error {
-		if got := send(t.Context(), started[0], clientRequest{Path: "/draft/warm", Model: "alpha", Events: 1}); !got.Whole {
+		if got := send(t.Context(), started[0], clientRequest{Path: "/draft/warm", Model: "alpha", Events: 1}); !got.Complete {
 			return fmt.Errorf("%+v", got)
 		}
 		return nil
@@ -70,14 +70,14 @@
 	for range 12 {
 		id := newID()
 		got := send(t.Context(), nodes[0], clientRequest{ID: id, Path: "/draft/x", Model: "alpha", Events: 9})
-		assert.Assert(t, !got.Whole || got.Body == expectedEvents(id, 9), "%+v", got)
-		assert.Assert(t, got.Whole || strings.HasPrefix(expectedEvents(id, 9), got.Body), "%+v", got)
+		assert.Assert(t, !got.Complete || got.Body == expectedEvents(id, 9), "%+v", got)
+		assert.Assert(t, got.Complete || strings.HasPrefix(expectedEvents(id, 9), got.Body), "%+v", got)
 		id = newID()
 		got = send(t.Context(), nodes[0], clientRequest{ID: id, Path: "/reply/x", Model: "alpha", Events: 9})
-		if !got.Whole {
+		if !got.Complete {
 			broken++
 		}
-		assert.Assert(t, !got.Whole || got.Status != http.StatusOK || got.Body == expectedEvents(id, 9), "%+v", got)
+		assert.Assert(t, !got.Complete || got.Status != http.StatusOK || got.Body == expectedEvents(id, 9), "%+v", got)
 		assert.Assert(t, runsOfRequest(readHistory(t, w), id) <= 1, "a request that may not be repeated ran again")
 	}
 	t.Logf("%d of 12 streams that may not be resumed broke off", broken)
@@ -95,7 +95,7 @@
 		for range 2 {
 			id := newID()
 			got := send(t.Context(), nodes[0], clientRequest{ID: id, Path: "/draft/x", Model: "alpha", Events: 9})
-			assert.Assert(t, got.Whole, "%+v", got)
+			assert.Assert(t, got.Complete, "%+v", got)
 			assert.Equal(t, got.Body, expectedEvents(id, 9))
 		}
 	}
@@ -124,7 +124,7 @@
 				assert.Assert(t, got.RetryAfter != "")
 			}
 			if got.Status == http.StatusOK {
-				assert.Assert(t, got.Whole && strings.Contains(got.Body, id), "%+v: %+v", faults, got)
+				assert.Assert(t, got.Complete && strings.Contains(got.Body, id), "%+v: %+v", faults, got)
 			}
 		}
 		client.CloseIdleConnections()
@@ -164,7 +164,7 @@
 		return nil
 	})
 	cancel()
-	assert.Assert(t, !(<-done).Whole)
+	assert.Assert(t, !(<-done).Complete)
 	waitUntil(t, "the runner cancels the request", func() error {
 		for _, record := range readHistory(t, w).records {
 			if record.Event == journal.EventCanceled && record.Request == id {
@@ -203,7 +203,7 @@
 		return nil
 	})
 	got := send(t.Context(), nodes[0], clientRequest{Path: "/draft/x", Model: "alpha", Events: 5000})
-	assert.Assert(t, !got.Whole, "a stream outlasted its route's time-out: %d events", got.Events)
+	assert.Assert(t, !got.Complete, "a stream outlasted its route's time-out: %d events", got.Events)
 }
 
 // TestReusedAddressRunsNothingForeign: a runner is replaced at its address by one of
@@ -240,7 +240,7 @@
 		began := time.Now()
 		for _, node := range nodes {
 			got := send(t.Context(), node, clientRequest{Path: "/draft/x", Model: "alpha", Events: 3})
-			assert.Assert(t, got.Whole && got.Status == http.StatusOK, "%s: %+v", down, got)
+			assert.Assert(t, got.Complete && got.Status == http.StatusOK, "%s: %+v", down, got)
 			got = send(t.Context(), node, clientRequest{Path: "/draft/x", Model: "beta", Events: 3, Deadline: 700 * time.Millisecond})
 			assert.Equal(t, got.Status, http.StatusServiceUnavailable, "%s: %+v", down, got)
 		}
@@ -252,7 +252,7 @@
 	// The client has less time left than the route allows, as one that retries, so it is
 	// not sent back while no lease holder acts yet.
 	got := send(t.Context(), nodes[1], clientRequest{Path: "/draft/x", Model: "beta", Events: 3, Deadline: 15 * time.Second})
-	assert.Assert(t, got.Whole && got.Status == http.StatusOK, "%+v", got)
+	assert.Assert(t, got.Complete && got.Status == http.StatusOK, "%+v", got)
 }
 
 // TestRunnersMissingAfterOutageAreUsed: the runner list is empty after an outage of the
@@ -345,7 +345,7 @@
 	for number := range 12 {
 		id := newID()
 		got := send(t.Context(), nodes[number%2], clientRequest{ID: id, Path: "/reply/x", Model: "alpha", Events: 3})
-		assert.Assert(t, got.Whole && got.Status == http.StatusOK, "%+v", got)
+		assert.Assert(t, got.Complete && got.Status == http.StatusOK, "%+v", got)
 		for _, record := range readHistory(t, w).records {
 			assert.Assert(t, record.Request != id || record.Runner == "runner-2", "%+v", record)
 		}
--- a/test/handover_test.go
+++ b/test/handover_test.go
@@ -113,7 +113,7 @@
 	t.Helper()
 	for range pausingStreams {
 		got := <-answers
-		assert.Check(t, got.Status == http.StatusOK && got.Whole && got.Body == expectedEvents(got.ID, pausingStreamEvents), "%+v", got)
+		assert.Check(t, got.Status == http.StatusOK && got.Complete && got.Body == expectedEvents(got.ID, pausingStreamEvents), "%+v", got)
 	}
 }
 
@@ -165,7 +165,7 @@
 	assert.NilError(t, nodes[0].Thaw())
 	for range streams {
 		got := <-answers
-		assert.Check(t, got.Status == http.StatusOK && got.Whole && got.Body == expectedEvents(got.ID, events), "%+v", got)
+		assert.Check(t, got.Status == http.StatusOK && got.Complete && got.Body == expectedEvents(got.ID, events), "%+v", got)
 		assert.Check(t, runsOfRequest(readHistory(t, w), got.ID) == 1, "%s ran %d times", got.ID, runsOfRequest(readHistory(t, w), got.ID))
 	}
 }
--- a/test/homes_test.go
+++ b/test/homes_test.go
@@ -20,10 +20,10 @@
 	"lilacvane/platform/protocol"
 )
 
-// regions places the zones of the tests in two regions.
+// regions maps the zones of the tests to two regions.
 var regions = place.Map{"zone-a": "north", "zone-b": "south", "zone-c": "south"}
 
-// newTwoRegionWorld starts a world whose zones lie in two regions.
+// newTwoRegionWorld starts a world whose zones are in two regions.
 func newTwoRegionWorld(t *testing.T) *world.World {
 	t.Helper()
 	return newWorld(t, func(options *world.Options) { options.Zones = regions })
@@ -179,7 +179,7 @@
 	time.Sleep(300 * time.Millisecond)
 	killRunner(t, w, first)
 	got := <-done
-	assert.Assert(t, got.Whole && got.Body == expectedEvents(id, 150), "%d: %d events", got.Status, got.Events)
+	assert.Assert(t, got.Complete && got.Body == expectedEvents(id, 150), "%d: %d events", got.Status, got.Events)
 	for _, node := range nodes {
 		c := call{Model: "alpha", Prompt: "at home " + node.Name, Tokens: 3, Key: "once-" + node.Name, Bearer: "northern-key"}
 		assertServed(t, c, ask(t.Context(), node, c, nil))
@@ -194,7 +194,7 @@
 	t.Helper()
 	waitUntil(t, "a draft is served for "+key, func() error {
 		got := send(t.Context(), node, clientRequest{Path: "/draft/x", Model: "alpha", Events: 3, Key: key})
-		if got.Status != http.StatusOK || !got.Whole {
+		if got.Status != http.StatusOK || !got.Complete {
 			return fmt.Errorf("status %d: %s", got.Status, got.Body)
 		}
 		return nil
--- a/test/parts_soak_test.go
+++ b/test/parts_soak_test.go
@@ -53,7 +53,7 @@
 	return s.takeOutRandomZone(settings.Default().Configuration.Within, func(zone place.Zone) { change(zone, false) }, func(zone place.Zone) { change(zone, true) })
 }
 
-func (s *soak) takeOutZone() func() {
+func (s *soak) takeOutCheckedZone() func() {
 	return s.takeOutRandomZone(settings.Default().Evacuation.Within,
 		func(zone place.Zone) { assert.NilError(s.t, s.w.TakeOutZone(zone)) }, func(zone place.Zone) { assert.NilError(s.t, s.w.TakeBackZone(zone)) })
 }
@@ -91,7 +91,7 @@
 	t.Parallel()
 	plan := soakPlan{kinds: concurrentFaults(), roundKinds: []faultKind{{"drain a zone", "store", (*soak).drainZone}}}
 	if hasPart("zones") {
-		plan.roundKinds = append(plan.roundKinds, faultKind{"take out a zone", "store", (*soak).takeOutZone})
+		plan.roundKinds = append(plan.roundKinds, faultKind{"take out a zone", "store", (*soak).takeOutCheckedZone})
 	}
 	if hasPart("cold") {
 		plan.kinds = append(plan.kinds, faultKind{"a runner becomes cold", "runner", (*soak).chillRunner})
--- a/test/kept_client_test.go
+++ b/test/persistent_client_test.go
@@ -116,7 +116,7 @@
 
 // record stores what a client read.
 func (a *clientAnswer) record(response *http.Response, content []byte, err error) {
-	a.Status, a.Body, a.Whole = response.StatusCode, string(content), err == nil
+	a.Status, a.Body, a.Complete = response.StatusCode, string(content), err == nil
 	a.Signature = response.Header.Get(protocol.HeaderSignature)
 	a.RetryAfter = response.Header.Get("Retry-After")
 	a.Events = strings.Count(a.Body, "\n\n")
--- a/test/kept_soak_test.go
+++ b/test/persistent_soak_test.go
@@ -107,7 +107,7 @@
 func TestKeptConnectionsSoak(t *testing.T) {
 	t.Parallel()
 	for seed := *keptSeed; seed < *keptSeed+uint64(*keptSeeds); seed++ {
-		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) { runKeptSoak(t, seed) })
+		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) { runPersistentSoak(t, seed) })
 	}
 }
 
@@ -123,12 +123,12 @@
 	for _, seed := range []uint64{1, 5, 151} {
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
 			t.Parallel()
-			runKeptSoak(t, seed)
+			runPersistentSoak(t, seed)
 		})
 	}
 }
 
-func runKeptSoak(t *testing.T, seed uint64) {
+func runPersistentSoak(t *testing.T, seed uint64) {
 	w := newWorld(t, func(o *world.Options) {
 		o.Seed = seed
 		adjust := o.Adjust
@@ -372,18 +372,18 @@
 func (s *persistentSoak) classify(end requestResult, runs int) (kind, problem string) {
 	got := end.answer
 	switch {
-	case got.Status == http.StatusOK && got.Whole:
+	case got.Status == http.StatusOK && got.Complete:
 		stream := end.request.Events > 0
 		if stream && got.Body != expectedEvents(got.ID, end.request.Events) || !stream && !strings.Contains(got.Body, got.ID) {
 			return "served", "the body is not the expected one"
 		}
 		return "served", ""
-	case got.Whole && (got.Status == http.StatusServiceUnavailable || got.Status == http.StatusTooManyRequests):
+	case got.Complete && (got.Status == http.StatusServiceUnavailable || got.Status == http.StatusTooManyRequests):
 		if runs > 0 {
 			return "refused", "refused as not run, but ran"
 		}
 		return "refused", ""
-	case got.Whole:
+	case got.Complete:
 		return fmt.Sprint(got.Status), "failed without a fault"
 	case s.ended(end, true):
 		return "killed", ""
--- a/test/poison_test.go
+++ b/test/poison_test.go
@@ -79,7 +79,7 @@
 		"holder still": {renamed: true, request: stream, holderFrozen: true},
 	} {
 		// Not in parallel, as all cases together would start more than a hundred processes.
-		t.Run(name, func(t *testing.T) { runPoison(t, test) })
+		t.Run(name, func(t *testing.T) { runPoisonTest(t, test) })
 	}
 }
 
@@ -114,7 +114,7 @@
 	harmlessAnswers map[string]int
 }
 
-func runPoison(t *testing.T, test poisonTest) {
+func runPoisonTest(t *testing.T, test poisonTest) {
 	t.Helper()
 	p := startPoisonWorld(t, test)
 	if test.timeOuts {
@@ -261,7 +261,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.harmlessAnswers[what]++
-	return got.Status == http.StatusOK && got.Whole
+	return got.Status == http.StatusOK && got.Complete
 }
 
 // refusedAfter returns how long after an instant each node first refused the request,
@@ -363,7 +363,7 @@
 
 // TestModelThatEndsItsRunnersDoesNotEndAll: a model crashed each runner that was ordered to
 // load it, and was ordered to the next one as long as requests asked for it. Its loads must
-// be paused for longer and longer; its requests are told when to come back, and others are
+// be paused for longer and longer; its requests get a time to retry, and others are
 // served.
 func TestModelThatEndsItsRunnersDoesNotEndAll(t *testing.T) {
 	t.Parallel()
@@ -478,7 +478,7 @@
 	senders.Wait()
 	crashes := eventTimes(readHistory(t, w), journal.EventCrash)
 	assert.Assert(t, len(crashes) <= crashesBeforePause+concurrentLoads, "%d runners crashed", len(crashes))
-	// Another request waits there first, so that the node is told of the pause.
+	// Another request waits there first, so that the node learns of the pause.
 	waiting := sendInBackground(t.Context(), nodes[1], request(poisonText), nil)
 	awaitOutcome(t, waiting)
 	start := time.Now()
@@ -487,7 +487,7 @@
 	assert.Equal(t, got.Status, http.StatusServiceUnavailable, "%+v", got)
 	back, err := strconv.ParseFloat(got.RetryAfter, 64)
 	assert.NilError(t, err)
-	assert.Assert(t, back >= 1, "told to come back in %g s", back)
+	assert.Assert(t, back >= 1, "Retry-After is %g s", back)
 	assertServed(t, request("alpha"), ask(t.Context(), nodes[1], request("alpha"), nil))
 }
 
--- a/test/replicas_test.go
+++ b/test/replicas_test.go
@@ -334,7 +334,7 @@
 	for _, model := range []string{"listed", "listed/a1", "listed/a2"} {
 		id := newID()
 		got := send(t.Context(), nodes[0], clientRequest{ID: id, Path: "/draft/x", Model: model, Events: 4, Deadline: 15 * time.Second})
-		assert.Assert(t, got.Whole, "%+v", got)
+		assert.Assert(t, got.Complete, "%+v", got)
 		assert.Equal(t, got.Body, expectedEvents(id, 4))
 	}
 	c := call{Model: "listed", Prompt: "chat", Tokens: 3}
--- a/test/requests_test.go
+++ b/test/requests_test.go
@@ -174,7 +174,7 @@
 			served++
 		}
 	}
-	t.Logf("%d of %d requests served whole through 20 cuts", served, len(load.outcomes))
+	t.Logf("%d of %d requests served completely through 20 cuts", served, len(load.outcomes))
 }
 
 // TestNotRunIsTrueThroughFaults: runners are killed, cut off and frozen while requests
--- a/test/runner_limit_test.go
+++ b/test/runner_limit_test.go
@@ -41,11 +41,11 @@
 		"many requests":       {limit: "1", all: true, crowd: 40},
 		"store down":          {limit: "4.5", all: true, store: storestub.Busy},
 	} {
-		t.Run(name, func(t *testing.T) { runLimited(t, test) })
+		t.Run(name, func(t *testing.T) { runLimitTest(t, test) })
 	}
 }
 
-func runLimited(t *testing.T, test statementTest) {
+func runLimitTest(t *testing.T, test statementTest) {
 	t.Helper()
 	s := startStatementWorld(t, test)
 	ctx, end := context.WithCancel(t.Context())
--- a/test/path_test.go
+++ b/test/serving_test.go
@@ -19,8 +19,8 @@
 	w, nodes := startWithAlpha(t, 2, 2, model("alpha", 1)...)
 	streamed := call{Model: "alpha", Prompt: "first words", Tokens: 8}
 	assertServed(t, streamed, ask(t.Context(), nodes[1], streamed, nil))
-	whole := call{Model: "alpha", Prompt: "second words", Tokens: 8, Unstreamed: true}
-	assertServed(t, whole, ask(t.Context(), nodes[0], whole, nil))
+	unstreamed := call{Model: "alpha", Prompt: "second words", Tokens: 8, Unstreamed: true}
+	assertServed(t, unstreamed, ask(t.Context(), nodes[0], unstreamed, nil))
 	readHistory(t, w).assertMemoryNeverExceeded(t)
 }
 
@@ -69,7 +69,7 @@
 	for _, path := range []string{"/draft/x", "/reply/x", "/send/x?y=1", "/read/x"} {
 		got := send(t.Context(), nodes[1], clientRequest{Path: path, Model: "alpha", Events: 5})
 		assert.Equal(t, got.Status, http.StatusOK, "%s: %+v", path, got)
-		assert.Assert(t, got.Whole && got.Signature != "", "%s: %+v", path, got)
+		assert.Assert(t, got.Complete && got.Signature != "", "%s: %+v", path, got)
 	}
 	missing := send(t.Context(), nodes[0], clientRequest{Path: "/nowhere/x"})
 	assert.Equal(t, missing.Status, http.StatusNotFound)
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -184,7 +184,7 @@
 	return func() { submitEventually(s.t, s.nodes[0], drain, true) }
 }
 
-// takeZoneOut takes a random zone out.
+// takeZoneOut takes a random zone out and back in, without a check of what is sent there.
 func (s *soak) takeZoneOut() func() {
 	zone := zones[s.random.IntN(len(zones))]
 	setZoneOut(s.t, s.w, zone, false)
--- a/test/statements_test.go
+++ b/test/statements_test.go
@@ -163,7 +163,7 @@
 	senders.Go(func() { s.send(ctx) })
 	time.Sleep(time.Second)
 	assert.NilError(t, s.applyStoreFaults())
-	s.state(t)
+	s.beginStatements(t)
 	s.sendCrowds(ctx, &senders)
 	time.Sleep(leavingAppliedWithin + 2*time.Second)
 	if !test.leave {
@@ -199,8 +199,8 @@
 	return names
 }
 
-// state makes these runners begin to state it.
-func (s *statementWorld) state(t *testing.T) {
+// beginStatements makes these runners begin to state it.
+func (s *statementWorld) beginStatements(t *testing.T) {
 	t.Helper()
 	for _, name := range s.statingRunners() {
 		switch {
@@ -370,7 +370,7 @@
 		if arrived.node != statement.node || arrived.runner != statement.runner || arrived.Born != statement.Born || s.disturbedBetween(statement.node, statement.at, arrived.at) {
 			continue
 		}
-		if statement.Leaving && statement.answer.Whole && !statement.rejected() && arrived.sent.Sub(statement.end) > leavingAppliedWithin {
+		if statement.Leaving && statement.answer.Complete && !statement.rejected() && arrived.sent.Sub(statement.end) > leavingAppliedWithin {
 			leaving = append(leaving, arrived)
 		}
 		if after := arrived.at.Sub(statement.at); after > restAppliedAfter && after < statement.restDuration() {
@@ -400,7 +400,7 @@
 		took := made.end.Sub(made.sent)
 		// A stream that began late is cut off at its client's deadline.
 		cutInTime := made.answer.Status == http.StatusOK && made.answer.Body != "" && took >= made.request.Deadline
-		assert.Check(t, made.answer.Whole || cutInTime, "%s: no complete answer after %s", made.request.Path, took)
+		assert.Check(t, made.answer.Complete || cutInTime, "%s: no complete answer after %s", made.request.Path, took)
 		assert.Check(t, made.end.Sub(made.sent) < made.request.Deadline+answerMargin, "%s", made.request.Path)
 	}
 	t.Logf("answers by status: %v; mean time of refused ones %s", statuses, held/time.Duration(max(statuses[http.StatusServiceUnavailable], 1)))
--- a/test/stops_test.go
+++ b/test/stops_test.go
@@ -92,7 +92,7 @@
 	waitQueued(t, nodes[0], 1)
 	assert.NilError(t, nodes[0].Terminate())
 	got := <-result
-	assert.Assert(t, got.Whole, "%+v", got)
+	assert.Assert(t, got.Complete, "%+v", got)
 	assert.Equal(t, got.Status, http.StatusServiceUnavailable)
 	assert.Assert(t, got.RetryAfter != "")
 	assert.NilError(t, nodes[0].Wait(waitTimeout))
