--- a/test/handover_test.go
+++ b/test/handover_test.go
@@ -17,7 +17,8 @@
 // paused for longer than a stream should, so the node reserved a slot at another runner,
 // closed the connection to the first one and only then sent the request on. The other
 // runner refused it, and there was no connection left to continue with. The node's log
-// shows the four steps, here of a stream whose runner resumed 0.9 s after the first line:
+// of a run of this test shows the four steps, for a stream whose runner resumed 0.9 s after
+// the first line:
 //
 //	"attempt failed","runner":"runner-1","attempt":2,"error":"... use of closed network connection","endedBy":"silence","events":4,"silentMs":1601,"lateMs":0
 //	"attempt failed","runner":"runner-2","attempt":3,"error":"... overloaded: runner answered 503, not run","endedBy":"runner","events":4
