--- a/test/links_test.go
+++ b/test/connections_test.go
@@ -21,18 +21,18 @@
 )
 
 const (
-	// answerMargin is how long after a request's own deadline a client still waits
-	// for its final answer.
+	// answerMargin is how long after a request's own deadline a client still waits for its
+	// final answer.
 	answerMargin = 5 * time.Second
-	// afterLeaving is when no runner works any more for a client that left, and
-	// stragglers how many may still do.
-	afterLeaving = 500 * time.Millisecond
-	stragglers   = 3
+	// cancellationBound is the time after which no runner may still work for a client that
+	// disconnected, maxLateRequests the number of requests that may exceed it.
+	cancellationBound = 500 * time.Millisecond
+	maxLateRequests   = 3
 )
 
-// silenceAll silences every open connection between nodes, store and runners for
-// good, and returns how many they were.
-func silenceAll(w *world.World, nodes []*world.Node) int {
+// silenceConnections permanently silences every open connection between nodes, store and
+// runners, and returns their number.
+func silenceConnections(w *world.World, nodes []*world.Node) int {
 	count := 0
 	for _, node := range nodes {
 		count += node.Proxy.SilenceOpen() + node.StoreProxy.SilenceOpen()
@@ -43,8 +43,9 @@
 	return count
 }
 
-// mixed is one request of each kind that the default routes have.
-func mixed(number int) clientRequest {
+// mixedRequest returns a request of one of the kinds of the default routes, which take
+// turns by number.
+func mixedRequest(number int) clientRequest {
 	c := clientRequest{ID: newID(), Deadline: 3 * time.Second}
 	switch number % 4 {
 	case 0:
@@ -59,19 +60,19 @@
 	return c
 }
 
-// mixedFor returns requests of all kinds for nodes, so many of each kind for each.
-func mixedFor(nodes []*world.Node, each int) []clientRequest {
+// mixedRequests returns requests of all kinds for the nodes, each of every kind per node.
+func mixedRequests(nodes []*world.Node, each int) []clientRequest {
 	var requests []clientRequest
 	for number := range 4 * each {
 		for range nodes {
-			requests = append(requests, mixed(number))
+			requests = append(requests, mixedRequest(number))
 		}
 	}
 	return requests
 }
 
-// sendAll sends requests to nodes in turn, all at once, and returns the answers; one
-// that did not come has no status.
+// sendAll sends requests to the nodes in turn, all at once, and returns the answers. An
+// answer that did not come has no status.
 func sendAll(t *testing.T, nodes []*world.Node, requests []clientRequest) []clientAnswer {
 	t.Helper()
 	answers := make([]clientAnswer, len(requests))
@@ -87,8 +88,9 @@
 	return answers
 }
 
-// waitStreaming waits until a stream of each node runs, of requests that were sent to nodes in
-// turn: a node without any hears of a silence only with its next requests.
+// waitStreaming waits until a stream of each node runs, given requests that were sent to
+// the nodes in turn. A node without a running stream would notice the silence only with its
+// next requests.
 func waitStreaming(t *testing.T, w *world.World, nodes int, requests []clientRequest) {
 	t.Helper()
 	of := make(map[string]int)
@@ -100,9 +102,9 @@
 	waitUntil(t, "a stream of each node runs", func() error {
 		streaming := make(map[int]int)
 		for _, record := range readHistory(t, w).records {
-			node, ours := of[record.Request]
+			node, known := of[record.Request]
 			switch {
-			case !ours:
+			case !known:
 			case record.Event == journal.EventRun:
 				streaming[node]++
 			case record.Event == journal.EventFinished || record.Event == journal.EventCanceled:
@@ -111,15 +113,15 @@
 		}
 		for node := range nodes {
 			if streaming[node] <= 0 {
-				return fmt.Errorf("none of node %d does", node)
+				return fmt.Errorf("no stream of node %d runs", node)
 			}
 		}
 		return nil
 	})
 }
 
-// lengthen lets streams last for a second.
-func lengthen(requests []clientRequest) {
+// lengthenStreams makes streams last a second.
+func lengthenStreams(requests []clientRequest) {
 	for index := range requests {
 		if requests[index].Model != "" {
 			requests[index].Events = 100
@@ -127,51 +129,51 @@
 	}
 }
 
-// strike sends requests while all connections go silent, and returns the answers and how many
-// connections were silenced.
-type strike func(t *testing.T, w *world.World, nodes []*world.Node, paying []clientRequest) ([]clientAnswer, int)
+// silencing sends requests while all connections go silent, and returns the answers and the
+// number of silenced connections.
+type silencing func(t *testing.T, w *world.World, nodes []*world.Node, affected []clientRequest) ([]clientAnswer, int)
 
-// strikeAtRest silences connections before the requests are sent.
-func strikeAtRest(t *testing.T, w *world.World, nodes []*world.Node, paying []clientRequest) ([]clientAnswer, int) {
-	silenced := silenceAll(w, nodes)
-	return sendAll(t, nodes, paying), silenced
+// silenceBeforeRequests silences connections before the requests are sent.
+func silenceBeforeRequests(t *testing.T, w *world.World, nodes []*world.Node, affected []clientRequest) ([]clientAnswer, int) {
+	silenced := silenceConnections(w, nodes)
+	return sendAll(t, nodes, affected), silenced
 }
 
-// strikeStreams silences connections while a stream of each node runs.
-func strikeStreams(t *testing.T, w *world.World, nodes []*world.Node, paying []clientRequest) ([]clientAnswer, int) {
-	lengthen(paying)
+// silenceDuringStreams silences connections while a stream of each node runs.
+func silenceDuringStreams(t *testing.T, w *world.World, nodes []*world.Node, affected []clientRequest) ([]clientAnswer, int) {
+	lengthenStreams(affected)
 	answers := make(chan []clientAnswer, 1)
-	go func() { answers <- sendAll(t, nodes, paying) }()
-	waitStreaming(t, w, len(nodes), paying)
-	silenced := silenceAll(w, nodes)
+	go func() { answers <- sendAll(t, nodes, affected) }()
+	waitStreaming(t, w, len(nodes), affected)
+	silenced := silenceConnections(w, nodes)
 	return <-answers, silenced
 }
 
-// strikeAfter silences connections a while after the requests were sent, however far these are.
-func strikeAfter(delay time.Duration) strike {
-	return func(t *testing.T, w *world.World, nodes []*world.Node, paying []clientRequest) ([]clientAnswer, int) {
+// silenceAfter silences connections at a fixed time after the requests were sent, whatever
+// their progress.
+func silenceAfter(delay time.Duration) silencing {
+	return func(t *testing.T, w *world.World, nodes []*world.Node, affected []clientRequest) ([]clientAnswer, int) {
 		silenced := make(chan int, 1)
-		time.AfterFunc(delay, func() { silenced <- silenceAll(w, nodes) })
-		answers := sendAll(t, nodes, paying)
+		time.AfterFunc(delay, func() { silenced <- silenceConnections(w, nodes) })
+		answers := sendAll(t, nodes, affected)
 		return answers, <-silenced
 	}
 }
 
-// TestAllConnectionsGoSilent: every open connection between nodes, store and runners
-// goes silent for good, in the middle of requests and at rest. Each request has a
-// final answer in its time, or an answer that visibly ends early; none that may not
-// be repeated runs twice. Each node pays once, then serves as before, and hears
-// changes.
+// TestAllConnectionsGoSilent: every open connection between nodes, store and runners goes
+// silent for good, during requests and while idle. Each request gets a final answer in
+// time, or an answer that visibly ends early; none that must not be repeated runs twice.
+// Each node loses requests only once, then serves as before and receives changes.
 func TestAllConnectionsGoSilent(t *testing.T) {
 	t.Parallel()
-	runSilences(t, strikeStreams)
+	runSilenceTest(t, silenceDuringStreams)
 }
 
-// TestAllConnectionsGoSilentSoonAfterRequests: the same, where a node whose requests all ended
-// before may have found no connection silent.
+// TestAllConnectionsGoSilentSoonAfterRequests is the same, where a node whose requests all
+// ended earlier may not have noticed any silent connection.
 func TestAllConnectionsGoSilentSoonAfterRequests(t *testing.T) {
 	t.Parallel()
-	runSilences(t, strikeAfter(50*time.Millisecond))
+	runSilenceTest(t, silenceAfter(50*time.Millisecond))
 }
 
 var (
@@ -179,58 +181,58 @@
 	silenceSeeds = flag.Int("silence.seeds", 3, "how many seeds are played")
 )
 
-// TestAllConnectionsGoSilentAtAnyMoment: the same at moments that seeds draw.
+// TestAllConnectionsGoSilentAtAnyMoment is the same at moments drawn by seeds.
 func TestAllConnectionsGoSilentAtAnyMoment(t *testing.T) {
 	t.Parallel()
 	for seed := *silenceSeed; seed < *silenceSeed+uint64(*silenceSeeds); seed++ {
 		moment := time.Duration(rand.New(rand.NewPCG(seed, 0)).IntN(150)) * time.Millisecond
 		t.Run(fmt.Sprintf("seed %d, %s", seed, moment), func(t *testing.T) {
 			t.Parallel()
-			runSilences(t, strikeAfter(moment))
+			runSilenceTest(t, silenceAfter(moment))
 		})
 	}
 }
 
-// runSilences lets connections go silent in the middle of requests and at rest.
-func runSilences(t *testing.T, inUse strike) {
+// runSilenceTest silences connections during requests and while they are idle.
+func runSilenceTest(t *testing.T, inUse silencing) {
 	t.Helper()
 	w, nodes := startLoaded(t, 3, 3)
-	sent := mixedFor(nodes, 4)
+	sent := mixedRequests(nodes, 4)
 	sendAll(t, nodes, sent)
 	for _, when := range []string{"in use", "at rest"} {
-		paying := mixedFor(nodes, 4)
-		sent = append(sent, paying...)
-		strikes := strikeAtRest
+		affected := mixedRequests(nodes, 4)
+		sent = append(sent, affected...)
+		silence := silenceBeforeRequests
 		if when == "in use" {
-			strikes = inUse
+			silence = inUse
 		}
-		answers, silenced := strikes(t, w, nodes, paying)
+		answers, silenced := silence(t, w, nodes, affected)
 		lost := 0
 		for index, got := range answers {
-			if got.Status != http.StatusOK || !got.Whole {
+			if got.Status != http.StatusOK || !got.Complete {
 				lost++
 			}
-			assert.Assert(t, got.Status != 0, "no final answer to %s at node %d", paying[index].Path, index%len(nodes))
+			assert.Assert(t, got.Status != 0, "no final answer to %s at node %d", affected[index].Path, index%len(nodes))
 		}
-		t.Logf("%s: %d connections silenced, %d of %d requests lost", when, silenced, lost, len(paying))
-		after := mixedFor(nodes, 2)
+		t.Logf("%s: %d connections silenced, %d of %d requests lost", when, silenced, lost, len(affected))
+		after := mixedRequests(nodes, 2)
 		sent = append(sent, after...)
 		for index, got := range sendAll(t, nodes, after) {
-			assert.Assert(t, got.Status == http.StatusOK && got.Whole, "%s, %s at node %d: %+v", when, after[index].Path, index%len(nodes), got)
+			assert.Assert(t, got.Status == http.StatusOK && got.Complete, "%s, %s at node %d: %+v", when, after[index].Path, index%len(nodes), got)
 		}
 	}
 	h := readHistory(t, w)
 	for _, c := range sent {
 		if c.Method == http.MethodPost {
-			assert.Assert(t, runsOf(h, c.ID) <= 1, "%s ran %d times", c.ID, runsOf(h, c.ID))
+			assert.Assert(t, runsOfRequest(h, c.ID) <= 1, "%s ran %d times", c.ID, runsOfRequest(h, c.ID))
 		}
 	}
 	apply(t, nodes[0], model("beta", 1)...)
-	waitNamed(t, "beta", nodes...)
+	waitKnown(t, "beta", nodes...)
 }
 
-// TestThousandClientsLeaveAtOnce: half a second after a thousand clients left, no
-// runner works for any of them, and none is sent anything more.
+// TestThousandClientsLeaveAtOnce: half a second after a thousand clients disconnected, no
+// runner works for any of them, and nothing more is sent to runners for them.
 func TestThousandClientsLeaveAtOnce(t *testing.T) {
 	t.Parallel()
 	const clients = 1000
@@ -243,28 +245,28 @@
 	ids := make(map[string]bool)
 	var asking sync.WaitGroup
 	for number := range clients {
-		c := mixed(2 + number%2)
+		c := mixedRequest(2 + number%2)
 		c.Events, c.Deadline = 2000, time.Minute
 		ids[c.ID] = true
 		asking.Go(func() { send(ctx, nodes[number%len(nodes)], c) })
 	}
 	waitUntil(t, "runners are busy", func() error {
-		if busy := len(working(readHistory(t, w), ids)); busy < 8 {
-			return fmt.Errorf("%d run", busy)
+		if busy := len(runningRequests(readHistory(t, w), ids)); busy < 8 {
+			return fmt.Errorf("%d requests run", busy)
 		}
 		return nil
 	})
 	leave()
 	asking.Wait()
 	left := time.Now()
-	waitUntil(t, "no runner works", func() error {
-		if busy := working(readHistory(t, w), ids); len(busy) > 0 {
-			return fmt.Errorf("%d run", len(busy))
+	waitUntil(t, "no runner works for these clients", func() error {
+		if busy := runningRequests(readHistory(t, w), ids); len(busy) > 0 {
+			return fmt.Errorf("%d requests run", len(busy))
 		}
 		return nil
 	})
 	for _, node := range nodes {
-		waitNothingWaits(t, node)
+		waitNoneWaiting(t, node)
 	}
 	late, last := 0, time.Duration(0)
 	for _, record := range readHistory(t, w).records {
@@ -273,18 +275,18 @@
 		}
 		after := record.Time.Sub(left)
 		last = max(last, after)
-		if after > afterLeaving {
+		if after > cancellationBound {
 			late++
 		}
 	}
-	t.Logf("runners were done with the last request %s after its client had left", last.Round(time.Millisecond))
-	assert.Assert(t, late <= stragglers, "runners did something for %d clients after %s", late, afterLeaving)
+	t.Logf("runners ended the last request %s after its client had disconnected", last.Round(time.Millisecond))
+	assert.Assert(t, late <= maxLateRequests, "runners still worked for %d clients after %s", late, cancellationBound)
 }
 
-// waitNothingWaits waits until no request waits at a node.
-func waitNothingWaits(t *testing.T, node *world.Node) {
+// waitNoneWaiting waits until no request waits at a node.
+func waitNoneWaiting(t *testing.T, node *world.Node) {
 	t.Helper()
-	waitUntil(t, "nothing waits at "+node.Name, func() error {
+	waitUntil(t, "no request waits at "+node.Name, func() error {
 		status, err := node.Client().Status(t.Context())
 		if err != nil {
 			return err
@@ -296,8 +298,8 @@
 	})
 }
 
-// working returns the requests among ids that runners began and did not end.
-func working(h history, ids map[string]bool) map[string]bool {
+// runningRequests returns the requests among ids that runners have begun and not ended.
+func runningRequests(h history, ids map[string]bool) map[string]bool {
 	running := make(map[string]bool)
 	for _, record := range h.records {
 		if !ids[record.Request] {
@@ -312,8 +314,8 @@
 	return running
 }
 
-// TestHalfACloseIsALeaving: a client that ends its sending side after its request is
-// taken for one that left, as the two look alike: nothing waits for it any more.
+// TestHalfACloseIsALeaving: a client that closes only its sending side after its request is
+// treated as disconnected, as the two cannot be told apart. Nothing waits for it any more.
 func TestHalfACloseIsALeaving(t *testing.T) {
 	t.Parallel()
 	_, nodes := startLoaded(t, 1, 1)
@@ -323,9 +325,9 @@
 	_, err = fmt.Fprintf(conn, "GET /draft/x HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %s\r\n%s: 20,1\r\n%s: 20000\r\n\r\n", world.RouteHost,
 		protocol.HeaderRequestID, newID(), protocol.HeaderModel, "unknown", protocol.HeaderTokens, protocol.HeaderDeadline)
 	assert.NilError(t, err)
-	waitWaiting(t, nodes[0], 1)
+	waitQueued(t, nodes[0], 1)
 	assert.NilError(t, conn.(*net.TCPConn).CloseWrite())
-	waitNothingWaits(t, nodes[0])
+	waitNoneWaiting(t, nodes[0])
 	content, err := io.ReadAll(conn)
 	assert.NilError(t, err)
 	assert.Equal(t, string(content), "")
--- a/test/homes_test.go
+++ b/test/homes_test.go
@@ -20,17 +20,17 @@
 	"lilacvane/platform/protocol"
 )
 
-// regions lays the zones of the tests in two regions.
+// regions maps the zones of the tests to two regions.
 var regions = place.Map{"zone-a": "north", "zone-b": "south", "zone-c": "south"}
 
-// twoRegions is a world whose zones lie in two regions.
-func twoRegions(t *testing.T) *world.World {
+// newTwoRegionWorld starts a world whose zones are in two regions.
+func newTwoRegionWorld(t *testing.T) *world.World {
 	t.Helper()
 	return newWorld(t, func(options *world.Options) { options.Zones = regions })
 }
 
-// atHome is a tenant whose requests are served in one region alone.
-func atHome(name, region string) protocol.Tenant {
+// tenantWithHome returns a tenant whose requests may only be served in one region.
+func tenantWithHome(name, region string) protocol.Tenant {
 	return protocol.Tenant{Name: name, APIKeys: []string{name + "-key"}, Homes: []string{region}}
 }
 
@@ -40,9 +40,9 @@
 	assert.NilError(t, err)
 }
 
-// assertHome checks that all runs of a tenant's requests were at runners in its region, and
-// returns how many there were.
-func (h history) assertHome(t *testing.T, w *world.World, tenant, region string) int {
+// assertRunsInRegion checks that all runs of a tenant's requests were at runners in a
+// region, and returns the number of these runs.
+func (h history) assertRunsInRegion(t *testing.T, w *world.World, tenant, region string) int {
 	t.Helper()
 	runs := 0
 	for _, record := range h.records {
@@ -56,25 +56,25 @@
 	return runs
 }
 
-// TestRequestsStayHome: a tenant's requests are served in its region through kills of
-// runners and repetitions, from nodes of both regions; they are refused at once while no
-// runner is listed there, and served again when one is.
+// TestRequestsStayHome: a tenant's requests are served in its home region while runners are
+// killed and requests are repeated, from nodes of both regions. They are refused at once
+// while no runner is listed there, and served again when one is.
 func TestRequestsStayHome(t *testing.T) {
 	t.Parallel()
-	w := twoRegions(t)
+	w := newTwoRegionWorld(t)
 	startMailer(t, w, "north-1", "zone-a")
 	startMailer(t, w, "north-2", "zone-a")
 	startMailer(t, w, "south-1", "zone-b")
 	startMailer(t, w, "south-2", "zone-c")
 	nodes := startNodes(t, w, 3)
-	assert.NilError(t, w.ConfigureTenants([]protocol.Tenant{atHome("northern", "north"), atHome("southern", "south"), tenantOf("any", 0, 0)}))
+	assert.NilError(t, w.ConfigureTenants([]protocol.Tenant{tenantWithHome("northern", "north"), tenantWithHome("southern", "south"), newTenant("any", 0, 0)}))
 	waitStatus(t, "northern-key", http.StatusOK, nodes...)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	var group sync.WaitGroup
 	for _, node := range nodes {
 		for _, key := range []string{"northern-key", "southern-key", "any-key"} {
-			press(ctx, &group, node, key, 20, func(int) {})
+			sendAtRate(ctx, &group, node, key, 20, func(int) {})
 		}
 	}
 	killRunner(t, w, "north-1")
@@ -101,11 +101,12 @@
 	group.Wait()
 	h := readHistory(t, w)
 	for tenant, region := range map[string]string{"northern": "north", "southern": "south"} {
-		assert.Assert(t, h.assertHome(t, w, tenant, region) > 0, "%s ran nothing", tenant)
+		assert.Assert(t, h.assertRunsInRegion(t, w, tenant, region) > 0, "%s ran nothing", tenant)
 	}
 }
 
-// countsBetweenRegions reports whether a node counts bytes to other regions for a purpose.
+// countsBetweenRegions reports whether any node counts bytes sent to other regions for a
+// purpose.
 func countsBetweenRegions(t *testing.T, nodes []*world.Node, purpose string) bool {
 	t.Helper()
 	for _, node := range nodes {
@@ -121,14 +122,14 @@
 	return false
 }
 
-// assertRefusedAtOnce checks that a request is refused with its reason, as not run and with
-// a time to come back, without a wait.
+// assertRefusedAtOnce checks that a request is refused without a wait, as not run, with the
+// reason and a Retry-After time.
 func assertRefusedAtOnce(t *testing.T, w *world.World, node *world.Node, c clientRequest) {
 	t.Helper()
 	got := send(t.Context(), node, c)
 	assert.Equal(t, got.Status, http.StatusServiceUnavailable, got.Body)
 	assert.Assert(t, strings.Contains(got.Body, "outside_homes"), got.Body)
-	retry, err := strconv.ParseFloat(got.Retry, 64)
+	retry, err := strconv.ParseFloat(got.RetryAfter, 64)
 	assert.NilError(t, err)
 	assert.Assert(t, retry > 0)
 	waitUntil(t, "the refusal is logged", func() error {
@@ -142,23 +143,23 @@
 	})
 }
 
-// TestModelsAreLoadedAtHome: a model that another region holds is loaded in the region of a
-// tenant that asks for it, and a stream whose runner is killed goes on there.
+// TestModelsAreLoadedAtHome: a model that another region holds is loaded in the home region
+// of a tenant that requests it, and a stream whose runner is killed continues there.
 func TestModelsAreLoadedAtHome(t *testing.T) {
 	t.Parallel()
-	w := twoRegions(t)
+	w := newTwoRegionWorld(t)
 	for index, zone := range []string{"zone-a", "zone-a", "zone-b", "zone-c"} {
 		startRunner(t, w, fmt.Sprintf("runner-%d", index+1), zone)
 	}
 	nodes := startNodes(t, w, 3)
 	apply(t, nodes[0], model("alpha", 4)...)
-	waitNamed(t, "alpha", nodes...)
-	assert.NilError(t, w.ConfigureTenants([]protocol.Tenant{atHome("northern", "north"), atHome("southern", "south")}))
+	waitKnown(t, "alpha", nodes...)
+	assert.NilError(t, w.ConfigureTenants([]protocol.Tenant{tenantWithHome("northern", "north"), tenantWithHome("southern", "south")}))
 	waitDraft(t, nodes[0], "southern-key")
 	waitDraft(t, nodes[1], "northern-key")
-	apply(t, nodes[0], keep("alpha", 4))
+	apply(t, nodes[0], readyPolicy("alpha", 4))
 	waitUntil(t, "all runners hold the model", func() error {
-		if held := runnersOf(t, nodes[0], "alpha"); len(held) != 4 {
+		if held := runnersHolding(t, nodes[0], "alpha"); len(held) != 4 {
 			return fmt.Errorf("held at %v", held)
 		}
 		return nil
@@ -170,7 +171,7 @@
 	}()
 	var first string
 	waitUntil(t, "the stream runs", func() error {
-		if first = readHistory(t, w).runOf(id).Runner; first == "" {
+		if first = readHistory(t, w).runRecord(id).Runner; first == "" {
 			return fmt.Errorf("not yet")
 		}
 		return nil
@@ -178,33 +179,34 @@
 	time.Sleep(300 * time.Millisecond)
 	killRunner(t, w, first)
 	got := <-done
-	assert.Assert(t, got.Whole && got.Body == expectedEvents(id, 150), "%d: %d events", got.Status, got.Events)
+	assert.Assert(t, got.Complete && got.Body == expectedEvents(id, 150), "%d: %d events", got.Status, got.Events)
 	for _, node := range nodes {
 		c := call{Model: "alpha", Prompt: "at home " + node.Name, Tokens: 3, Key: "once-" + node.Name, Bearer: "northern-key"}
 		assertServed(t, c, ask(t.Context(), node, c, nil))
 	}
 	h := readHistory(t, w)
-	assert.Assert(t, h.assertHome(t, w, "northern", "north") >= 1+len(nodes))
-	h.assertHome(t, w, "southern", "south")
+	assert.Assert(t, h.assertRunsInRegion(t, w, "northern", "north") >= 1+len(nodes))
+	h.assertRunsInRegion(t, w, "southern", "south")
 }
 
-// waitDraft waits until a draft for alpha is served under a key.
+// waitDraft waits until a draft of the model alpha is served for a key.
 func waitDraft(t *testing.T, node *world.Node, key string) {
 	t.Helper()
 	waitUntil(t, "a draft is served for "+key, func() error {
 		got := send(t.Context(), node, clientRequest{Path: "/draft/x", Model: "alpha", Events: 3, Key: key})
-		if got.Status != http.StatusOK || !got.Whole {
+		if got.Status != http.StatusOK || !got.Complete {
 			return fmt.Errorf("status %d: %s", got.Status, got.Body)
 		}
 		return nil
 	})
 }
 
-// TestHomesOfOperatorsAreChecked: a region in which no zone lies is refused by name, on the
-// platform's part it is never served elsewhere and told once in the log.
+// TestHomesOfOperatorsAreChecked: a home region that contains no zone is refused by name in
+// operators' objects. In the platform's configuration, requests with such a home are never
+// served elsewhere, and the problem is logged once.
 func TestHomesOfOperatorsAreChecked(t *testing.T) {
 	t.Parallel()
-	w := twoRegions(t)
+	w := newTwoRegionWorld(t)
 	startMailer(t, w, "north-1", "zone-a")
 	nodes := startNodes(t, w, 1)
 	for _, object := range []api.Object{
--- a/test/poison_soak_test.go
+++ b/test/poison_soak_test.go
@@ -21,11 +21,12 @@
 	poisonSeeds = flag.Int("poison.seeds", 1, "how many seeds it plays, one after the other")
 )
 
-// TestPoisonSoak: two requests that end their runners come again and again beside innocent ones,
-// while runners end for other reasons, nodes are killed and started or stand still, and the
-// store is away, as the seed draws them. Neither reaches runners more often than is borne
-// once all nodes may have heard of its third end, and no innocent request is taken for one.
-// By hand: go test ./test -run TestPoisonSoak -poison.seed=100 -poison.seeds=50 -timeout 1h
+// TestPoisonSoak: two requests that crash their runners are sent again and again together
+// with harmless ones, while runners crash for other reasons, nodes are killed and restarted
+// or frozen, and the store is down, as drawn by the seed. Once all nodes may know of the
+// third crash under a request, it reaches runners no more often than allowed, and no
+// harmless request is refused as one that crashes runners. To run more seeds: go test
+// ./test -run TestPoisonSoak -poison.seed=100 -poison.seeds=50 -timeout 1h
 func TestPoisonSoak(t *testing.T) {
 	t.Parallel()
 	for seed := *poisonSeed; seed < *poisonSeed+uint64(*poisonSeeds); seed++ {
@@ -33,21 +34,21 @@
 	}
 }
 
-// poisonSoak is a world with requests that end runners under faults.
+// poisonSoak is a world with requests that crash runners, under faults.
 type poisonSoak struct {
-	*poisoned
+	*poisonWorld
 	random *rand.Rand
 
-	// mutex guards all below. sent is the content of each request, by identifier.
+	// mutex guards all fields below. sent is the content of each request, by identifier.
 	mutex sync.Mutex
 	sent  map[string]string
-	// calm is until when the store was away last; disturbed is when nodes were started
-	// or went on after they stood still.
-	calm      time.Time
-	disturbed []time.Time
+	// storeBackAt is when the store last became available again; disturbed is when nodes
+	// were restarted or resumed after a freeze.
+	storeBackAt time.Time
+	disturbed   []time.Time
 }
 
-// soakDuration is how long requests and faults come in a soak.
+// soakDuration is how long the soak sends requests and injects faults.
 const soakDuration = 9 * time.Second
 
 func runPoisonSoak(t *testing.T, seed uint64) {
@@ -57,23 +58,24 @@
 		request = clientRequest{Path: "/read/x"}
 	}
 	s := &poisonSoak{
-		poisoned: startPoisoned(t, poisonTest{request: request, renamed: random.IntN(2) == 0, away: time.Duration(500+random.IntN(2500)) * time.Millisecond}),
-		random:   random, sent: make(map[string]string),
+		poisonWorld: startPoisonWorld(t, poisonTest{request: request, renamed: random.IntN(2) == 0, downtime: time.Duration(500+random.IntN(2500)) * time.Millisecond}),
+		random:      random, sent: make(map[string]string),
 	}
 	ctx, end := context.WithTimeout(t.Context(), soakDuration)
 	defer end()
 	var running sync.WaitGroup
 	for _, word := range []string{"first", "second"} {
-		running.Go(func() { s.repeat(ctx, word) })
+		running.Go(func() { s.sendRepeatedly(ctx, word) })
 	}
-	running.Go(func() { s.sendInnocent(ctx) })
-	s.disturb(ctx, t)
+	running.Go(func() { s.sendHarmless(ctx) })
+	s.injectFaults(ctx, t)
 	running.Wait()
 	s.check(t)
 }
 
-// repeat sends a request that ends runners to nodes in turn, without waiting for answers.
-func (s *poisonSoak) repeat(ctx context.Context, word string) {
+// sendRepeatedly sends a request that crashes runners to the nodes in turn, without waiting
+// for answers.
+func (s *poisonSoak) sendRepeatedly(ctx context.Context, word string) {
 	var tries sync.WaitGroup
 	defer tries.Wait()
 	for number := 0; ctx.Err() == nil; number++ {
@@ -86,8 +88,8 @@
 	}
 }
 
-// disturb brings faults one after the other until ctx ends.
-func (s *poisonSoak) disturb(ctx context.Context, t *testing.T) {
+// injectFaults injects faults one after the other until ctx ends.
+func (s *poisonSoak) injectFaults(ctx context.Context, t *testing.T) {
 	t.Helper()
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(200+s.random.IntN(800)) * time.Millisecond)
@@ -102,66 +104,67 @@
 		case 1:
 			node.Kill()
 			assert.NilError(t, s.world.RestartNode(node))
-			s.note(&s.disturbed)
+			s.recordNow(&s.disturbed)
 		case 2:
 			assert.NilError(t, node.Freeze())
 			time.Sleep(pause)
 			assert.NilError(t, node.Thaw())
-			s.note(&s.disturbed)
+			s.recordNow(&s.disturbed)
 		case 3:
 			assert.NilError(t, s.world.SetStoreFaults(storestub.Faults{Down: storestub.Busy}))
 			time.Sleep(pause / 2)
 			assert.NilError(t, s.world.SetStoreFaults(storestub.Faults{}))
 			s.mutex.Lock()
-			s.calm = time.Now()
+			s.storeBackAt = time.Now()
 			s.mutex.Unlock()
 		}
 	}
 }
 
-func (s *poisonSoak) note(times *[]time.Time) {
+func (s *poisonSoak) recordNow(times *[]time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	*times = append(*times, time.Now())
 }
 
-// check checks the bound for each request, and the answers to innocent ones.
+// check checks the bound for each request, and the answers to harmless ones.
 func (s *poisonSoak) check(t *testing.T) {
 	t.Helper()
 	h := readHistory(t, s.world)
 	for _, word := range []string{"first", "second"} {
-		var ends, reached []time.Time
+		var crashes, reached []time.Time
 		for _, record := range h.records {
 			switch {
 			case s.sent[record.Request] != word:
 			case record.Event == journal.EventCrash:
-				ends = append(ends, record.Time)
+				crashes = append(crashes, record.Time)
 			case record.Event == journal.EventPoison:
 				reached = append(reached, record.Time)
 			}
 		}
-		if len(ends) < crashesAllowed {
-			t.Logf("%s: %d ends", word, len(ends))
+		if len(crashes) < maxCrashes {
+			t.Logf("%s: %d crashes", word, len(crashes))
 			continue
 		}
-		third := ends[crashesAllowed-1]
-		// A node that was started or stood still is as if it were new: it may send once more.
-		allowed, late := sendsAllowed+after(s.disturbed, third), after(reached, later(third, s.calm).Add(contact))
-		t.Logf("%s: %d ends, %d sends after the bound of at most %d; innocent: %v", word, len(ends), late, allowed, s.innocents)
+		third := crashes[maxCrashes-1]
+		// A node that was restarted or frozen knows as little as a new one: it may send
+		// once more.
+		allowed, late := maxSendsAfterCrashes+countAfter(s.disturbed, third), countAfter(reached, laterTime(third, s.storeBackAt).Add(propagationBound))
+		t.Logf("%s: %d crashes, %d sends after the bound of at most %d; harmless: %v", word, len(crashes), late, allowed, s.harmlessAnswers)
 		assert.Check(t, late <= allowed)
 	}
-	assert.Check(t, s.innocents[string(codePoison)] == 0 && s.innocents[string(fault.CodeCrashSuspected)] == 0, "%v", s.innocents)
+	assert.Check(t, s.harmlessAnswers[string(codePoison)] == 0 && s.harmlessAnswers[string(fault.CodeCrashSuspected)] == 0, "%v", s.harmlessAnswers)
 }
 
-func later(a, b time.Time) time.Time {
+func laterTime(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// after counts the times after an instant.
-func after(times []time.Time, instant time.Time) int {
+// countAfter counts the times after an instant.
+func countAfter(times []time.Time, instant time.Time) int {
 	count := 0
 	for _, at := range times {
 		if at.After(instant) {
--- a/test/poison_test.go
+++ b/test/poison_test.go
@@ -26,97 +26,102 @@
 	"lilacvane/internal/wire"
 )
 
-// A request ended each runner that began to run it, and came again under other identifiers at
-// other nodes. No node knew that two tries were one request, and a broken connection was taken
-// for the runner's trouble, so each try went to the next runner, and what waited for a model
-// went to the first runner that was back: "attempt failed ... attempt 1 ... interrupted:
-// unexpected EOF" at five runners within 2.1 s, each from another node, and 14 runners ended
-// under one request in 12 s, beside 78 other requests of which none was at two of these ends.
+// A request crashed each runner that began to run it, and was sent again under other
+// identifiers at other nodes. No node knew that two attempts were the same request, and a
+// broken connection was attributed to the runner, so each attempt went to the next runner,
+// and requests waiting for a model went to the first runner that came back. The logs showed
+// "attempt failed ... attempt 1 ... interrupted: unexpected EOF" at five runners within 2.1
+// s, each from another node, and 14 runners that crashed under one request in 12 s, beside
+// 78 other requests, none of which was involved in two of these crashes.
 
 const (
-	// poisonText makes a request one that ends runners.
+	// poisonText in a request or a model's name makes the emulated runner crash.
 	poisonText = "ends-its-runner"
-	// contact is the platform's bound on how soon nodes must hear of each other's news.
-	contact = 3 * time.Second
-	// crashesAllowed is after how many ends a request may not be sent on, sendsAllowed how
-	// often it may be all the same once contact has passed since the last of these.
-	crashesAllowed = 3
-	sendsAllowed   = 3
-	codePoison     = fault.Code("crashes_runners")
-	// poisonPause and innocentPause lie between requests.
+	// propagationBound is the platform's bound on how soon nodes must learn each other's
+	// news.
+	propagationBound = 3 * time.Second
+	// After maxCrashes crashes a request may not be sent on. It may still be sent
+	// maxSendsAfterCrashes times once propagationBound has passed since the last of these
+	// crashes.
+	maxCrashes           = 3
+	maxSendsAfterCrashes = 3
+	codePoison           = fault.Code("crashes_runners")
+	// poisonPause and harmlessPause are the times between requests.
 	poisonPause   = 150 * time.Millisecond
-	innocentPause = 40 * time.Millisecond
-	// innocentTries is how often a client sends an innocent request.
-	innocentTries = 3
+	harmlessPause = 40 * time.Millisecond
+	// harmlessTries is how often a client sends a harmless request.
+	harmlessTries = 3
 )
 
-// TestRequestThatEndsRunnersIsNotSentOn: such a request comes again and again, at all nodes,
-// beside innocent ones in the same batches. Runners come back with another identifier or
-// with their own, and are reached directly or through a proxy that accepts connections for
-// them while they are away.
+// TestRequestThatEndsRunnersIsNotSentOn: such a request is sent again and again, to all
+// nodes, together with harmless ones in the same batches. Runners come back under another
+// identifier or under their own, and are reached directly or through a proxy that accepts
+// connections for them while they are down.
 func TestRequestThatEndsRunnersIsNotSentOn(t *testing.T) {
 	t.Parallel()
 	stream := clientRequest{Path: "/reply/x", Model: "alpha", Events: 30}
 	for name, test := range map[string]poisonTest{
 		"other identifier": {renamed: true, request: stream},
 		"same identifier":  {proxied: true, request: stream},
-		// Of a service without models, whose runners answer no questions; the node itself
-		// sends it to several runners.
+		// The service holds no models, and its runners answer no questions of nodes. The
+		// node itself sends the request to several runners.
 		"safe": {renamed: true, request: clientRequest{Path: "/read/x"}},
-		// Hardly anything else is sent, so that no other request shows that a runner is away.
-		"once, alone": {renamed: true, request: clientRequest{Path: "/send/x"}, innocentPause: time.Second},
-		// There are enough others that no node turns to a runner again that ended, until it
-		// is back after some seconds.
-		"once, seldom": {renamed: true, request: clientRequest{Path: "/send/x"}, innocentPause: time.Second,
-			mailers: 16, poisonPause: 400 * time.Millisecond, away: 8 * time.Second},
-		// The same, after requests of all nodes timed out at all of the runners.
-		"once, after time-outs": {renamed: true, request: clientRequest{Path: "/send/x"}, innocentPause: time.Second,
-			mailers: 16, poisonPause: 400 * time.Millisecond, away: 8 * time.Second, timeOuts: true},
-		// The node that counts for all stands still from before the first end.
-		"holder still": {renamed: true, request: stream, holderStill: true},
+		// Hardly any other requests are sent, so none shows that a runner is down.
+		"once, alone": {renamed: true, request: clientRequest{Path: "/send/x"}, harmlessPause: time.Second},
+		// There are enough other runners that no node uses a runner that crashed again
+		// until it is back after some seconds.
+		"once, seldom": {renamed: true, request: clientRequest{Path: "/send/x"}, harmlessPause: time.Second,
+			mailers: 16, poisonPause: 400 * time.Millisecond, downtime: 8 * time.Second},
+		// The same, after requests of all nodes have timed out at all of the runners.
+		"once, after time-outs": {renamed: true, request: clientRequest{Path: "/send/x"}, harmlessPause: time.Second,
+			mailers: 16, poisonPause: 400 * time.Millisecond, downtime: 8 * time.Second, timeOuts: true},
+		// The node that counts crashes for all nodes is frozen from before the first crash.
+		"holder still": {renamed: true, request: stream, holderFrozen: true},
 	} {
-		// One after the other: together they are a hundred processes and more.
-		t.Run(name, func(t *testing.T) { runPoison(t, test) })
+		// Not in parallel, as all cases together would start more than a hundred processes.
+		t.Run(name, func(t *testing.T) { runPoisonTest(t, test) })
 	}
 }
 
-// poisonTest is a request that ends runners, and its world.
+// poisonTest describes a request that crashes runners, and its world.
 type poisonTest struct {
 	request clientRequest
-	// renamed is set where runners come back with another identifier, proxied where they are
+	// renamed is set if runners come back under another identifier, proxied if they are
 	// reached through a proxy.
 	renamed, proxied bool
-	// innocentPause lies between innocent requests; innocentPause where it is not set.
-	innocentPause time.Duration
-	// mailers is how many runners without models there are, away how long runners are before
-	// they are back, poisonPause lies between requests that end them; the usual where not set.
-	mailers           int
-	away, poisonPause time.Duration
-	// timeOuts lets requests time out at all runners without models before.
+	// harmlessPause is the time between harmless requests; the constant harmlessPause if
+	// not set.
+	harmlessPause time.Duration
+	// mailers is the number of runners without models, downtime how long runners are down
+	// after a crash, poisonPause the time between requests that crash them. Each has a
+	// default.
+	mailers               int
+	downtime, poisonPause time.Duration
+	// timeOuts makes requests time out at all runners without models first.
 	timeOuts bool
-	// holderStill lets the holder of the control lease stand still meanwhile.
-	holderStill bool
+	// holderFrozen freezes the holder of the control lease during the test.
+	holderFrozen bool
 }
 
-// poisoned is a world in which one request ends the runners that run it.
-type poisoned struct {
+// poisonWorld is a world in which one request crashes the runners that run it.
+type poisonWorld struct {
 	world *world.World
 	nodes []*world.Node
 	poisonTest
 
 	mutex sync.Mutex
-	// innocents are the answers to other requests, by what became of them.
-	innocents map[string]int
+	// harmlessAnswers counts the answers to harmless requests, by status or code.
+	harmlessAnswers map[string]int
 }
 
-func runPoison(t *testing.T, test poisonTest) {
+func runPoisonTest(t *testing.T, test poisonTest) {
 	t.Helper()
-	p := startPoisoned(t, test)
+	p := startPoisonWorld(t, test)
 	if test.timeOuts {
 		p.timeOut(t)
 	}
-	if test.holderStill {
-		holder := holderOf(t, p.world, p.nodes[0])
+	if test.holderFrozen {
+		holder := leaseHolder(t, p.world, p.nodes[0])
 		assert.NilError(t, holder.Freeze())
 		p.nodes = slices.DeleteFunc(p.nodes, func(node *world.Node) bool { return node == holder })
 	}
@@ -124,41 +129,41 @@
 	defer end()
 	var senders sync.WaitGroup
 	senders.Go(func() { p.sendPoison(ctx) })
-	senders.Go(func() { p.sendInnocent(ctx) })
+	senders.Go(func() { p.sendHarmless(ctx) })
 	var third time.Time
-	waitUntil(t, "the request ended its runners", func() error {
-		crashes := eventsOf(readHistory(t, p.world), journal.EventCrash)
-		if len(crashes) < crashesAllowed {
-			return fmt.Errorf("%d ended", len(crashes))
+	waitUntil(t, "the request crashed its runners", func() error {
+		crashes := eventTimes(readHistory(t, p.world), journal.EventCrash)
+		if len(crashes) < maxCrashes {
+			return fmt.Errorf("%d crashed", len(crashes))
 		}
-		third = crashes[crashesAllowed-1]
+		third = crashes[maxCrashes-1]
 		return nil
 	})
-	// Tries go on for as long again as nodes may take to hear of it.
-	time.Sleep(time.Until(third.Add(2 * contact)))
+	// Attempts continue for as long again as nodes may take to learn of it.
+	time.Sleep(time.Until(third.Add(2 * propagationBound)))
 	end()
 	senders.Wait()
 	late := 0
-	for _, at := range eventsOf(readHistory(t, p.world), journal.EventPoison) {
-		if at.Sub(third) > contact {
+	for _, at := range eventTimes(readHistory(t, p.world), journal.EventPoison) {
+		if at.Sub(third) > propagationBound {
 			late++
 		}
 	}
-	crashes := eventsOf(readHistory(t, p.world), journal.EventCrash)
-	t.Logf("%d runners ended, %d sends after the bound; refused at nodes %v after the third end; innocent requests: %v",
-		len(crashes), late, p.refusedAfter(t, third), p.innocents)
-	assert.Assert(t, late <= sendsAllowed, "sent %d times more, %d runners ended", late, len(crashes))
+	crashes := eventTimes(readHistory(t, p.world), journal.EventCrash)
+	t.Logf("%d runners crashed, %d sends after the bound; refused at nodes %v after the third crash; harmless requests: %v",
+		len(crashes), late, p.refusedAfter(t, third), p.harmlessAnswers)
+	assert.Assert(t, late <= maxSendsAfterCrashes, "sent %d more times, %d runners crashed", late, len(crashes))
 	p.checkAnswers(t)
 }
 
-func startPoisoned(t *testing.T, test poisonTest) *poisoned {
+func startPoisonWorld(t *testing.T, test poisonTest) *poisonWorld {
 	t.Helper()
 	const runners, nodes = 5, 4
 	w := newWorld(t, func(o *world.Options) { o.Proxied = test.proxied })
-	p := &poisoned{world: w, poisonTest: test, innocents: make(map[string]int)}
-	p.innocentPause = cmp.Or(p.innocentPause, innocentPause)
+	p := &poisonWorld{world: w, poisonTest: test, harmlessAnswers: make(map[string]int)}
+	p.harmlessPause = cmp.Or(p.harmlessPause, harmlessPause)
 	p.poisonPause = cmp.Or(p.poisonPause, poisonPause)
-	returns := world.Return{After: cmp.Or(test.away, time.Second), Renamed: test.renamed}
+	returns := world.Return{After: cmp.Or(test.downtime, time.Second), Renamed: test.renamed}
 	for index := range runners {
 		options := engineOptions(w, fmt.Sprintf("runner-%d", index+1), zones[index%len(zones)])
 		options.CrashBy, options.Returns = poisonText, returns
@@ -172,19 +177,19 @@
 		assert.NilError(t, err)
 	}
 	p.nodes = startNodes(t, w, nodes)
-	apply(t, p.nodes[0], append(model("alpha", runners), keep("alpha", runners))...)
-	waitNamed(t, "alpha", p.nodes...)
+	apply(t, p.nodes[0], append(model("alpha", runners), readyPolicy("alpha", runners))...)
+	waitKnown(t, "alpha", p.nodes...)
 	waitUntil(t, "all runners hold the model", func() error {
-		if got := len(runnersOf(t, p.nodes[0], "alpha")); got != runners {
-			return fmt.Errorf("%d do", got)
+		if got := len(runnersHolding(t, p.nodes[0], "alpha")); got != runners {
+			return fmt.Errorf("%d hold it", got)
 		}
 		return nil
 	})
 	return p
 }
 
-// timeOut lets requests of each node time out at the runners without models.
-func (p *poisoned) timeOut(t *testing.T) {
+// timeOut makes requests of each node time out at the runners without models.
+func (p *poisonWorld) timeOut(t *testing.T) {
 	t.Helper()
 	for _, faults := range []runnerstub.Faults{{MuteShare: 1}, {}} {
 		for index := range p.mailers {
@@ -201,8 +206,9 @@
 	}
 }
 
-// sendPoison sends the request that ends runners until ctx ends, without waiting for answers.
-func (p *poisoned) sendPoison(ctx context.Context) {
+// sendPoison sends the request that crashes runners until ctx ends, without waiting for
+// answers.
+func (p *poisonWorld) sendPoison(ctx context.Context) {
 	var tries sync.WaitGroup
 	defer tries.Wait()
 	for number := 0; ctx.Err() == nil; number++ {
@@ -211,42 +217,42 @@
 	}
 }
 
-func (p *poisoned) tryPoison(ctx context.Context, node *world.Node) clientAnswer {
+func (p *poisonWorld) tryPoison(ctx context.Context, node *world.Node) clientAnswer {
 	return send(ctx, node, p.poison("please"))
 }
 
-// poison is a request that ends runners, one content for each word.
-func (p *poisoned) poison(word string) clientRequest {
+// poison returns a request that crashes runners. Its content depends on word.
+func (p *poisonWorld) poison(word string) clientRequest {
 	request := p.request
 	request.ID, request.Method, request.Body, request.Deadline = newID(), http.MethodPost, []byte(word+" "+poisonText), 4*time.Second
 	return request
 }
 
-// sendInnocent sends other requests of the same kind until ctx ends. Their clients come
-// again, with the same content, where they are not served.
-func (p *poisoned) sendInnocent(ctx context.Context) {
+// sendHarmless sends other requests of the same kind until ctx ends. Their clients retry
+// with the same content if they are not served.
+func (p *poisonWorld) sendHarmless(ctx context.Context) {
 	var tries sync.WaitGroup
 	defer tries.Wait()
 	for number := 0; ctx.Err() == nil; number++ {
 		tries.Go(func() {
-			for try := range innocentTries {
-				if p.tryInnocent(ctx, number, p.nodes[(number+try)%len(p.nodes)]) {
+			for try := range harmlessTries {
+				if p.tryHarmless(ctx, number, p.nodes[(number+try)%len(p.nodes)]) {
 					return
 				}
 				time.Sleep(poisonPause)
 			}
 		})
-		time.Sleep(p.innocentPause)
+		time.Sleep(p.harmlessPause)
 	}
 }
 
-// tryInnocent sends an innocent request and reports whether it was served.
-func (p *poisoned) tryInnocent(ctx context.Context, number int, node *world.Node) bool {
+// tryHarmless sends a harmless request and reports whether it was served.
+func (p *poisonWorld) tryHarmless(ctx context.Context, number int, node *world.Node) bool {
 	request := p.request
 	request.Method, request.Body, request.Deadline = http.MethodPost, []byte("innocent "+strconv.Itoa(number)), 4*time.Second
 	got := send(ctx, node, request)
 	what := strconv.Itoa(got.Status)
-	if code := codeOf(got); code == codePoison || code == fault.CodeCrashSuspected {
+	if code := errorCode(got); code == codePoison || code == fault.CodeCrashSuspected {
 		what = string(code)
 	}
 	if ctx.Err() != nil {
@@ -254,12 +260,13 @@
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.innocents[what]++
-	return got.Status == http.StatusOK && got.Whole
+	p.harmlessAnswers[what]++
+	return got.Status == http.StatusOK && got.Complete
 }
 
-// refusedAfter returns how long after an instant each node refused the request, by its log.
-func (p *poisoned) refusedAfter(t *testing.T, instant time.Time) []time.Duration {
+// refusedAfter returns how long after an instant each node first refused the request,
+// according to its log.
+func (p *poisonWorld) refusedAfter(t *testing.T, instant time.Time) []time.Duration {
 	t.Helper()
 	var times []time.Duration
 	for _, node := range p.nodes {
@@ -277,147 +284,152 @@
 	return times
 }
 
-// checkAnswers checks that no innocent request was taken for the one that ends runners, that
-// this one gets a final answer at each node and runs no more, and that others are served.
-func (p *poisoned) checkAnswers(t *testing.T) {
+// checkAnswers checks that no harmless request was refused as one that crashes runners,
+// that the request that does gets a final answer at each node and does not run any more,
+// and that others are served.
+func (p *poisonWorld) checkAnswers(t *testing.T) {
 	t.Helper()
-	assert.Equal(t, p.innocents[string(codePoison)]+p.innocents[string(fault.CodeCrashSuspected)], 0, "%v", p.innocents)
-	before := len(eventsOf(readHistory(t, p.world), journal.EventPoison))
+	assert.Equal(t, p.harmlessAnswers[string(codePoison)]+p.harmlessAnswers[string(fault.CodeCrashSuspected)], 0, "%v", p.harmlessAnswers)
+	before := len(eventTimes(readHistory(t, p.world), journal.EventPoison))
 	for _, node := range p.nodes {
 		got := p.tryPoison(t.Context(), node)
 		assert.Equal(t, got.Status, http.StatusBadRequest, "%+v", got)
-		assert.Equal(t, codeOf(got), codePoison, "%+v", got)
-		waitUntil(t, "innocent requests are served", func() error {
-			if !p.tryInnocent(t.Context(), int(time.Now().UnixNano()), node) {
-				return fmt.Errorf("%v", p.innocents)
+		assert.Equal(t, errorCode(got), codePoison, "%+v", got)
+		waitUntil(t, "harmless requests are served", func() error {
+			if !p.tryHarmless(t.Context(), int(time.Now().UnixNano()), node) {
+				return fmt.Errorf("%v", p.harmlessAnswers)
 			}
 			return nil
 		})
 	}
-	assert.Equal(t, len(eventsOf(readHistory(t, p.world), journal.EventPoison)), before)
+	assert.Equal(t, len(eventTimes(readHistory(t, p.world), journal.EventPoison)), before)
 }
 
-// refusedEverywhere waits until each node refuses the request for good, and returns how often
-// it has reached runners by then.
-func (p *poisoned) refusedEverywhere(t *testing.T) int {
+// waitRefusedAtAllNodes waits until each node refuses the request for good, and returns how
+// often it has reached runners by then.
+func (p *poisonWorld) waitRefusedAtAllNodes(t *testing.T) int {
 	t.Helper()
 	for _, node := range p.nodes {
 		waitUntil(t, "the request is refused at "+node.Name, func() error {
-			if got := p.tryPoison(t.Context(), node); codeOf(got) != codePoison {
+			if got := p.tryPoison(t.Context(), node); errorCode(got) != codePoison {
 				return fmt.Errorf("%d %s", got.Status, got.Body)
 			}
 			return nil
 		})
 	}
-	return len(eventsOf(readHistory(t, p.world), journal.EventPoison))
+	return len(eventTimes(readHistory(t, p.world), journal.EventPoison))
 }
 
-// TestRefusedRequestIsKnownAfterNodesEnded: nodes that are started again one by one, or that
-// all ended at once, refuse what was refused before. Operators see it and why, and may let it
-// run again.
+// TestRefusedRequestIsKnownAfterNodesEnded: nodes that are restarted one by one, or that
+// were all killed at once, still refuse what was refused before. Operators can see the
+// request and the reason, and can allow it to run again.
 func TestRefusedRequestIsKnownAfterNodesEnded(t *testing.T) {
 	t.Parallel()
-	p := startPoisoned(t, poisonTest{renamed: true, request: clientRequest{Path: "/read/x"}})
-	reached := p.refusedEverywhere(t)
+	p := startPoisonWorld(t, poisonTest{renamed: true, request: clientRequest{Path: "/read/x"}})
+	reached := p.waitRefusedAtAllNodes(t)
 	for _, node := range p.nodes {
 		assert.NilError(t, node.Terminate())
-		assert.NilError(t, node.Wait(fastGrace))
+		assert.NilError(t, node.Wait(stopGrace))
 		assert.NilError(t, p.world.RestartNode(node))
 	}
-	assert.Equal(t, p.refusedEverywhere(t), reached, "after nodes were stopped in turn")
+	assert.Equal(t, p.waitRefusedAtAllNodes(t), reached, "after nodes were stopped in turn")
 	for _, node := range p.nodes {
 		node.Kill()
 	}
 	for _, node := range p.nodes {
 		assert.NilError(t, p.world.RestartNode(node))
 	}
-	assert.Equal(t, p.refusedEverywhere(t), reached, "after all nodes were killed")
+	assert.Equal(t, p.waitRefusedAtAllNodes(t), reached, "after all nodes were killed")
 
-	expect := operate(t, p.nodes[1])
+	expect := newCommandCheck(t, p.nodes[1])
 	var listed []wire.PoisonStatus
 	assert.NilError(t, json.Unmarshal([]byte(expect(commandline.ExitOK, wire.PoisonRefused, "quarantine", "list", "-o", "json")), &listed))
 	assert.Equal(t, len(listed), 1)
-	assert.Assert(t, len(listed[0].Runners) >= crashesAllowed, "%+v", listed)
+	assert.Assert(t, len(listed[0].Runners) >= maxCrashes, "%+v", listed)
 	short := listed[0].Request[:16]
 	got := p.tryPoison(t.Context(), p.nodes[0])
 	expect(commandline.ExitOK, short, "explain", "request", got.ID)
 	expect(commandline.ExitOK, listed[0].Runners[0], "explain", "content", short)
 	expect(command.ExitNotFound, "lift quarantine", "quarantine", "lift", "0123")
 	expect(commandline.ExitOK, "may run again", "quarantine", "lift", short)
-	waitUntil(t, "it runs again at another node", func() error {
-		if got := p.tryPoison(t.Context(), p.nodes[2]); codeOf(got) != "" && codeOf(got) == codePoison {
+	waitUntil(t, "the request runs again at another node", func() error {
+		if got := p.tryPoison(t.Context(), p.nodes[2]); errorCode(got) != "" && errorCode(got) == codePoison {
 			return fmt.Errorf("%+v", got)
 		}
 		return nil
 	})
-	assert.Assert(t, len(eventsOf(readHistory(t, p.world), journal.EventPoison)) > reached)
+	assert.Assert(t, len(eventTimes(readHistory(t, p.world), journal.EventPoison)) > reached)
 }
 
-// TestModelThatEndsItsRunnersDoesNotEndAll: a model ended each runner that was ordered to load
-// it, and was ordered to the next one for as long as requests asked for it. Its loads rest
-// for longer and longer; its requests are told when to come back, and others are served.
+// TestModelThatEndsItsRunnersDoesNotEndAll: a model crashed each runner that was ordered to
+// load it, and was ordered to the next one as long as requests asked for it. Its loads must
+// be paused for longer and longer; its requests get a time to retry, and others are
+// served.
 func TestModelThatEndsItsRunnersDoesNotEndAll(t *testing.T) {
 	t.Parallel()
-	runModelThatEndsRunners(t, 2, nil)
+	runCrashingModel(t, 2, nil)
 }
 
-// TestModelThatEndsItsRunnersIsCountedThroughFaults: ends were not counted of runners whose
-// orders got no answer, and those before the holder's own end or pause were forgotten.
+// TestModelThatEndsItsRunnersIsCountedThroughFaults: crashes were not counted for runners
+// whose orders got no answer, and those before the lease holder's own end or pause were
+// forgotten.
 func TestModelThatEndsItsRunnersIsCountedThroughFaults(t *testing.T) {
 	t.Parallel()
 	random := rand.New(rand.NewPCG(*endsSeed, 0))
 	pause := 200*time.Millisecond + time.Duration(random.Int64N(int64(800*time.Millisecond)))
-	until := func(t *testing.T, w *world.World, count int) {
+	waitCrashes := func(t *testing.T, w *world.World, count int) {
 		t.Helper()
-		waitUntil(t, "runners ended", func() error {
-			if ended := len(eventsOf(readHistory(t, w), journal.EventCrash)); ended < count {
-				return fmt.Errorf("%d did", ended)
+		waitUntil(t, "runners crashed", func() error {
+			if ended := len(eventTimes(readHistory(t, w), journal.EventCrash)); ended < count {
+				return fmt.Errorf("%d runners crashed", ended)
 			}
 			return nil
 		})
 	}
 	for name, disturb := range map[string]func(t *testing.T, w *world.World, holder *world.Node){
 		"orders without answers": func(t *testing.T, w *world.World, _ *world.Node) {
-			for index := range endingRunners {
+			for index := range crashingModelRunners {
 				assert.NilError(t, w.SetRunnerFaults(fmt.Sprintf("runner-%d", index+1), runnerstub.Faults{OrderLostShare: 1}))
 			}
 		},
 		"holder stands still": func(t *testing.T, w *world.World, holder *world.Node) {
-			until(t, w, 1)
+			waitCrashes(t, w, 1)
 			assert.NilError(t, holder.Freeze())
 			time.Sleep(pause)
 			assert.NilError(t, holder.Thaw())
 		},
 		"holder ends": func(t *testing.T, w *world.World, holder *world.Node) {
-			until(t, w, 3)
-			waitUntil(t, "the holder counted the ends", func() error {
+			waitCrashes(t, w, 3)
+			waitUntil(t, "the holder counted the crashes", func() error {
 				return loggedBy(t, w, "runner ended as it loaded a model", `"pausedMs":1`, holder)
 			})
-			// Other nodes report to it, and are told, several times a second.
+			// Other nodes report to the holder, and receive its counts, several times a
+			// second.
 			time.Sleep(500 * time.Millisecond)
 			holder.Kill()
 		},
 	} {
-		t.Run(name, func(t *testing.T) { runModelThatEndsRunners(t, 3, disturb) })
+		t.Run(name, func(t *testing.T) { runCrashingModel(t, 3, disturb) })
 	}
 }
 
-// endsSeed draws how long the holder stands still.
+// endsSeed determines how long the holder is frozen.
 var endsSeed = flag.Uint64("ends.seed", 1, "seed of the pause of the holder while a model ends its runners")
 
-// endingRunners is how many runners a model may end.
-const endingRunners = 6
+// crashingModelRunners is the number of runners that a model may crash.
+const crashingModelRunners = 6
 
-// runModelThatEndsRunners asks nodes for a model that ends its runners, while something happens to
-// the node that holds the control lease, which is not asked then.
-func runModelThatEndsRunners(t *testing.T, count int, disturb func(t *testing.T, w *world.World, holder *world.Node)) {
+// runCrashingModel requests a model that crashes its runners from the nodes, while disturb
+// affects the holder of the control lease, which then gets no requests.
+func runCrashingModel(t *testing.T, count int, disturb func(t *testing.T, w *world.World, holder *world.Node)) {
 	t.Helper()
 	const (
-		runners, ends = endingRunners, 3
-		// asked is how long requests go on after the third end: less than loads rest then.
-		asked = 7 * time.Second
-		// together is how many more runners may be loading it as the third ends.
-		together = 1
+		runners, crashesBeforePause = crashingModelRunners, 3
+		// requestTime is how long requests continue after the third crash: less than loads are
+		// paused then.
+		requestTime = 7 * time.Second
+		// concurrentLoads is how many more runners may be loading the model at the third crash.
+		concurrentLoads = 1
 	)
 	w := newWorld(t, func(o *world.Options) { o.Proxied = false })
 	for index := range runners {
@@ -429,13 +441,13 @@
 		assert.NilError(t, err)
 	}
 	nodes := startNodes(t, w, count)
-	apply(t, nodes[0], append(model("alpha", 2), keep("alpha", 2))...)
+	apply(t, nodes[0], append(model("alpha", 2), readyPolicy("alpha", 2))...)
 	apply(t, nodes[0], model(poisonText, 2)...)
-	waitNamed(t, "alpha", nodes...)
-	waitNamed(t, poisonText, nodes...)
+	waitKnown(t, "alpha", nodes...)
+	waitKnown(t, poisonText, nodes...)
 	var holder *world.Node
 	if disturb != nil {
-		holder = holderOf(t, w, nodes[0])
+		holder = leaseHolder(t, w, nodes[0])
 		nodes = slices.DeleteFunc(nodes, func(node *world.Node) bool { return node == holder })
 	}
 	request := func(model string) call {
@@ -453,34 +465,34 @@
 		disturb(t, w, holder)
 	}
 	var third time.Time
-	waitUntil(t, "runners ended", func() error {
-		crashes := eventsOf(readHistory(t, w), journal.EventCrash)
-		if len(crashes) < ends {
-			return fmt.Errorf("%d did", len(crashes))
+	waitUntil(t, "runners crashed", func() error {
+		crashes := eventTimes(readHistory(t, w), journal.EventCrash)
+		if len(crashes) < crashesBeforePause {
+			return fmt.Errorf("%d runners crashed", len(crashes))
 		}
-		third = crashes[ends-1]
+		third = crashes[crashesBeforePause-1]
 		return nil
 	})
-	time.Sleep(time.Until(third.Add(asked)))
+	time.Sleep(time.Until(third.Add(requestTime)))
 	end()
 	senders.Wait()
-	crashes := eventsOf(readHistory(t, w), journal.EventCrash)
-	assert.Assert(t, len(crashes) <= ends+together, "%d runners ended", len(crashes))
-	// Another request waits there already, so that the node was told.
-	waiting := inBackground(t.Context(), nodes[1], request(poisonText), nil)
-	await(t, waiting)
+	crashes := eventTimes(readHistory(t, w), journal.EventCrash)
+	assert.Assert(t, len(crashes) <= crashesBeforePause+concurrentLoads, "%d runners crashed", len(crashes))
+	// Another request waits there first, so that the node learns of the pause.
+	waiting := sendInBackground(t.Context(), nodes[1], request(poisonText), nil)
+	awaitOutcome(t, waiting)
 	start := time.Now()
 	got := ask(t.Context(), nodes[1], request(poisonText), nil)
 	t.Logf("%s after its first request: %+v", time.Since(start), got)
 	assert.Equal(t, got.Status, http.StatusServiceUnavailable, "%+v", got)
-	back, err := strconv.ParseFloat(got.Retry, 64)
+	back, err := strconv.ParseFloat(got.RetryAfter, 64)
 	assert.NilError(t, err)
-	assert.Assert(t, back >= 1, "told to come back in %g s", back)
+	assert.Assert(t, back >= 1, "Retry-After is %g s", back)
 	assertServed(t, request("alpha"), ask(t.Context(), nodes[1], request("alpha"), nil))
 }
 
-// codeOf is the code of an error that a node answered with; empty for other answers.
-func codeOf(got clientAnswer) fault.Code {
+// errorCode returns the code of an error answer, or "" for other answers.
+func errorCode(got clientAnswer) fault.Code {
 	var body fault.Body
 	if json.Unmarshal([]byte(got.Body), &body) != nil {
 		return ""
@@ -488,8 +500,8 @@
 	return body.Error.Code
 }
 
-// eventsOf returns when an event happened at any runner, in order.
-func eventsOf(h history, event journal.Event) []time.Time {
+// eventTimes returns when an event happened at any runner, in order.
+func eventTimes(h history, event journal.Event) []time.Time {
 	var times []time.Time
 	for _, record := range h.records {
 		if record.Event == event {
--- a/test/relay_test.go
+++ b/test/relay_test.go
@@ -12,11 +12,12 @@
 	"lilacvane/platform/protocol"
 )
 
-// tablesFromStore is what a node's status says when it reads the store itself.
+// tablesFromStore is the source of tables in the status of a node that reads the store
+// itself.
 const tablesFromStore = "store"
 
-// readersOf returns the nodes that read the store themselves.
-func readersOf(t *testing.T, nodes []*world.Node) ([]*world.Node, error) {
+// storeReaders returns the nodes that read the store themselves.
+func storeReaders(t *testing.T, nodes []*world.Node) ([]*world.Node, error) {
 	t.Helper()
 	var readers []*world.Node
 	for _, node := range nodes {
@@ -31,12 +32,13 @@
 	return readers, nil
 }
 
-// relayOf waits until one of the nodes reads the store and the others follow it.
-func relayOf(t *testing.T, nodes []*world.Node) *world.Node {
+// waitSingleRelay waits until exactly one of the nodes reads the store, for the others, and
+// returns it.
+func waitSingleRelay(t *testing.T, nodes []*world.Node) *world.Node {
 	t.Helper()
 	var relay *world.Node
 	waitUntil(t, "one node reads the store for the others", func() error {
-		readers, err := readersOf(t, nodes)
+		readers, err := storeReaders(t, nodes)
 		if err != nil {
 			return err
 		}
@@ -49,8 +51,8 @@
 	return relay
 }
 
-// without returns the nodes but one.
-func without(nodes []*world.Node, left *world.Node) []*world.Node {
+// nodesExcept returns the nodes without one of them.
+func nodesExcept(nodes []*world.Node, left *world.Node) []*world.Node {
 	var others []*world.Node
 	for _, node := range nodes {
 		if node != left {
@@ -60,9 +62,9 @@
 	return others
 }
 
-// configured writes a configuration with a route more, and waits until the nodes
-// have it in force.
-func configured(t *testing.T, w *world.World, number int, nodes []*world.Node) {
+// applyConfiguration writes a configuration with an additional route and waits until the
+// nodes have it.
+func applyConfiguration(t *testing.T, w *world.World, number int, nodes []*world.Node) {
 	t.Helper()
 	before := make(map[*world.Node]uint64)
 	for _, node := range nodes {
@@ -74,7 +76,7 @@
 		Name: "step", Host: world.RouteHost, PathPrefix: fmt.Sprintf("/step%d/", number), Type: "safe", TimeoutMs: 3000, TargetMs: 500, Attempts: 1,
 		Service: world.MailService,
 	})))
-	waitUntil(t, "the configuration is in force", func() error {
+	waitUntil(t, "the configuration is active", func() error {
 		for _, node := range nodes {
 			status, err := node.Client().Status(t.Context())
 			if err != nil {
@@ -88,21 +90,21 @@
 	})
 }
 
-// TestTablesComeThroughRelay: one node reads the store, and changes reach all.
+// TestTablesComeThroughRelay: one node reads the store, and changes reach all nodes.
 func TestTablesComeThroughRelay(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
 	nodes := startNodes(t, w, 5)
-	relay := relayOf(t, nodes)
+	relay := waitSingleRelay(t, nodes)
 	for number := range 3 {
-		configured(t, w, number, nodes)
+		applyConfiguration(t, w, number, nodes)
 	}
-	assert.Equal(t, relayOf(t, nodes), relay)
+	assert.Equal(t, waitSingleRelay(t, nodes), relay)
 }
 
-// TestTablesWhenRelayIsLost: the relay is frozen, cut off from its peers, cut off
-// from the store, or killed right before a change; it comes in force at all other
-// nodes all the same, and afterwards one node reads the store for them again.
+// TestTablesWhenRelayIsLost: the relay is frozen, cut off from its peers, cut off from the
+// store, or killed right before a change. The change still reaches all other nodes, and
+// afterwards one node reads the store for them again.
 func TestTablesWhenRelayIsLost(t *testing.T) {
 	t.Parallel()
 	for name, lose := range map[string]func(*testing.T, *world.Node){
@@ -119,85 +121,85 @@
 			t.Parallel()
 			w := newWorld(t, nil)
 			nodes := startNodes(t, w, 4)
-			relay := relayOf(t, nodes)
-			others := without(nodes, relay)
+			relay := waitSingleRelay(t, nodes)
+			others := nodesExcept(nodes, relay)
 			lose(t, relay)
-			configured(t, w, 1, others)
+			applyConfiguration(t, w, 1, others)
 			if name != "cut off from peers" && name != "answers to peers lost" {
-				relayOf(t, others)
+				waitSingleRelay(t, others)
 			}
-			configured(t, w, 2, others)
+			applyConfiguration(t, w, 2, others)
 			if name == "frozen" {
 				assert.NilError(t, relay.Thaw())
-				configured(t, w, 3, nodes)
+				applyConfiguration(t, w, 3, nodes)
 			}
 		})
 	}
 }
 
-// TestTablesAfterLostHistory: the store forgets its history and answers reads that
-// are old; nodes that follow a relay come to the newest state as well.
+// TestTablesAfterLostHistory: the store drops its history and returns stale reads. Nodes
+// that follow a relay reach the newest state as well.
 func TestTablesAfterLostHistory(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
 	nodes := startNodes(t, w, 4)
-	relayOf(t, nodes)
-	configured(t, w, 1, nodes)
+	waitSingleRelay(t, nodes)
+	applyConfiguration(t, w, 1, nodes)
 	assert.NilError(t, w.SetStoreFaults(storestub.Faults{StaleMs: 300}))
 	assert.NilError(t, w.ForgetHistory())
-	configured(t, w, 2, nodes)
+	applyConfiguration(t, w, 2, nodes)
 	assert.NilError(t, w.SetStoreFaults(storestub.Faults{}))
-	configured(t, w, 3, nodes)
-	relayOf(t, nodes)
+	applyConfiguration(t, w, 3, nodes)
+	waitSingleRelay(t, nodes)
 }
 
-// TestHolderWithoutStoreIsReplaced: a holder that lost the store, but still
-// answers its peers, is replaced. It failed first: the others took its answers
-// for the proof that it holds the lease and did not look at the row.
+// TestHolderWithoutStoreIsReplaced: a lease holder that lost the store but still answers
+// its peers is replaced. This failed when the other nodes took its answers as proof that it
+// holds the lease and did not read the row.
 func TestHolderWithoutStoreIsReplaced(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
 	startRunners(t, w, 1)
 	nodes := startNodes(t, w, 3)
-	holder := holderOf(t, w, nodes[0])
-	others := without(nodes, holder)
+	holder := leaseHolder(t, w, nodes[0])
+	others := nodesExcept(nodes, holder)
 	holder.StoreProxy.Block()
 	waitUntil(t, "another node holds the lease", func() error {
-		if now := holderOf(t, w, others[0]); now == holder {
+		if now := leaseHolder(t, w, others[0]); now == holder {
 			return fmt.Errorf("%s still holds it", now.Name)
 		}
 		return nil
 	})
 }
 
-// TestStoreTurnsTheRelayAway: the store refuses, throttles, drops or leaves
-// unanswered the node that reads it for the others, and serves the rest; changes
-// come in force at all nodes, also at the one that is turned away.
+// TestStoreTurnsTheRelayAway: the store refuses, throttles, drops or does not answer the
+// node that reads it for the others, and serves the rest. Changes reach all nodes,
+// including the rejected one.
 func TestStoreTurnsTheRelayAway(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
 	nodes := startNodes(t, w, 4)
 	number := 0
 	for _, down := range []storestub.Down{storestub.Busy, storestub.Many, storestub.Reset, storestub.Silent} {
-		relay := relayOf(t, nodes)
+		relay := waitSingleRelay(t, nodes)
 		assert.NilError(t, w.SetStoreFaults(storestub.Faults{Down: down, Only: []string{relay.StoreHost()}}))
 		number++
-		configured(t, w, number, nodes)
+		applyConfiguration(t, w, number, nodes)
 		assert.NilError(t, w.SetStoreFaults(storestub.Faults{}))
 	}
 }
 
-// TestRunnersComeBackAfterLapse: the rows of all runners are removed and written
-// again, as after an outage of the store; requests are served. It failed first:
-// nodes took the runners for gone until their rows changed again.
+// TestRunnersComeBackAfterLapse: the rows of all runners are removed and written again, as
+// after an outage of the store, and requests are served. This failed when nodes considered
+// the runners gone until their rows changed again.
 func TestRunnersComeBackAfterLapse(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
 	startMailers(t, w, 4)
 	nodes := startNodes(t, w, 3)
-	for round := range 3 {
+	for runRound := range 3 {
 		assert.NilError(t, w.LapseRunners())
-		configured(t, w, round, nodes)
+		applyConfiguration(t, w, runRound, nodes)
 		for _, node := range nodes {
 			got := send(t.Context(), node, clientRequest{Path: "/read/x"})
 			assert.Equal(t, got.Status, 200, "%+v", got)
--- a/test/replicas_test.go
+++ b/test/replicas_test.go
@@ -19,7 +19,7 @@
 	"lilacvane/platform/protocol"
 )
 
-// setReplicas changes the bound on a model's replicas.
+// setReplicas changes the maximum number of a model's replicas.
 func setReplicas(ctx context.Context, node *world.Node, name string, replicas int) error {
 	object, err := node.Client().Get(ctx, api.KindModel, name)
 	if err != nil {
@@ -31,21 +31,21 @@
 	return err
 }
 
-// TestReplicasWhenHolderFreezes: the holder of the lease is frozen and another
-// node takes over; after the thaw the old one gives no orders, never more
-// replicas are loaded than decided, and the orders of the two lie apart.
+// TestReplicasWhenHolderFreezes: the lease holder is frozen and another node takes over.
+// After the old holder resumes it gives no orders, no more replicas than decided are ever
+// loaded, and the orders of the two holders are separated by the turn gap.
 func TestReplicasWhenHolderFreezes(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, func(o *world.Options) { o.Engine.SizeMB = roomFor(1) })
+	w := newWorld(t, func(o *world.Options) { o.Engine.SizeMB = memoryForModels(1) })
 	startRunners(t, w, 2)
 	nodes := startNodes(t, w, 3)
 	for index := range 4 {
 		apply(t, nodes[0], model(fmt.Sprintf("m%d", index), 1)...)
 	}
-	holder := holderOf(t, w, nodes[0])
-	caller := other(nodes, holder)
-	waitNamed(t, "m3", caller)
-	load := startBackground(t, 4, func(who, number int) (*world.Node, call) {
+	holder := leaseHolder(t, w, nodes[0])
+	caller := anyNodeExcept(nodes, holder)
+	waitKnown(t, "m3", caller)
+	load := startLoad(t, 4, func(who, number int) (*world.Node, call) {
 		return caller, call{Model: fmt.Sprintf("m%d", who), Prompt: fmt.Sprintf("p%d-%d", who, number), Tokens: 4, Deadline: 20 * time.Second}
 	})
 	load.waitServed(t, 6)
@@ -68,16 +68,16 @@
 	load.finish()
 	h := readHistory(t, w)
 	for index := range 4 {
-		assert.Assert(t, h.most(fmt.Sprintf("m%d", index)) <= 1)
+		assert.Assert(t, h.maxReplicas(fmt.Sprintf("m%d", index)) <= 1)
 	}
-	h.assertMemory(t)
-	h.assertTurns(t, turnGap)
+	h.assertMemoryNeverExceeded(t)
+	h.assertOrderGap(t, turnGap)
 	load.assertTruthful(t, h)
 }
 
-// TestReplicaOnItsWayCountsForNextHolder: the holder of the lease is killed while
-// a runner loads a model, which the platform's list does not tell; the next
-// holder counts that replica and loads no other one.
+// TestReplicaOnItsWayCountsForNextHolder: the lease holder is killed while a runner loads a
+// model, which the platform's list does not show. The next holder counts that replica and
+// does not load another.
 func TestReplicaOnItsWayCountsForNextHolder(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -90,15 +90,15 @@
 	}
 	nodes := startNodes(t, w, 3)
 	apply(t, nodes[0], model("alpha", 1)...)
-	waitNamed(t, "alpha", nodes...)
-	holder := holderOf(t, w, nodes[0])
-	caller := other(nodes, holder)
+	waitKnown(t, "alpha", nodes...)
+	holder := leaseHolder(t, w, nodes[0])
+	caller := anyNodeExcept(nodes, holder)
 	var waiting sync.WaitGroup
 	request := call{Model: "alpha", Prompt: "one", Tokens: 4, Deadline: 25 * time.Second}
 	var got outcome
 	waiting.Go(func() { got = ask(t.Context(), caller, request, nil) })
-	waitUntil(t, "the load has begun", func() error {
-		if h := readHistory(t, w); h.most("alpha") == 0 {
+	waitUntil(t, "the load is running", func() error {
+		if h := readHistory(t, w); h.maxReplicas("alpha") == 0 {
 			return errors.New("nothing is loaded")
 		}
 		return nil
@@ -106,15 +106,15 @@
 	holder.Kill()
 	waiting.Wait()
 	assertServed(t, request, got)
-	assert.Equal(t, readHistory(t, w).most("alpha"), 1)
+	assert.Equal(t, readHistory(t, w).maxReplicas("alpha"), 1)
 }
 
-// TestControlWhenHolderIsLost: the holder is killed, then the next one is cut
-// off from the store, then the next one stops in order; each time another one
-// goes on, and the orders of two nodes lie apart.
+// TestControlWhenHolderIsLost: the lease holder is killed, the next one is cut off from the
+// store, and the next one is stopped. Each time another node takes over, and the orders of
+// two nodes are separated by the turn gap.
 func TestControlWhenHolderIsLost(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, func(o *world.Options) { o.Engine.SizeMB = roomFor(1) })
+	w := newWorld(t, func(o *world.Options) { o.Engine.SizeMB = memoryForModels(1) })
 	startRunners(t, w, 2)
 	nodes := startNodes(t, w, 4)
 	const models = 4
@@ -127,12 +127,12 @@
 		func(node *world.Node) { node.StoreProxy.Block() },
 		func(node *world.Node) { assert.NilError(t, node.Terminate()) },
 	} {
-		caller := other(nodes, gone...)
-		holder := holderOf(t, w, caller)
+		caller := anyNodeExcept(nodes, gone...)
+		holder := leaseHolder(t, w, caller)
 		if caller == holder {
-			caller = other(nodes, append(gone, holder)...)
+			caller = anyNodeExcept(nodes, append(gone, holder)...)
 		}
-		waitNamed(t, fmt.Sprintf("m%d", models-1), caller)
+		waitKnown(t, fmt.Sprintf("m%d", models-1), caller)
 		lose(holder)
 		gone = append(gone, holder)
 		for index := range models {
@@ -141,28 +141,27 @@
 		}
 	}
 	h := readHistory(t, w)
-	h.assertMemory(t)
-	h.assertTurns(t, turnGap)
+	h.assertMemoryNeverExceeded(t)
+	h.assertOrderGap(t, turnGap)
 	for index := range models {
-		assert.Assert(t, h.most(fmt.Sprintf("m%d", index)) <= 1)
+		assert.Assert(t, h.maxReplicas(fmt.Sprintf("m%d", index)) <= 1)
 	}
 }
 
-// TestReplicasWhileOperatorsChangeThem: the bound goes up and down while requests
-// come and a node is killed; the number in memory never exceeds what was allowed
-// at some time, and after the last lowering came into force no replica beyond it
-// appears.
+// TestReplicasWhileOperatorsChangeThem: the maximum is raised and lowered while requests
+// arrive and a node is killed. The number in memory never exceeds what was allowed at some
+// time, and after the last reduction is active no replica beyond it appears.
 func TestReplicasWhileOperatorsChangeThem(t *testing.T) {
 	t.Parallel()
-	w, nodes := startWithAlpha(t, 4, 3, append(model("alpha", 1), keep("alpha", 4))...)
-	load := startBackground(t, 8, func(who, number int) (*world.Node, call) {
+	w, nodes := startWithAlpha(t, 4, 3, append(model("alpha", 1), readyPolicy("alpha", 4))...)
+	load := startLoad(t, 8, func(who, number int) (*world.Node, call) {
 		return nodes[who%2], call{Model: "alpha", Prompt: fmt.Sprintf("p%d-%d", who, number), Tokens: 20, Deadline: 20 * time.Second}
 	})
 	load.waitServed(t, 5)
 	for _, replicas := range []int{3, 1, 4, 1} {
 		assert.NilError(t, setReplicas(t.Context(), nodes[1], "alpha", replicas))
-		waitUntil(t, "the bound is met", func() error {
-			if loaded := len(runnersOf(t, nodes[0], "alpha")); loaded != replicas {
+		waitUntil(t, "the number of replicas matches", func() error {
+			if loaded := len(runnersHolding(t, nodes[0], "alpha")); loaded != replicas {
 				return fmt.Errorf("%d loaded, %d decided", loaded, replicas)
 			}
 			return nil
@@ -176,46 +175,47 @@
 	load.waitServed(t, 20)
 	load.finish()
 	h := readHistory(t, w)
-	assert.Assert(t, h.most("alpha") <= 4, "%d replicas", h.most("alpha"))
-	assert.Equal(t, h.mostFrom(lowered, "alpha"), 1)
-	h.assertMemory(t)
+	assert.Assert(t, h.maxReplicas("alpha") <= 4, "%d replicas", h.maxReplicas("alpha"))
+	assert.Equal(t, h.maxLoadedAfter(lowered, "alpha"), 1)
+	h.assertMemoryNeverExceeded(t)
 	load.assertTruthful(t, h)
 }
 
-// TestReplicaAtUnreachableRunnerCounts: a runner that cannot be reached keeps its
-// replica until the platform drops it; only then another one loads the model.
+// TestReplicaAtUnreachableRunnerCounts: a runner that cannot be reached keeps its replica
+// until the platform removes the runner from its list. Only then does another runner load
+// the model.
 func TestReplicaAtUnreachableRunnerCounts(t *testing.T) {
 	t.Parallel()
 	w, nodes := startWithAlpha(t, 2, 2, model("alpha", 1)...)
 	first := call{Model: "alpha", Prompt: "one", Tokens: 4}
 	assertServed(t, first, ask(t.Context(), nodes[0], first, nil))
-	runner := runnersOf(t, nodes[0], "alpha")[0]
+	runner := runnersHolding(t, nodes[0], "alpha")[0]
 	w.Runners[runner].Proxy.Block()
 	refused := ask(t.Context(), nodes[0], call{Model: "alpha", Prompt: "two", Tokens: 4, Deadline: 3 * time.Second}, nil)
-	assert.Assert(t, !refused.Served, "served by a runner that nobody allowed: %+v", refused)
-	assert.Equal(t, readHistory(t, w).most("alpha"), 1)
+	assert.Assert(t, !refused.Served, "served by a second replica, which is not allowed: %+v", refused)
+	assert.Equal(t, readHistory(t, w).maxReplicas("alpha"), 1)
 	gone := killRunner(t, w, runner)
 	moved := call{Model: "alpha", Prompt: "three", Tokens: 4, Deadline: 30 * time.Second}
 	assertServed(t, moved, ask(t.Context(), nodes[1], moved, nil))
 	h := readHistory(t, w, gone)
-	assert.Equal(t, h.most("alpha"), 1)
+	assert.Equal(t, h.maxReplicas("alpha"), 1)
 	h.assertTruthful(t, call{}, refused)
 }
 
-// TestMemoryUnderPressure: more models than fit compete for few runners while
-// orders go unanswered and are carried out late, a node is killed and another one
-// frozen; no order ever overcommits a runner, and all models are served in turn.
+// TestMemoryUnderPressure: more models than fit compete for few runners while orders remain
+// unanswered or are carried out late, a node is killed and another one frozen. No order
+// ever overcommits a runner, and all models are served in turn.
 func TestMemoryUnderPressure(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, func(o *world.Options) { o.Engine.SizeMB = roomFor(2) })
+	w := newWorld(t, func(o *world.Options) { o.Engine.SizeMB = memoryForModels(2) })
 	startRunners(t, w, 2)
 	nodes := startNodes(t, w, 3)
 	const models = 6
 	for index := range models {
 		apply(t, nodes[0], model(fmt.Sprintf("m%d", index), 1)...)
 	}
-	waitNamed(t, "m5", nodes...)
-	load := startBackground(t, models, func(who, number int) (*world.Node, call) {
+	waitKnown(t, "m5", nodes...)
+	load := startLoad(t, models, func(who, number int) (*world.Node, call) {
 		return nodes[who%2], call{Model: fmt.Sprintf("m%d", who), Prompt: fmt.Sprintf("p%d-%d", who, number), Tokens: 3, Deadline: 30 * time.Second}
 	})
 	load.waitServed(t, models)
@@ -231,17 +231,17 @@
 	load.waitServed(t, 2*models)
 	load.finish()
 	h := readHistory(t, w)
-	h.assertMemory(t)
-	h.assertTurns(t, turnGap)
+	h.assertMemoryNeverExceeded(t)
+	h.assertOrderGap(t, turnGap)
 	for index := range models {
-		assert.Assert(t, h.most(fmt.Sprintf("m%d", index)) <= 1)
+		assert.Assert(t, h.maxReplicas(fmt.Sprintf("m%d", index)) <= 1)
 	}
 	load.assertTruthful(t, h)
 }
 
-// TestAdaptersUnderPressure: adapters of two models compete for few places while
-// a node is killed and connections are cut; places and memory are never
-// overcommitted, and all are served.
+// TestAdaptersUnderPressure: adapters of two models compete for few slots while a node is
+// killed and connections are reset. Slots and memory are never overcommitted, and all
+// adapters are served.
 func TestAdaptersUnderPressure(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, func(o *world.Options) { o.Engine.LoRASlots = 2 })
@@ -255,8 +255,8 @@
 		name := fmt.Sprintf("adapter%d", index)
 		apply(t, nodes[0], api.NewObject(api.KindAdapter, name, api.Adapter{Model: fmt.Sprintf("base%d", index%2), Checkpoint: name, MemoryMiB: 10, Replicas: 1}))
 	}
-	waitNamed(t, "adapter5", nodes...)
-	load := startBackground(t, adapters, func(who, number int) (*world.Node, call) {
+	waitKnown(t, "adapter5", nodes...)
+	load := startLoad(t, adapters, func(who, number int) (*world.Node, call) {
 		return nodes[who%2], call{Model: fmt.Sprintf("adapter%d", who), Prompt: fmt.Sprintf("p%d-%d", who, number), Tokens: 3, Deadline: 30 * time.Second}
 	})
 	load.waitServed(t, adapters)
@@ -268,20 +268,20 @@
 	load.waitServed(t, 3*adapters)
 	load.finish()
 	h := readHistory(t, w)
-	h.assertMemory(t)
+	h.assertMemoryNeverExceeded(t)
 	for base := range 2 {
-		assert.Assert(t, h.most(fmt.Sprintf("base%d", base)) <= 2)
+		assert.Assert(t, h.maxReplicas(fmt.Sprintf("base%d", base)) <= 2)
 	}
 	load.assertTruthful(t, h)
 }
 
-// TestVersionChangesUnderLoad: the active version changes while requests come
-// and a node is frozen; once the change is in force at a node its requests run
-// under the new version only, and versions together stay within the replicas.
+// TestVersionChangesUnderLoad: the active version changes while requests arrive and a node
+// is frozen. Once the change is active at a node, its requests run only with the new
+// version, and both versions together stay within the replicas.
 func TestVersionChangesUnderLoad(t *testing.T) {
 	t.Parallel()
 	w, nodes := startWithAlpha(t, 3, 3, model("alpha", 2)...)
-	load := startBackground(t, 6, func(who, number int) (*world.Node, call) {
+	load := startLoad(t, 6, func(who, number int) (*world.Node, call) {
 		return nodes[who%2], call{Model: "alpha", Prompt: fmt.Sprintf("p%d-%d", who, number), Tokens: 4, Deadline: 30 * time.Second}
 	})
 	load.waitServed(t, 10)
@@ -292,19 +292,19 @@
 	changed.Generation = object.Generation
 	version := api.NewObject(api.KindVersion, "alpha-v2", api.Version{Model: "alpha", Checkpoint: "alpha-2", MemoryMiB: modelMiB, LoadSeconds: 0.15})
 	revision := apply(t, nodes[0], changed, version)
-	waitUntil(t, "the version is in force", func() error {
+	waitUntil(t, "the version is active", func() error {
 		for _, node := range nodes[:2] {
 			status, err := node.Client().Status(t.Context())
 			if err != nil {
 				return err
 			}
 			if status.Revision < revision {
-				return fmt.Errorf("%s has the old one", node.Name)
+				return fmt.Errorf("%s has the old version", node.Name)
 			}
 		}
 		return nil
 	})
-	load.waitServed(t, 12) // requests that were on their way
+	load.waitServed(t, 12) // requests that were already in progress
 	inForce := time.Now()
 	assert.NilError(t, nodes[2].Thaw())
 	late := call{Model: "alpha", Prompt: "late", Tokens: 4, Deadline: 30 * time.Second}
@@ -316,13 +316,13 @@
 		old := record.Event == journal.EventRun && record.Unit == "alpha"
 		assert.Assert(t, !old || record.Time.Before(inForce), "%+v", record)
 	}
-	assert.Assert(t, h.mostTogether("alpha", "alpha-2") <= 2)
-	h.assertMemory(t)
+	assert.Assert(t, h.maxLoaded("alpha", "alpha-2") <= 2)
+	h.assertMemoryNeverExceeded(t)
 	load.assertTruthful(t, h)
 }
 
-// TestModelsOfThePlatformAreServed: models that the platform's configuration
-// lists are loaded on request, by route and by completion call.
+// TestModelsOfThePlatformAreServed: models listed in the platform's configuration are
+// loaded on request, by route and by completion call.
 func TestModelsOfThePlatformAreServed(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, func(o *world.Options) {
@@ -334,17 +334,17 @@
 	for _, model := range []string{"listed", "listed/a1", "listed/a2"} {
 		id := newID()
 		got := send(t.Context(), nodes[0], clientRequest{ID: id, Path: "/draft/x", Model: model, Events: 4, Deadline: 15 * time.Second})
-		assert.Assert(t, got.Whole, "%+v", got)
+		assert.Assert(t, got.Complete, "%+v", got)
 		assert.Equal(t, got.Body, expectedEvents(id, 4))
 	}
 	c := call{Model: "listed", Prompt: "chat", Tokens: 3}
 	assertServed(t, c, ask(t.Context(), nodes[0], c, nil))
 }
 
-// TestSilentRunnerIsReplaced: the only runner that holds a model falls silent, and
-// the platform still lists it; the model is loaded at another one, within its
-// bound, and the runner serves again when it answers. It failed first: the copy
-// counted as served, and nobody loaded another.
+// TestSilentRunnerIsReplaced: the only runner that holds a model goes silent while the
+// platform still lists it. The model is loaded at another runner, within its maximum, and
+// the first runner serves again once it answers. This failed when the silent replica
+// counted as serving, so that no other was loaded.
 func TestSilentRunnerIsReplaced(t *testing.T) {
 	t.Parallel()
 	w, nodes := startWithAlpha(t, 3, 3, model("alpha", 2)...)
@@ -356,7 +356,7 @@
 	}
 	c, got := next()
 	assertServed(t, c, got)
-	holders := runnersOf(t, nodes[0], "alpha")
+	holders := runnersHolding(t, nodes[0], "alpha")
 	assert.Equal(t, len(holders), 1)
 	silent := w.Runners[holders[0]]
 	silent.Proxy.Set(faultproxy.Silence)
@@ -367,11 +367,11 @@
 		return nil
 	})
 	silent.Proxy.Heal()
-	waitUntil(t, "two runners hold it", func() error {
-		if holders := runnersOf(t, nodes[0], "alpha"); len(holders) != 2 {
+	waitUntil(t, "two runners hold the model", func() error {
+		if holders := runnersHolding(t, nodes[0], "alpha"); len(holders) != 2 {
 			return fmt.Errorf("%v", holders)
 		}
 		return nil
 	})
-	assert.Assert(t, readHistory(t, w).most("alpha") <= 2)
+	assert.Assert(t, readHistory(t, w).maxReplicas("alpha") <= 2)
 }
--- a/test/runner_limit_test.go
+++ b/test/runner_limit_test.go
@@ -18,89 +18,90 @@
 )
 
 const (
-	// limitContact is how long after a runner first named its limit that binds, limitTold how long
-	// after a node passed such an answer on it binds that node.
-	limitContact = 3 * time.Second
-	limitTold    = 500 * time.Millisecond
-	// limitWindow is the sliding window of the bound, limitShare and limitSlack what of the limit
-	// may come within it, and how many requests more.
+	// limitBindsAfter is how long after a runner first named its limit the limit binds,
+	// limitAppliedAfter how long after a node forwarded such an answer it binds that node.
+	limitBindsAfter   = 3 * time.Second
+	limitAppliedAfter = 500 * time.Millisecond
+	// limitWindow is the sliding window of the bound. Within it, limitShare times the limit
+	// plus limitSlack requests are allowed.
 	limitWindow = 4 * time.Second
 	limitShare  = 1.5
 	limitSlack  = 5
-	// limitedFor is how long runners name their limits.
-	limitedFor = 11 * time.Second
+	// limitDuration is how long runners name their limits.
+	limitDuration = 11 * time.Second
 )
 
-// TestRunnerGotMoreThanItsLimit: runners that name a limit get no more of all nodes together.
+// TestRunnerGotMoreThanItsLimit: runners that name a limit receive no more than that from
+// all nodes together.
 func TestRunnerGotMoreThanItsLimit(t *testing.T) {
 	t.Parallel()
-	for name, test := range map[string]statedTest{
+	for name, test := range map[string]statementTest{
 		"some, many requests": {limit: "2", crowd: 40},
 		"less than one":       {limit: "0.3", all: true},
 		"many requests":       {limit: "1", all: true, crowd: 40},
 		"store down":          {limit: "4.5", all: true, store: storestub.Busy},
 	} {
-		t.Run(name, func(t *testing.T) { runLimited(t, test) })
+		t.Run(name, func(t *testing.T) { runLimitTest(t, test) })
 	}
 }
 
-func runLimited(t *testing.T, test statedTest) {
+func runLimitTest(t *testing.T, test statementTest) {
 	t.Helper()
-	s := startStated(t, test)
+	s := startStatementWorld(t, test)
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
 	var senders sync.WaitGroup
 	senders.Go(func() { s.send(ctx) })
 	time.Sleep(time.Second)
-	assert.NilError(t, s.suffer())
-	for _, name := range s.stating() {
+	assert.NilError(t, s.applyStoreFaults())
+	for _, name := range s.statingRunners() {
 		assert.NilError(t, s.world.SetRunnerFaults(name, runnerstub.Faults{Limit: test.limit}))
 	}
 	s.sendCrowds(ctx, &senders)
-	time.Sleep(limitedFor)
+	time.Sleep(limitDuration)
 	end()
 	senders.Wait()
 	assert.NilError(t, s.world.SetStoreFaults(storestub.Faults{}))
 	s.checkClients(t)
-	s.checkLimits(t)
+	s.checkLimitWindows(t)
 }
 
-// checkLimits checks each window of each runner that named a limit.
-func (s *stated) checkLimits(t *testing.T) {
+// checkLimitWindows checks each window of each runner that named a limit.
+func (s *statementWorld) checkLimitWindows(t *testing.T) {
 	t.Helper()
 	rate, err := strconv.ParseFloat(s.limit, 64)
 	assert.NilError(t, err)
 	allowed := int(rate*limitShare*limitWindow.Seconds() + limitSlack)
-	byRunner := make(map[string][]visit)
-	for _, visited := range s.visits(t) {
-		byRunner[visited.runner] = append(byRunner[visited.runner], visited)
+	byRunner := make(map[string][]arrival)
+	for _, arrived := range s.arrivals(t) {
+		byRunner[arrived.runner] = append(byRunner[arrived.runner], arrived)
 	}
 	assert.Assert(t, len(byRunner) > 0, "no request reached a runner that names a limit")
-	for runner, visits := range byRunner {
-		most := mostInWindow(visits)
-		t.Logf("%s got %d requests, %d at most in %v, allowed %d", runner, len(visits), most, limitWindow, allowed)
-		assert.Check(t, most <= allowed, "%s got %d in %v, allowed %d", runner, most, limitWindow, allowed)
+	for runner, arrivals := range byRunner {
+		most := mostInWindow(arrivals)
+		t.Logf("%s received %d requests, at most %d in %v, allowed %d", runner, len(arrivals), most, limitWindow, allowed)
+		assert.Check(t, most <= allowed, "%s received %d requests in %v, allowed %d", runner, most, limitWindow, allowed)
 	}
 }
 
-// mostInWindow is how many requests of nodes that knew the limit reached a runner within one window
-// at most, once the limit binds.
-func mostInWindow(visits []visit) int {
-	told := make(map[*world.Node]time.Time)
-	for _, visited := range visits {
-		if known, heard := told[visited.node]; (!heard || visited.end.Before(known)) && visited.answer.Status != 0 {
-			told[visited.node] = visited.end
+// mostInWindow returns the largest number of requests that reached a runner within one
+// window, counting the requests of nodes that knew the limit, from when the limit binds.
+func mostInWindow(arrivals []arrival) int {
+	knownSince := make(map[*world.Node]time.Time)
+	for _, arrived := range arrivals {
+		if known, heard := knownSince[arrived.node]; (!heard || arrived.end.Before(known)) && arrived.answer.Status != 0 {
+			knownSince[arrived.node] = arrived.end
 		}
 	}
 	var counted []time.Time
 	most, first := 0, 0
-	for _, visited := range visits {
-		knew := !told[visited.node].IsZero() && visited.at.Sub(told[visited.node]) >= limitTold
-		if !knew || visited.at.Sub(visits[0].at) < limitContact {
+	for _, arrived := range arrivals {
+		knew := !knownSince[arrived.node].IsZero() && arrived.at.Sub(knownSince[arrived.node]) >= limitAppliedAfter
+		if !knew || arrived.at.Sub(arrivals[0].at) < limitBindsAfter {
 			continue
 		}
-		counted = append(counted, visited.at)
-		for visited.at.Sub(counted[first]) > limitWindow {
+		counted = append(counted, arrived.at)
+		for arrived.at.Sub(counted[first]) > limitWindow {
 			first++
 		}
 		most = max(most, len(counted)-first)
@@ -108,15 +109,15 @@
 	return most
 }
 
-// TestNodesTellEachOtherOfLimits: one node hears a runner's limit in an answer; the others know it
-// before they have sent the runner anything.
+// TestNodesTellEachOtherOfLimits: one node reads a runner's limit from an answer, and the
+// others know it before they have sent the runner anything.
 func TestNodesTellEachOtherOfLimits(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
 	startRunners(t, w, 1)
 	nodes := startNodes(t, w, 4)
 	apply(t, nodes[0], model("alpha", 1)...)
-	waitNamed(t, "alpha", nodes...)
+	waitKnown(t, "alpha", nodes...)
 	request := clientRequest{Path: "/draft/x", Model: "alpha", Events: 5, Deadline: 10 * time.Second}
 	served := func(node *world.Node) func() error {
 		return func() error {
@@ -127,12 +128,12 @@
 		}
 	}
 	waitUntil(t, "the model is served", served(nodes[0]))
-	limited := runnersOf(t, nodes[0], "alpha")[0]
+	limited := runnersHolding(t, nodes[0], "alpha")[0]
 	assert.NilError(t, w.SetRunnerFaults(limited, runnerstub.Faults{Limit: "5"}))
 	waitUntil(t, "a request is served", served(nodes[1]))
-	waitUntil(t, "all nodes are told", func() error { return loggedBy(t, w, namesLimit, limited, nodes...) })
+	waitUntil(t, "all nodes know the limit", func() error { return loggedBy(t, w, logLimit, limited, nodes...) })
 	for _, node := range nodes {
 		waitUntil(t, "the limited runner serves", served(node))
 	}
-	operate(t, nodes[0])(commandline.ExitOK, "hear its limit", "explain", "replica", limited)
+	newCommandCheck(t, nodes[0])(commandline.ExitOK, "hear its limit", "explain", "replica", limited)
 }
--- a/test/path_test.go
+++ b/test/serving_test.go
@@ -12,20 +12,20 @@
 	"lilacvane/platform/protocol"
 )
 
-// TestColdRequestIsServed: a request for a sleeping model is served, streamed
-// and whole, by any node.
+// TestColdRequestIsServed: a request for a model that is not loaded is served, streamed and
+// unstreamed, by any node.
 func TestColdRequestIsServed(t *testing.T) {
 	t.Parallel()
 	w, nodes := startWithAlpha(t, 2, 2, model("alpha", 1)...)
 	streamed := call{Model: "alpha", Prompt: "first words", Tokens: 8}
 	assertServed(t, streamed, ask(t.Context(), nodes[1], streamed, nil))
-	whole := call{Model: "alpha", Prompt: "second words", Tokens: 8, Whole: true}
-	assertServed(t, whole, ask(t.Context(), nodes[0], whole, nil))
-	readHistory(t, w).assertMemory(t)
+	unstreamed := call{Model: "alpha", Prompt: "second words", Tokens: 8, Unstreamed: true}
+	assertServed(t, unstreamed, ask(t.Context(), nodes[0], unstreamed, nil))
+	readHistory(t, w).assertMemoryNeverExceeded(t)
 }
 
-// TestRefusalsAreTyped: what cannot be served is refused at once, with a code,
-// and truthfully as not run.
+// TestRefusalsAreTyped: a request that cannot be served is refused at once, with an error
+// code and marked as not run.
 func TestRefusalsAreTyped(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -38,26 +38,26 @@
 	none := ask(t.Context(), nodes[0], call{Model: "none", Prompt: "x", Tokens: 1}, nil)
 	assert.Equal(t, none.Code, fault.CodeNoReplica)
 	assert.Equal(t, none.Ran, "no")
-	assert.Assert(t, none.Retry != "")
+	assert.Assert(t, none.RetryAfter != "")
 }
 
-// TestPolicyKeepsReplicaReady: a policy wakes a model that nobody asked for.
+// TestPolicyKeepsReplicaReady: a policy loads a model that nobody has requested.
 func TestPolicyKeepsReplicaReady(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
 	startRunners(t, w, 2)
 	nodes := startNodes(t, w, 1)
-	apply(t, nodes[0], append(model("alpha", 2), keep("alpha", 2))...)
+	apply(t, nodes[0], append(model("alpha", 2), readyPolicy("alpha", 2))...)
 	waitUntil(t, "two replicas are loaded", func() error {
-		if len(runnersOf(t, nodes[0], "alpha")) != 2 {
+		if len(runnersHolding(t, nodes[0], "alpha")) != 2 {
 			return fault.New(fault.CodeNotLoaded, "test", "not yet")
 		}
 		return nil
 	})
 }
 
-// TestRoutesServe: requests of clients are matched by host and longest prefix,
-// reach the service, and come back whole with the runner's signature.
+// TestRoutesServe: clients' requests are matched by host and longest prefix, reach the
+// service, and return complete with the runner's signature.
 func TestRoutesServe(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -65,18 +65,17 @@
 	startMailers(t, w, 2)
 	nodes := startNodes(t, w, 2)
 	apply(t, nodes[0], model("alpha", 1)...)
-	waitNamed(t, "alpha", nodes...)
+	waitKnown(t, "alpha", nodes...)
 	for _, path := range []string{"/draft/x", "/reply/x", "/send/x?y=1", "/read/x"} {
 		got := send(t.Context(), nodes[1], clientRequest{Path: path, Model: "alpha", Events: 5})
 		assert.Equal(t, got.Status, http.StatusOK, "%s: %+v", path, got)
-		assert.Assert(t, got.Whole && got.Signature != "", "%s: %+v", path, got)
+		assert.Assert(t, got.Complete && got.Signature != "", "%s: %+v", path, got)
 	}
 	missing := send(t.Context(), nodes[0], clientRequest{Path: "/nowhere/x"})
 	assert.Equal(t, missing.Status, http.StatusNotFound)
 }
 
-// TestSplitRouteFollowsWeights: a route that is split sends each service exactly
-// its share.
+// TestSplitRouteFollowsWeights: a split route sends each service exactly its share.
 func TestSplitRouteFollowsWeights(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -89,7 +88,7 @@
 		Split: []protocol.Split{{Service: world.MailService, Weight: 3}, {Service: world.EngineService, Weight: 1}},
 	})
 	assert.NilError(t, w.Configure(routes))
-	waitUntil(t, "the route is in force", func() error {
+	waitUntil(t, "the route is active", func() error {
 		if got := send(t.Context(), nodes[0], clientRequest{Path: "/split/probe"}); got.Status == http.StatusNotFound {
 			return fault.New(fault.CodeNotFound, "test", "not yet")
 		}
--- a/test/stops_test.go
+++ b/test/stops_test.go
@@ -15,7 +15,7 @@
 	"lilacvane/internal/operator"
 )
 
-// startStreams starts long streams at nodes and waits until each has begun.
+// startStreams starts long streams at the nodes and waits until each has begun.
 func startStreams(t *testing.T, nodes []*world.Node, c call, count int) []<-chan outcome {
 	t.Helper()
 	var results []<-chan outcome
@@ -28,24 +28,24 @@
 				begun <- struct{}{}
 			}
 		}
-		results = append(results, inBackground(t.Context(), nodes[index%len(nodes)], c, progress))
+		results = append(results, sendInBackground(t.Context(), nodes[index%len(nodes)], c, progress))
 	}
 	for range count {
 		select {
 		case <-begun:
-		case <-time.After(patience):
+		case <-time.After(waitTimeout):
 			t.Fatal("a stream did not begin")
 		}
 	}
 	return results
 }
 
-// longStream lasts for several seconds, longer than the notice of any stop.
+// longStream lasts for several seconds, longer than the notice time of any stop.
 var longStream = call{Model: "alpha", Prompt: "long", Tokens: 400, Deadline: 30 * time.Second}
 
-// TestStopOfNodeCutsOffNoRequest: a node is asked to stop while streams run and
-// requests wait at it; all of them end with their whole answer or a truthful
-// refusal, the node ends, and claims made there are remembered.
+// TestStopOfNodeCutsOffNoRequest: a node is asked to stop while streams run and requests
+// wait there. All of them end with their complete answer or a truthful refusal, the node
+// ends, and claims that it made are remembered.
 func TestStopOfNodeCutsOffNoRequest(t *testing.T) {
 	t.Parallel()
 	w, nodes := startWithAlpha(t, 2, 3, model("alpha", 2)...)
@@ -56,22 +56,22 @@
 	late := call{Model: "alpha", Prompt: "late", Tokens: 4, Key: "late-key", Deadline: 30 * time.Second}
 	assertServed(t, late, ask(t.Context(), nodes[1], late, nil))
 	for _, stream := range streams {
-		assertServed(t, longStream, await(t, stream))
+		assertServed(t, longStream, awaitOutcome(t, stream))
 	}
-	assert.NilError(t, nodes[0].Wait(patience))
+	assert.NilError(t, nodes[0].Wait(waitTimeout))
 	again := call{Model: "alpha", Prompt: "again", Tokens: 4, Deadline: 30 * time.Second}
 	assertServed(t, again, ask(t.Context(), nodes[2], again, nil))
 	for _, c := range []call{early, late} {
 		duplicate := ask(t.Context(), nodes[2], c, nil)
 		assert.Assert(t, !duplicate.Served, "the claim of %s was forgotten", c.Key)
-		assert.Equal(t, readHistory(t, w).runs(c.Prompt), 1)
+		assert.Equal(t, readHistory(t, w).runsOfPrompt(c.Prompt), 1)
 	}
 }
 
-// TestStopAnswersWaitingRequests: a node whose grace ends while a client's
-// request still waits for a model refuses it, before it closes the connection. The
-// client has less time left than the route gives, as one that came back, so it is
-// not sent back at once.
+// TestStopAnswersWaitingRequests: a node whose grace period ends while a client's request
+// still waits for a model refuses the request before it closes the connection. The client
+// has less time left than the route allows, as one that retries, so it is not sent back at
+// once.
 func TestStopAnswersWaitingRequests(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, func(o *world.Options) {
@@ -84,23 +84,23 @@
 	startRunners(t, w, 1)
 	nodes := startNodes(t, w, 2)
 	stuckModel(t, w, nodes[0], "alpha")
-	waitNamed(t, "alpha", nodes...)
+	waitKnown(t, "alpha", nodes...)
 	result := make(chan clientAnswer, 1)
 	go func() {
 		result <- send(t.Context(), nodes[0], clientRequest{Path: "/draft/x", Model: "alpha", Events: 3, Deadline: 8 * time.Second})
 	}()
-	waitWaiting(t, nodes[0], 1)
+	waitQueued(t, nodes[0], 1)
 	assert.NilError(t, nodes[0].Terminate())
 	got := <-result
-	assert.Assert(t, got.Whole, "%+v", got)
+	assert.Assert(t, got.Complete, "%+v", got)
 	assert.Equal(t, got.Status, http.StatusServiceUnavailable)
-	assert.Assert(t, got.Retry != "")
-	assert.NilError(t, nodes[0].Wait(patience))
+	assert.Assert(t, got.RetryAfter != "")
+	assert.NilError(t, nodes[0].Wait(waitTimeout))
 }
 
-// TestStopAnswersOperators: a node is asked to stop while it commits an operator's change at
-// a slow store, and while another operator watches; the change's author hears its revision,
-// and the watch does not hold the stop up.
+// TestStopAnswersOperators: a node is asked to stop while it commits an operator's change
+// at a slow store and another operator watches changes. The author of the change receives
+// its revision, and the watch does not delay the stop.
 func TestStopAnswersOperators(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -118,20 +118,20 @@
 	asked := time.Now()
 	assert.NilError(t, nodes[1].Terminate())
 	assert.NilError(t, <-result)
-	assert.NilError(t, nodes[1].Wait(patience))
-	assert.Assert(t, time.Since(asked) < fastGrace/2, "the stop took %s", time.Since(asked))
+	assert.NilError(t, nodes[1].Wait(waitTimeout))
+	assert.Assert(t, time.Since(asked) < stopGrace/2, "the stop took %s", time.Since(asked))
 }
 
-// TestStopOfRunnerCutsOffNoRequest: a runner is drained while long streams run
-// on it; they end whole, new requests go elsewhere, and nothing new was run on
-// it once the drain was in force everywhere.
+// TestStopOfRunnerCutsOffNoRequest: a runner is drained while long streams run on it. They
+// complete, new requests go elsewhere, and nothing new runs on it once the drain is active
+// at all nodes.
 func TestStopOfRunnerCutsOffNoRequest(t *testing.T) {
 	t.Parallel()
 	w, nodes := startWithAlpha(t, 3, 2, model("alpha", 1)...)
 	streams := startStreams(t, nodes, longStream, 4)
-	runner := runnersOf(t, nodes[0], "alpha")[0]
+	runner := runnersHolding(t, nodes[0], "alpha")[0]
 	revision := apply(t, nodes[0], api.NewObject(api.KindDrain, "drain-1", api.Drain{Target: api.DrainRunner, Name: runner}))
-	waitUntil(t, "the drain is in force", func() error {
+	waitUntil(t, "the drain is active", func() error {
 		for _, node := range nodes {
 			status, err := node.Client().Status(t.Context())
 			if err != nil {
@@ -144,11 +144,11 @@
 		return nil
 	})
 	inForce := time.Now()
-	// A request that comes during the stop waits until the replica has moved.
+	// A request that arrives during the drain waits until the replica has moved.
 	moved := call{Model: "alpha", Prompt: "moved", Tokens: 4, Deadline: 50 * time.Second}
-	movedResult := inBackground(t.Context(), nodes[0], moved, nil)
+	movedResult := sendInBackground(t.Context(), nodes[0], moved, nil)
 	for _, stream := range streams {
-		assertServed(t, longStream, await(t, stream))
+		assertServed(t, longStream, awaitOutcome(t, stream))
 	}
 	waitUntil(t, "the drain is finished", func() error {
 		progress, err := nodes[1].Client().DrainProgress(t.Context(), "drain-1")
@@ -160,13 +160,13 @@
 		}
 		return nil
 	})
-	assertServed(t, moved, await(t, movedResult))
+	assertServed(t, moved, awaitOutcome(t, movedResult))
 	h := readHistory(t, w)
-	assert.Equal(t, h.most("alpha"), 1)
+	assert.Equal(t, h.maxReplicas("alpha"), 1)
 	assertNoRunFrom(t, h, runner, inForce)
 }
 
-// assertNoRunFrom checks that a runner ran nothing new from an instant on.
+// assertNoRunFrom checks that a runner ran nothing new after an instant.
 func assertNoRunFrom(t *testing.T, h history, runner string, from time.Time) {
 	t.Helper()
 	for _, record := range h.records {
@@ -175,27 +175,27 @@
 	}
 }
 
-// TestLeavingRunnerGetsNoNewWork: a runner that the platform lists as leaving
-// gets no new work once the nodes learned of it, though requests go on and the
-// holder of the lease is killed at the same moment.
+// TestLeavingRunnerGetsNoNewWork: a runner that the platform lists as leaving gets no new
+// work once the nodes know, although requests continue and the lease holder is killed at
+// the same moment.
 func TestLeavingRunnerGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	w, nodes := startWithAlpha(t, 3, 3, model("alpha", 2)...)
 	first := call{Model: "alpha", Prompt: "first", Tokens: 4}
 	assertServed(t, first, ask(t.Context(), nodes[0], first, nil))
-	runner := runnersOf(t, nodes[0], "alpha")[0]
-	holder := holderOf(t, w, nodes[0])
-	caller := other(nodes, holder)
-	load := startBackground(t, 4, func(who, number int) (*world.Node, call) {
+	runner := runnersHolding(t, nodes[0], "alpha")[0]
+	holder := leaseHolder(t, w, nodes[0])
+	caller := anyNodeExcept(nodes, holder)
+	load := startLoad(t, 4, func(who, number int) (*world.Node, call) {
 		return caller, call{Model: "alpha", Prompt: fmt.Sprintf("p%d-%d", who, number), Tokens: 4, Deadline: 20 * time.Second}
 	})
 	load.waitServed(t, 5)
 	assert.NilError(t, w.DrainRunner(runner))
 	holder.Kill()
-	waitUntil(t, "the node learned of it", func() error {
+	waitUntil(t, "the node knows that the runner leaves", func() error {
 		content := readLog(t, w, caller)
-		if !containsAll(content, "runners leaving", runner) {
-			return fmt.Errorf("not in its log yet")
+		if !hasLineWith(content, "runners leaving", runner) {
+			return fmt.Errorf("not logged yet")
 		}
 		return nil
 	})
@@ -204,6 +204,6 @@
 	load.finish()
 	h := readHistory(t, w)
 	assertNoRunFrom(t, h, runner, learned)
-	assert.Assert(t, h.mostTogether("alpha") <= 2)
+	assert.Assert(t, h.maxLoaded("alpha") <= 2)
 	load.assertTruthful(t, h)
 }
