--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -67,7 +67,7 @@
 
 // SupersededBy reports whether a runner of the same name that reports this start time is a
 // later incarnation.
-func (r Runner) EndedBy(born int64) bool { return r.Born != 0 && born > r.Born }
+func (r Runner) SupersededBy(born int64) bool { return r.Born != 0 && born > r.Born }
 
 // Holding is a loaded model with its loaded adapters.
 type Holding struct {
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -14,11 +14,11 @@
 	assert.Assert(t, first.ID != second.ID)
 	assert.Equal(t, first.Name(), "r")
 	assert.Equal(t, second.Name(), "r")
-	assert.Assert(t, first.EndedBy(second.Born))
-	assert.Assert(t, !second.EndedBy(first.Born))
-	assert.Assert(t, !first.EndedBy(first.Born))
+	assert.Assert(t, first.SupersededBy(second.Born))
+	assert.Assert(t, !second.SupersededBy(first.Born))
+	assert.Assert(t, !first.SupersededBy(first.Born))
 
 	plain := Runner{ID: IncarnationID("r@2000", 0)}
 	assert.Equal(t, plain.Name(), "r@2000", "a name may contain the separator")
-	assert.Assert(t, !plain.EndedBy(2000))
+	assert.Assert(t, !plain.SupersededBy(2000))
 }
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -20,11 +20,11 @@
 	assert.Equal(t, NewTerms(0.5, 1, 0, time.Second, Lent{}).Bound, Bound(0))
 	assert.Equal(t, NewTerms(1e300, 1e300, 0, time.Second, Lent{}).Bound, Bound(maxBound))
 	assert.Equal(t, NewTerms(6.9, math.NaN(), 5, time.Second, Lent{}).Bound, Bound(0))
-	assert.Equal(t, NewTerms(6.9, 1, 5, math.MaxInt64, Lent{}).Start, Longest)
+	assert.Equal(t, NewTerms(6.9, 1, 5, math.MaxInt64, Lent{}).Start, MaxDuration)
 	assert.Equal(t, NewTerms(6.9, 1, 5, -1, Lent{}).Start, time.Duration(0))
 	var runner Runner
-	runner.Hear(Word{For: math.MaxInt64}, start)
-	assert.Equal(t, runner.Until(NewTerms(6.9, 1, 5, 0, Lent{}), time.Time{}), start.Add(Longest))
+	runner.Hear(Status{ColdFor: math.MaxInt64}, start)
+	assert.Equal(t, runner.Until(NewTerms(6.9, 1, 5, 0, Lent{}), time.Time{}), start.Add(MaxDuration))
 }
 
 // TestNewRunnerIsSupposedCold checks that a runner that appeared while the node was running
@@ -33,14 +33,14 @@
 func TestNewRunnerIsSupposedCold(t *testing.T) {
 	terms := NewTerms(6.9, 1.5, 5, 3*time.Second, Lent{})
 	var runner Runner
-	runner.Hear(Word{}, start)
+	runner.Hear(Status{}, start)
 	assert.Equal(t, runner.Until(terms, time.Time{}), start.Add(3*time.Second))
-	assert.Assert(t, !runner.Said())
-	runner.Hear(Word{Proof: true}, start.Add(time.Second))
+	assert.Assert(t, !runner.StatedByRunner())
+	runner.Hear(Status{Conclusive: true}, start.Add(time.Second))
 	assert.Assert(t, !runner.Until(terms, time.Time{}).After(start.Add(time.Second)))
-	runner.Hear(Word{For: 2 * time.Second, Proof: true}, start.Add(5*time.Second))
+	runner.Hear(Status{ColdFor: 2 * time.Second, Conclusive: true}, start.Add(5*time.Second))
 	assert.Equal(t, runner.Until(terms, time.Time{}), start.Add(7*time.Second), "the runner became cold again")
-	assert.Assert(t, runner.Said())
+	assert.Assert(t, runner.StatedByRunner())
 	assert.Assert(t, runner.Until(Terms{}, time.Time{}).IsZero(), "the zero terms have no cold start")
 }
 
@@ -49,10 +49,10 @@
 func TestReturnedZoneIsCold(t *testing.T) {
 	terms := NewTerms(6.9, 1.5, 5, 3*time.Second, Lent{})
 	var runner Runner
-	runner.Hear(Word{Proof: true}, start)
+	runner.Hear(Status{Conclusive: true}, start)
 	returned := start.Add(time.Second)
 	assert.Equal(t, runner.Until(terms, returned), returned.Add(3*time.Second))
-	runner.Hear(Word{Proof: true}, returned.Add(time.Second))
+	runner.Hear(Status{Conclusive: true}, returned.Add(time.Second))
 	assert.Assert(t, !runner.Until(terms, returned).After(returned.Add(time.Second)))
 }
 
@@ -62,8 +62,8 @@
 	terms := NewTerms(6.9, 1.5, 5, 3*time.Second, Lent{})
 	var runner Runner
 	runner.Lent(2, start, 0, start.Add(Validity-time.Millisecond))
-	assert.Assert(t, runner.May("r", terms, start.Add(Validity-time.Millisecond)))
-	assert.Assert(t, !runner.May("r", terms, start.Add(Validity)))
+	assert.Assert(t, runner.MaySend("r", terms, start.Add(Validity-time.Millisecond)))
+	assert.Assert(t, !runner.MaySend("r", terms, start.Add(Validity)))
 	runner.Lent(2, start, 0, start.Add(Validity))
 	assert.Equal(t, runner.Permits(start.Add(Validity)), 0)
 }
@@ -72,47 +72,47 @@
 // previous holder have expired.
 func TestNewHolderWaits(t *testing.T) {
 	lender := NewLender(start)
-	count, next := lender.Lend("r", 1, 15, start.Add(Held-time.Millisecond))
+	count, next := lender.Lend("r", 1, 15, start.Add(LendingPeriod-time.Millisecond))
 	assert.Equal(t, count, 0)
 	assert.Equal(t, next, time.Millisecond)
-	count, next = lender.Lend("r", 100, 15, start.Add(Held))
+	count, next = lender.Lend("r", 100, 15, start.Add(LendingPeriod))
 	assert.Equal(t, count, 5, "one node must not get all permits")
 	assert.Equal(t, next, time.Duration(0))
-	lender.Lend("r", 5, 15, start.Add(Held))
-	lender.Lend("r", 5, 15, start.Add(Held))
-	count, next = lender.Lend("r", 5, 15, start.Add(Held))
+	lender.Lend("r", 5, 15, start.Add(LendingPeriod))
+	lender.Lend("r", 5, 15, start.Add(LendingPeriod))
+	count, next = lender.Lend("r", 5, 15, start.Add(LendingPeriod))
 	assert.Equal(t, count, 0)
-	assert.Equal(t, next, Held)
-	count, next = lender.Lend("none", 5, 0, start.Add(Held))
+	assert.Equal(t, next, LendingPeriod)
+	count, next = lender.Lend("none", 5, 0, start.Add(LendingPeriod))
 	assert.Equal(t, count, 0)
-	assert.Equal(t, next, Longest, "the bound allows none")
+	assert.Equal(t, next, MaxDuration, "the bound allows none")
 }
 
 // TestLentCountsUntilItRanOut checks that a permit counts until one window after its expiry,
 // as it may be spent at the last moment of its validity.
 func TestLentCountsUntilItRanOut(t *testing.T) {
 	lender := NewLender(start)
-	now := start.Add(Held)
+	now := start.Add(LendingPeriod)
 	count, _ := lender.Lend("r", 1, 1, now)
 	assert.Equal(t, count, 1)
 	var runner Runner
 	runner.Lent(1, now, 0, now)
 	terms := NewTerms(1, 1, 0, time.Minute, Lent{})
 	spent := now.Add(Validity - 1)
-	assert.Assert(t, runner.May("r", terms, spent))
+	assert.Assert(t, runner.MaySend("r", terms, spent))
 	count, next := lender.Lend("r", 1, 1, spent.Add(Window))
 	assert.Equal(t, count, 0)
 	assert.Equal(t, next, time.Duration(1))
-	count, _ = lender.Lend("r", 1, 1, now.Add(Held+1))
+	count, _ = lender.Lend("r", 1, 1, now.Add(LendingPeriod+1))
 	assert.Equal(t, count, 1)
 }
 
 // TestLenderRemovesRunners checks that runners without unexpired permits are removed.
 func TestLenderRemovesRunners(t *testing.T) {
 	lender := NewLender(start)
-	now := start.Add(Held)
+	now := start.Add(LendingPeriod)
 	lender.Lend("gone", 1, 15, now)
-	lender.Lend("r", 1, 15, now.Add(2*Held))
+	lender.Lend("r", 1, 15, now.Add(2*LendingPeriod))
 	assert.Equal(t, len(lender.runners), 1)
 }
 
--- a/internal/coldstart/lender.go
+++ b/internal/coldstart/lender.go
@@ -10,7 +10,7 @@
 	Validity = 500 * time.Millisecond
 	// LendingPeriod is how long a permit counts after it was lent: until it has expired and
 	// the last window in which it may have been spent has passed.
-	Held = Validity + Window
+	LendingPeriod = Validity + Window
 	// nodeShare limits the permits in one answer to the bound divided by nodeShare, but at
 	// least one permit, so that one node does not get all.
 	nodeShare = 3
@@ -37,13 +37,13 @@
 // NewLender returns the Lender of a node that became the lease holder at now. No other node
 // has lent permits since then.
 func NewLender(now time.Time) *Lender {
-	return &Lender{lendsFrom: now.Add(Held), runners: make(map[string][]lending), sweptAt: now}
+	return &Lender{lendsFrom: now.Add(LendingPeriod), runners: make(map[string][]lending), sweptAt: now}
 }
 
 // Lend lends up to wanted permits for a cold runner. next is the time until another permit can
 // be lent, zero if one can be lent now.
 func (l *Lender) Lend(runner string, wanted int, bound Bound, now time.Time) (count int, next time.Duration) {
-	return l.LendWithin(runner, wanted, bound, Held, now)
+	return l.LendWithin(runner, wanted, bound, LendingPeriod, now)
 }
 
 // LendWithin is like Lend, but the permits count for period.
@@ -71,7 +71,7 @@
 		return 0
 	case len(lent) == 0:
 		// The bound allows no permits at all.
-		return Longest
+		return MaxDuration
 	default:
 		return lent[0].at.Add(lent[0].period).Sub(now)
 	}
@@ -79,7 +79,7 @@
 
 // sweep removes runners without unexpired permits.
 func (l *Lender) sweep(now time.Time) {
-	if now.Sub(l.sweptAt) < Held {
+	if now.Sub(l.sweptAt) < LendingPeriod {
 		return
 	}
 	l.sweptAt = now
--- a/internal/coldstart/limit_test.go
+++ b/internal/coldstart/limit_test.go
@@ -38,7 +38,7 @@
 	for rate, want := range map[float64]struct {
 		bound  Bound
 		period time.Duration
-	}{1: {1, time.Second}, 0.25: {1, 4 * time.Second}, 2.5: {2, 800 * time.Millisecond}, 1e300: {maxBound, 0}, 1e-9: {1, Longest}} {
+	}{1: {1, time.Second}, 0.25: {1, 4 * time.Second}, 2.5: {2, 800 * time.Millisecond}, 1e300: {maxBound, 0}, 1e-9: {1, MaxDuration}} {
 		terms := NewLimit(rate, Lent{})
 		assert.Equal(t, terms.Bound, want.bound, "%g", rate)
 		assert.Equal(t, terms.Period, want.period, "%g", rate)
@@ -50,7 +50,7 @@
 // within their validity.
 func TestLentLimitIsKept(t *testing.T) {
 	for _, rate := range []float64{0.3, 1, 4.5, 40} {
-		terms, lender, now := NewLimit(rate, Lent{}), NewLender(start), start.Add(Held)
+		terms, lender, now := NewLimit(rate, Lent{}), NewLender(start), start.Add(LendingPeriod)
 		var sent []time.Time
 		end := now.Add(2 * time.Minute)
 		for ; now.Before(end); now = now.Add(25 * time.Millisecond) {
@@ -73,10 +73,10 @@
 			var sent []time.Time
 			for node := range nodes {
 				var runner Runner
-				terms := NewLimit(rate, Shared{Node: fmt.Sprint("node-", node), Nodes: nodes})
+				terms := NewLimit(rate, TimeSliced{Node: fmt.Sprint("node-", node), Nodes: nodes})
 				runner.Sent(start)
 				for now := start; now.Before(start.Add(time.Minute)); now = now.Add(20 * time.Millisecond) {
-					if runner.May("r", terms, now) {
+					if runner.MaySend("r", terms, now) {
 						runner.Spend(terms, now)
 						sent = append(sent, now)
 					}
@@ -91,15 +91,15 @@
 // TestNextTimeSlot checks that a node may send after the time that Next returns.
 func TestNextTimeSlot(t *testing.T) {
 	var runner Runner
-	terms := NewLimit(1, Shared{Node: "n", Nodes: 4})
+	terms := NewLimit(1, TimeSliced{Node: "n", Nodes: 4})
 	now := start
 	for range 5 {
 		now = now.Add(rand.N(time.Minute))
 		next := runner.Next("r", terms, 0, now)
-		assert.Assert(t, runner.May("r", terms, now.Add(next)))
+		assert.Assert(t, runner.MaySend("r", terms, now.Add(next)))
 		assert.Assert(t, next <= 8*time.Second)
 		now = now.Add(next)
 		runner.Spend(terms, now)
-		assert.Assert(t, !runner.May("r", terms, now))
+		assert.Assert(t, !runner.MaySend("r", terms, now))
 	}
 }
--- a/internal/coldstart/randomized.go
+++ b/internal/coldstart/randomized.go
@@ -50,7 +50,7 @@
 
 // maySend reports whether a node may send to a runner in the clock second of now. It is a hash
 // of node, runner and second.
-func (d Drawn) maySend(runner string, bound Bound, now time.Time) bool {
+func (d Randomized) maySend(runner string, bound Bound, now time.Time) bool {
 	if bound == 0 {
 		return false
 	}
@@ -62,7 +62,7 @@
 
 // next returns the time until the next clock second in which the node may send. It looks only
 // at the next few.
-func (d Drawn) next(runner string, bound Bound, now time.Time) time.Duration {
+func (d Randomized) next(runner string, bound Bound, now time.Time) time.Duration {
 	const lookahead = 16
 	for ahead := range lookahead {
 		at := now.Truncate(Window).Add(time.Duration(ahead) * Window)
--- a/internal/coldstart/runner.go
+++ b/internal/coldstart/runner.go
@@ -45,22 +45,22 @@
 }
 
 // Status is what a row says about the cold start of a runner.
-type Word struct {
+type Status struct {
 	// ColdFor is the remaining time for which the runner is cold, zero if it is not.
-	For time.Duration
+	ColdFor time.Duration
 	// Conclusive is set if a status that is not cold may be relied on. It is not set for the
 	// first row of a runner that appeared while this node was running.
-	Proof bool
+	Conclusive bool
 }
 
 // Hear applies the status from a row.
-func (r *Runner) Hear(status Word, now time.Time) {
+func (r *Runner) Hear(status Status, now time.Time) {
 	r.statusAt = now
 	switch {
-	case status.For > 0:
-		r.statedUntil, r.assumedSince = now.Add(min(status.For, Longest)), time.Time{}
+	case status.ColdFor > 0:
+		r.statedUntil, r.assumedSince = now.Add(min(status.ColdFor, MaxDuration)), time.Time{}
 		r.prompt = 0
-	case !status.Proof:
+	case !status.Conclusive:
 		r.assumedSince = now
 		r.prompt = 0
 	default:
@@ -79,7 +79,7 @@
 
 // StatedByRunner reports whether the cold status comes from the runner itself and was not
 // assumed since.
-func (r *Runner) Said() bool { return r.assumedSince.IsZero() }
+func (r *Runner) StatedByRunner() bool { return r.assumedSince.IsZero() }
 
 // NeverCold reports whether every row so far ruled out that the runner is cold.
 func (r *Runner) NeverCold() bool { return r.statedUntil.IsZero() && r.assumedSince.IsZero() }
@@ -132,13 +132,13 @@
 }
 
 // MaySend reports whether one request may be sent to a cold runner now.
-func (r *Runner) May(id string, terms Terms, now time.Time) bool {
-	switch strategy := terms.Way.(type) {
+func (r *Runner) MaySend(id string, terms Terms, now time.Time) bool {
+	switch strategy := terms.Strategy.(type) {
 	case Lent:
 		return len(r.validPermits(now)) > 0
-	case Drawn:
+	case Randomized:
 		return now.Sub(r.sentAt) > Window && strategy.maySend(id, terms.Bound, now)
-	case Shared:
+	case TimeSliced:
 		return strategy.timeSlots(id, terms.Rate).maySend(r.sentAt, now)
 	default:
 		return false
@@ -153,9 +153,9 @@
 // random draw allowed it.
 func (r *Runner) Spend(terms Terms, now time.Time) (until time.Time) {
 	r.sentAt = now
-	switch terms.Way.(type) {
+	switch terms.Strategy.(type) {
 	case Lent:
-	case Shared:
+	case TimeSliced:
 		return now.Add(Validity)
 	default:
 		return now
@@ -183,15 +183,15 @@
 // Next returns the expected time until a request may be sent to a cold runner. holderIn is the
 // time until there is a lease holder that lends permits.
 func (r *Runner) Next(id string, terms Terms, holderIn time.Duration, now time.Time) time.Duration {
-	switch strategy := terms.Way.(type) {
+	switch strategy := terms.Strategy.(type) {
 	case Lent:
 		return max(holderIn, r.nextAt.Sub(now), 0) + answerTime
-	case Drawn:
+	case Randomized:
 		return max(strategy.next(id, terms.Bound, now), r.sentAt.Add(Window).Sub(now), 0)
-	case Shared:
+	case TimeSliced:
 		return strategy.timeSlots(id, terms.Rate).next(r.sentAt, now)
 	default:
-		return Longest
+		return MaxDuration
 	}
 }
 
--- a/internal/coldstart/simulation_test.go
+++ b/internal/coldstart/simulation_test.go
@@ -50,7 +50,7 @@
 		m.nodes = append(m.nodes, &Runner{})
 	}
 	m.takeOver()
-	m.now = m.now.Add(Held)
+	m.now = m.now.Add(LendingPeriod)
 	m.coldUntil = m.now.Add(simulatedColdStart)
 	return m
 }
@@ -64,11 +64,11 @@
 	left := m.coldUntil.Sub(m.now)
 	switch {
 	case says && left > 0:
-		m.nodes[node].Hear(Word{For: left, Proof: true}, m.now)
+		m.nodes[node].Hear(Status{ColdFor: left, Conclusive: true}, m.now)
 	case says:
-		m.nodes[node].Hear(Word{Proof: true}, m.now)
+		m.nodes[node].Hear(Status{Conclusive: true}, m.now)
 	case !m.informed[node]:
-		m.nodes[node].Hear(Word{}, m.now)
+		m.nodes[node].Hear(Status{}, m.now)
 	}
 	m.informed[node] = true
 }
@@ -98,7 +98,7 @@
 	}
 	for range count {
 		if m.now.Before(runner.Until(m.terms, time.Time{})) {
-			if !runner.May(runnerID, m.terms, m.now) {
+			if !runner.MaySend(runnerID, m.terms, m.now) {
 				return
 			}
 			runner.Spend(m.terms, m.now)
@@ -217,7 +217,7 @@
 		m.send(node, 1)
 	}
 	m.check()
-	least := int(float64(m.terms.Bound) / Held.Seconds() * 17)
+	least := int(float64(m.terms.Bound) / LendingPeriod.Seconds() * 17)
 	assert.Assert(t, len(m.sent) >= least, "%d in 20 s, at least %d", len(m.sent), least)
 }
 
@@ -228,13 +228,13 @@
 	terms := make([]Terms, nodes)
 	for i := range terms {
 		terms[i] = m.terms
-		terms[i].Way = Drawn{Node: fmt.Sprint("n", i), Nodes: nodes}
+		terms[i].Strategy = Randomized{Node: fmt.Sprint("n", i), Nodes: nodes}
 		m.nodes = append(m.nodes, &Runner{})
 	}
 	for range seconds * 20 {
 		m.now = m.now.Add(50 * time.Millisecond)
 		for i, runner := range m.nodes {
-			if runner.May(runnerID, terms[i], m.now) {
+			if runner.MaySend(runnerID, terms[i], m.now) {
 				runner.Spend(terms[i], m.now)
 				m.sent = append(m.sent, m.now)
 			}
--- a/internal/coldstart/terms.go
+++ b/internal/coldstart/terms.go
@@ -18,7 +18,7 @@
 	// MaxDuration limits the time for which one status makes a runner count as cold. It is
 	// far longer than weights and caches need to warm up, and still ends a cold status that
 	// is nonsense.
-	Longest = 10 * time.Minute
+	MaxDuration = 10 * time.Minute
 	// maxBound keeps a bound, in requests, within the range of an int.
 	maxBound = 1_000_000
 )
@@ -48,29 +48,29 @@
 	Bound  Bound
 	Period time.Duration
 	// Strategy is how the nodes keep the bound.
-	Way Way
+	Strategy Strategy
 }
 
 // NewTerms returns the terms of a service whose runners are cold for start after their start
 // and have capacity for rate requests per second during that time.
-func NewTerms(rate, share, slack float64, start time.Duration, strategy Way) Terms {
+func NewTerms(rate, share, slack float64, start time.Duration, strategy Strategy) Terms {
 	if !(rate > 0) || math.IsInf(rate, 1) {
 		return Terms{}
 	}
-	return Terms{Rate: rate, Start: min(max(start, 0), Longest), Bound: NewBound(rate, share, slack), Period: Held, Way: strategy}
+	return Terms{Rate: rate, Start: min(max(start, 0), MaxDuration), Bound: NewBound(rate, share, slack), Period: LendingPeriod, Strategy: strategy}
 }
 
 // NewLimit returns the terms of a runner that stated a limit of rate requests per second,
 // which must be above zero. The bound is the number of whole requests per second, at least
 // one, and the period the time in which the rate allows that many.
-func NewLimit(rate float64, strategy Way) Terms {
+func NewLimit(rate float64, strategy Strategy) Terms {
 	count := math.Floor(min(max(rate, 1), maxBound))
-	period := time.Duration(min(count/rate, Longest.Seconds()) * float64(time.Second))
-	return Terms{Rate: rate, Bound: Bound(count), Period: period, Way: strategy}
+	period := time.Duration(min(count/rate, MaxDuration.Seconds()) * float64(time.Second))
+	return Terms{Rate: rate, Bound: Bound(count), Period: period, Strategy: strategy}
 }
 
 // Strategy is how nodes keep the bound together: Lent, Randomized or TimeSliced.
-type Way interface{ strategy() }
+type Strategy interface{ strategy() }
 
 // Lent means that a node needs a permit, lent by the holder of the service's control lease,
 // for every request.
@@ -78,7 +78,7 @@
 
 // Randomized means that each node draws independently the seconds in which it may send. It
 // needs no messages, but leaves most of the bound unused.
-type Drawn struct {
+type Randomized struct {
 	// Node is this node's name.
 	Node string
 	// Nodes is the known number of nodes, zero while it is unknown.
@@ -87,13 +87,13 @@
 
 // TimeSliced means that each node has recurring time slots, each for one request. It needs no
 // messages, but leaves half of the rate unused.
-type Shared struct {
+type TimeSliced struct {
 	// Node is this node's name.
 	Node string
 	// Nodes is the known number of nodes, zero while it is unknown.
 	Nodes int
 }
 
-func (Lent) strategy()   {}
-func (Drawn) strategy()  {}
-func (Shared) strategy() {}
+func (Lent) strategy()       {}
+func (Randomized) strategy() {}
+func (TimeSliced) strategy() {}
--- a/internal/coldstart/timeslots.go
+++ b/internal/coldstart/timeslots.go
@@ -25,7 +25,7 @@
 	offset   time.Duration
 }
 
-func (s Shared) timeSlots(runner string, rate float64) timeSlots {
+func (s TimeSliced) timeSlots(runner string, rate float64) timeSlots {
 	nodes := s.Nodes
 	if nodes <= 0 {
 		nodes = assumedNodes
--- a/internal/commit/read.go
+++ b/internal/commit/read.go
@@ -38,12 +38,12 @@
 
 // Follower is a feed.Handler that updates a catalog from the rows of the table.
 type Follower struct {
-	Copy Catalog
-	Log  logr.Logger
+	Catalog Catalog
+	Log     logr.Logger
 }
 
-// Whole processes all rows of the table: objects, and log entries as history.
-func (f *Follower) Whole(rows []feed.Row, _ time.Duration) {
+// ApplySnapshot processes all rows of the table: objects, and log entries as history.
+func (f *Follower) ApplySnapshot(rows []feed.Row, _ time.Duration) {
 	var objects []api.Object
 	var head uint64
 	for _, row := range rows {
@@ -63,15 +63,15 @@
 	}
 	entries := f.entries(rows)
 	// If the log is complete from its first revision, no snapshot is needed.
-	if len(entries) == 0 || f.Copy.Apply(entries) == 0 {
-		f.Copy.ApplySnapshot(head, objects)
+	if len(entries) == 0 || f.Catalog.Apply(entries) == 0 {
+		f.Catalog.ApplySnapshot(head, objects)
 	}
-	f.Copy.Apply(entries)
+	f.Catalog.Apply(entries)
 }
 
-// Changed processes changed rows. Only log entries matter, as every operation
+// ApplyChanges processes changed rows. Only log entries matter, as every operation
 // writes one.
-func (f *Follower) Changed(rows []feed.Row) { f.Copy.Apply(f.entries(rows)) }
+func (f *Follower) ApplyChanges(rows []feed.Row) { f.Catalog.Apply(f.entries(rows)) }
 
 func (f *Follower) entries(rows []feed.Row) []wire.Entry {
 	var entries []wire.Entry
--- a/internal/config/compose.go
+++ b/internal/config/compose.go
@@ -24,7 +24,7 @@
 
 // ModelTarget is what a model name stands for that callers of the chat and completion
 // calls may use.
-type Name struct {
+type ModelTarget struct {
 	// Service and Unit are what serves the name.
 	Service string
 	Unit    backend.Unit
@@ -40,7 +40,7 @@
 // left out, with an error for each.
 func Compose(base *Configuration, revision uint64, objects Objects) (*Configuration, []error) {
 	c := &composer{
-		result: &Configuration{ObjectRevision: revision, Services: make(map[string]*Service), Names: make(map[string]Name), Drains: make(map[api.Drain]bool)},
+		result: &Configuration{ObjectRevision: revision, Services: make(map[string]*Service), Names: make(map[string]ModelTarget), Drains: make(map[api.Drain]bool)},
 	}
 	if base != nil {
 		c.result.Revision, c.result.Limits, c.result.Tenants = base.Revision, base.Limits, base.Tenants
@@ -72,7 +72,7 @@
 		c.result.Drains[drain] = true
 		return nil
 	})
-	c.result.Finish()
+	c.result.BuildIndex()
 	return c.result, c.problems
 }
 
@@ -112,7 +112,7 @@
 	route := Route{
 		Name: name, Host: spec.Host, PathPrefix: spec.PathPrefix, Kind: Kind(spec.Kind), Resumable: spec.Resumable,
 		Timeout: seconds(spec.TimeoutSeconds), Objective: seconds(spec.ObjectiveSeconds), PauseObjective: seconds(spec.PauseObjectiveSeconds),
-		Priority: spec.Priority, Attempts: spec.Attempts, Public: spec.Public, Homes: place.HomesOf(spec.Homes),
+		Priority: spec.Priority, Attempts: spec.Attempts, Public: spec.Public, Homes: place.HomesFromNames(spec.Homes),
 	}
 	for _, part := range spec.Backends {
 		route.Backends = append(route.Backends, Backend{Service: part.Service, Weight: part.Weight})
@@ -127,7 +127,7 @@
 // addTenant adds a tenant. It fails if the name is taken by a tenant of the base, or if
 // another tenant has one of its keys.
 func (c *composer) addTenant(name string, spec api.Tenant) error {
-	added := tenant.Tenant{Name: tenant.Name(name), Priority: spec.Priority, Homes: place.HomesOf(spec.Homes)}
+	added := tenant.Tenant{Name: tenant.Name(name), Priority: spec.Priority, Homes: place.HomesFromNames(spec.Homes)}
 	if l := spec.Limit; l != nil {
 		added.Limit = tenant.Limit{Rate: l.Rate, Burst: l.Burst, PlainCost: l.PlainCost}
 		if l.Unit == api.UnitTokens {
@@ -151,7 +151,7 @@
 			continue
 		}
 		for weights := range service.Engine.Models {
-			c.result.Names[weights] = Name{Service: name, Unit: backend.Unit{Model: weights}, Replicas: Unlimited}
+			c.result.Names[weights] = ModelTarget{Service: name, Unit: backend.Unit{Model: weights}, Replicas: Unlimited}
 		}
 	}
 }
@@ -166,7 +166,7 @@
 		return err
 	}
 	service.Engine.Models[version.Checkpoint] = newModel(name, spec, version)
-	c.result.Names[name] = Name{Service: service.Name, Unit: backend.Unit{Model: version.Checkpoint}, Replicas: spec.Replicas}
+	c.result.Names[name] = ModelTarget{Service: service.Name, Unit: backend.Unit{Model: version.Checkpoint}, Replicas: spec.Replicas}
 	return nil
 }
 
@@ -235,7 +235,7 @@
 	if base.Replicas == 0 {
 		replicas = 0
 	}
-	c.result.Names[name] = Name{
+	c.result.Names[name] = ModelTarget{
 		Service: base.Service, Unit: backend.Unit{Model: base.Unit.Model, Adapter: spec.Checkpoint}, Replicas: replicas,
 	}
 	return nil
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -35,7 +35,7 @@
 	Limits         Limits
 	// Names maps the model names that callers of the chat and completion calls
 	// may use.
-	Names map[string]Name
+	Names map[string]ModelTarget
 	// Drains holds the planned stops.
 	Drains map[api.Drain]bool
 	// Tenants lists the tenants. Requests must carry a key of one of them, unless
@@ -63,7 +63,7 @@
 	PauseObjective time.Duration
 	// ClientTimeout is the time after which clients of a stream disconnect if no
 	// event arrives, the first one included; zero if that is not known.
-	Patience time.Duration
+	ClientTimeout time.Duration
 	// Priority orders the routes; 0 is served first.
 	Priority int
 	// Attempts is the maximum number of runners that a request is sent to.
@@ -168,7 +168,7 @@
 
 // BuildIndex builds the lookup tables. It must be called once, before the
 // configuration is shared.
-func (c *Configuration) Finish() {
+func (c *Configuration) BuildIndex() {
 	c.byHost = make(map[string]*hostRoutes, len(c.Routes))
 	for i := range c.Routes {
 		route := &c.Routes[i]
@@ -198,7 +198,7 @@
 
 // FirstEngineService returns the first engine service by name, or "" if there is none.
 // The node that holds its lease does the work that one node does for all services.
-func (c *Configuration) FirstEngines() string {
+func (c *Configuration) FirstEngineService() string {
 	first := ""
 	for name, service := range c.Services {
 		if service.Engine != nil && (first == "" || name < first) {
--- a/internal/config/routes_test.go
+++ b/internal/config/routes_test.go
@@ -14,7 +14,7 @@
 	for i, prefix := range prefixes {
 		c.Routes = append(c.Routes, Route{Name: strconv.Itoa(i), Host: "h", PathPrefix: prefix})
 	}
-	c.Finish()
+	c.BuildIndex()
 	return c
 }
 
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -65,14 +65,14 @@
 type Options struct {
 	Service string
 	Node    string
-	Lessor  *lease.Lessor
+	Lessor  *lease.Elector
 	Runners backend.Control
 	Fleet   *fleet.Fleet
 	// Rules are the operators' decisions about runners and zones, as they apply to work that
 	// is meant to last: a zone that is about to be evacuated counts as out.
 	Rules eligible.Rules
 	// Statements holds what runners stated about themselves in answers; it may be nil.
-	Statements *statement.Book
+	Statements *statement.Registry
 	// Stated exchanges what runners stated in answers with other nodes; it may be nil.
 	Stated Stated
 	// NeedList is called with whether this node needs the platform's whole runner list, which
@@ -91,14 +91,14 @@
 	// nil where the holder of another service divides the limits.
 	Divide func(report limit.Report) *limit.Grant
 	// CountCrashes records a node's report of runners that ended under its requests.
-	Count func(report wire.PoisonReport)
+	CountCrashes func(report wire.PoisonReport)
 	// Terms returns the terms for sending requests to the service's cold runners; it is nil
 	// where no runner is cold.
 	Terms func(service string) coldstart.Terms
 	// RecordDecision records a decision about a subject (model/NAME or replica/RUNNER), so
 	// that operators can ask for it.
-	Decide func(subject, step, reason string)
-	Log    logr.Logger
+	RecordDecision func(subject, step, reason string)
+	Log            logr.Logger
 }
 
 // Stated holds what runners stated in answers, as far as one node knows it: that they are
@@ -149,8 +149,8 @@
 	limiter *rate.Limiter
 	// ends counts the runners that ended while they loaded a model; knownEnds is what an
 	// earlier holder counted.
-	ends      *orders.Ends
-	knownEnds []orders.ModelEnds
+	ends      *orders.LoadCrashes
+	knownEnds []orders.ModelCrashes
 	// pausedModels are the models whose callers are told that loading them is paused.
 	pausedModels map[string]bool
 	// store tracks the loads from the weight store and storeLoads lists them by runner;
@@ -172,7 +172,7 @@
 func NewController(options Options) *Controller {
 	options.Log = options.Log.WithValues("service", options.Service)
 	return &Controller{Options: options, trigger: make(chan struct{}, 1), urgency: make(chan struct{}, 1), modelVersions: make(map[string]uint64), demand: newDemandTracker(),
-		changed: make(chan struct{}), urgent: make(chan struct{}), reportSignals: make(map[string]chan struct{}), ends: orders.NewEnds(nil)}
+		changed: make(chan struct{}), urgent: make(chan struct{}), reportSignals: make(map[string]chan struct{}), ends: orders.NewLoadCrashes(nil)}
 }
 
 // Run plans and sends orders whenever the node holds the lease, until ctx is done.
@@ -268,7 +268,7 @@
 	if !c.adoptToken(engine) {
 		return false
 	}
-	if !c.Fleet.Whole() {
+	if !c.Fleet.Complete() {
 		// A plan based on only some of the runners would load models that the others hold.
 		c.setListNeeded(true)
 		return false
@@ -277,7 +277,7 @@
 	c.updateRunners(engine, now)
 	c.requestReports(ctx, engine, now)
 	for _, ledger := range c.ledgers {
-		if ledger.Settle(now) {
+		if ledger.CompleteAdapterLoads(now) {
 			c.publishLedger(ledger)
 		}
 	}
@@ -352,7 +352,7 @@
 	c.lender = coldstart.NewLender(time.Now())
 	c.store = weightstore.New(c.knownStore)
 	c.storeLoads = make(map[string]storeLoad)
-	c.ends = orders.NewEnds(c.knownEnds)
+	c.ends = orders.NewLoadCrashes(c.knownEnds)
 	// The new holder does not know when the previous one began its last loads, so it starts
 	// without any burst.
 	c.limiter = rate.NewLimiter(rate.Limit(engine.LoadsPerSecond), loadBurst)
--- a/internal/control/controller_test.go
+++ b/internal/control/controller_test.go
@@ -29,7 +29,7 @@
 // ledger. The race detector reports it if one reads what the other writes.
 func TestOrderDuringListChange(t *testing.T) {
 	c := NewController(Options{
-		Runners: acceptingRunners{}, Decide: func(string, string, string) {}, Log: logr.Discard(),
+		Runners: acceptingRunners{}, RecordDecision: func(string, string, string) {}, Log: logr.Discard(),
 		Configuration: func() *config.Configuration { return nil },
 	})
 	runner := backend.Runner{ID: "r"}
@@ -53,8 +53,8 @@
 	var subjects []string
 	c := NewController(Options{
 		Service: "s", Runners: acceptingRunners{}, Log: logr.Discard(),
-		Decide:        func(subject, _, _ string) { subjects = append(subjects, subject) },
-		Configuration: func() *config.Configuration { return configuration },
+		RecordDecision: func(subject, _, _ string) { subjects = append(subjects, subject) },
+		Configuration:  func() *config.Configuration { return configuration },
 	})
 	ledger := orders.NewLedger(backend.Runner{ID: "r"})
 	ledger.Reported(backend.Report{}, time.Now(), time.Now())
--- a/internal/control/demand.go
+++ b/internal/control/demand.go
@@ -85,7 +85,7 @@
 	for _, usage := range request.Usage {
 		for _, unit := range unitsOf(usage.Model, usage.Adapter) {
 			recordUse(d.unitUses, unit, usage, now)
-			if homes := place.HomesOf(usage.Homes); homes.Bound() {
+			if homes := place.HomesFromNames(usage.Homes); homes.Restricted() {
 				recordUse(d.withHomes, scheduler.Want{Unit: unit, Homes: homes}, usage, now)
 			}
 		}
--- a/internal/control/describe.go
+++ b/internal/control/describe.go
@@ -18,18 +18,18 @@
 // describe converts a runner's ledger to the scheduler's representation.
 func describe(id string, ledger *orders.Ledger, engine *config.Engine, running runnerLoad, now time.Time) *scheduler.Runner {
 	runner := &scheduler.Runner{
-		ID: id, Zone: ledger.Runner.Zone, Region: place.Region(ledger.Runner.Region), Models: make(map[string]*scheduler.Held), Free: ledger.Free(engine),
+		ID: id, Zone: ledger.Runner.Zone, Region: place.Region(ledger.Runner.Region), Models: make(map[string]*scheduler.Held), Free: ledger.FreeMemory(engine),
 		AdapterSlots: ledger.FreeAdapterSlots(engine), Idle: ledger.Idle(now),
 		Ready:  ledger.MayOrder(backend.Unit{Model: "any", Adapter: "any"}, now),
 		Silent: ledger.Silent(), Host: setOf(ledger.Copies().Host), Disk: setOf(ledger.Copies().Disk),
 	}
 	for name, model := range ledger.Models() {
 		held := &scheduler.Held{
-			Coming: model.Coming, Leaving: model.Leaving, Active: running.models[name], Adapters: make(map[string]*scheduler.Adapter),
+			Loading: model.Loading, Unloading: model.Unloading, Active: running.models[name], Adapters: make(map[string]*scheduler.Adapter),
 		}
 		for adapter, state := range model.Adapters {
 			held.Adapters[adapter] = &scheduler.Adapter{
-				Coming: state.Coming, Leaving: state.Leaving, Active: running.adapters[backend.Unit{Model: name, Adapter: adapter}.String()],
+				Loading: state.Loading, Unloading: state.Unloading, Active: running.adapters[backend.Unit{Model: name, Adapter: adapter}.String()],
 			}
 		}
 		runner.Models[name] = held
@@ -37,10 +37,10 @@
 	}
 	runner.BusyFor = ledger.BusyFor(func(model string) bool { return running.models[model] > 0 }, now)
 	for _, name := range ledger.Uncertain() {
-		runner.Models[name] = &scheduler.Held{Coming: true, Uncertain: true}
+		runner.Models[name] = &scheduler.Held{Loading: true, Uncertain: true}
 	}
 	if name := ledger.Sending(); name != "" && runner.Models[name] == nil {
-		runner.Models[name] = &scheduler.Held{Coming: true}
+		runner.Models[name] = &scheduler.Held{Loading: true}
 	}
 	return runner
 }
@@ -57,21 +57,21 @@
 func viewOf(id string, ledger *orders.Ledger, now time.Time) wire.RunnerView {
 	view := wire.RunnerView{Runner: id, Silent: ledger.Silent()}
 	for name, model := range ledger.Models() {
-		if model.Leaving {
+		if model.Unloading {
 			continue
 		}
-		if model.Coming {
-			view.Coming = append(view.Coming, wire.UnitComing{Model: name, InMs: max(model.Due.Sub(now), 0).Milliseconds()})
+		if model.Loading {
+			view.Pending = append(view.Pending, wire.PendingUnit{Model: name, InMs: max(model.Due.Sub(now), 0).Milliseconds()})
 			continue
 		}
 		held := wire.UnitHeld{Model: name}
 		for adapter, state := range model.Adapters {
-			if state.Leaving {
+			if state.Unloading {
 				continue
 			}
-			if state.Coming {
-				coming := wire.UnitComing{Model: name, Adapter: adapter, InMs: max(state.Due.Sub(now), 0).Milliseconds()}
-				view.Coming = append(view.Coming, coming)
+			if state.Loading {
+				coming := wire.PendingUnit{Model: name, Adapter: adapter, InMs: max(state.Due.Sub(now), 0).Milliseconds()}
+				view.Pending = append(view.Pending, coming)
 				continue
 			}
 			held.Adapters = append(held.Adapters, adapter)
@@ -86,7 +86,7 @@
 func statusOf(ledger *orders.Ledger, engine *config.Engine, running runnerLoad, reason eligible.Reason) wire.RunnerStatus {
 	status := wire.RunnerStatus{
 		Runner: ledger.Runner.Name(), Service: ledger.Runner.Service, Zone: ledger.Runner.Zone, Address: ledger.Runner.Address, State: "ready",
-		FreeMB: ledger.Free(engine), Sequence: ledger.Sequence(), Units: []wire.ReplicaStatus{},
+		FreeMB: ledger.FreeMemory(engine), Sequence: ledger.Sequence(), Units: []wire.ReplicaStatus{},
 	}
 	switch {
 	case reason == eligible.Draining || reason == eligible.Drained:
@@ -115,9 +115,9 @@
 
 func stateOfAdapter(adapter *orders.Adapter) string {
 	switch {
-	case adapter.Coming:
+	case adapter.Loading:
 		return "loading"
-	case adapter.Leaving:
+	case adapter.Unloading:
 		return "unloading"
 	default:
 		return "ready"
@@ -126,9 +126,9 @@
 
 func stateOf(model *orders.Model) string {
 	switch {
-	case model.Coming:
+	case model.Loading:
 		return "loading"
-	case model.Leaving:
+	case model.Unloading:
 		return "unloading"
 	default:
 		return "ready"
--- a/internal/control/eligible.go
+++ b/internal/control/eligible.go
@@ -12,7 +12,7 @@
 // Only runners on the platform's list have a ledger.
 func (c *Controller) eligible(ledger *orders.Ledger, purpose eligible.Purpose) eligible.Reason {
 	runner := &ledger.Runner
-	stated := c.Statements.Of(runner.ID)
+	stated := c.Statements.State(runner.ID)
 	return eligible.Check(c.Rules, &eligible.Runner{
 		ID: runner.Name(), Service: runner.Service, Zone: place.Zone(runner.Zone), Region: place.Region(runner.Region),
 		Listed: true, Draining: runner.Draining || stated.Leaving, Resting: stated.Rest > 0, Permit: true,
--- a/internal/control/lend.go
+++ b/internal/control/lend.go
@@ -44,7 +44,7 @@
 // hasLimit is false if there is no limit.
 func (c *Controller) termsFor(wanted wire.PermitsWanted, cold coldstart.Terms) (terms coldstart.Terms, hasLimit bool) {
 	rate := wanted.Rate
-	if own := c.Statements.Of(wanted.Runner).Rate; own > 0 && (rate == 0 || own < rate) {
+	if own := c.Statements.State(wanted.Runner).Rate; own > 0 && (rate == 0 || own < rate) {
 		rate = own
 	}
 	if !(rate > 0) || math.IsInf(rate, 0) || (cold.Rate > 0 && cold.Rate <= rate) {
--- a/internal/control/lend_test.go
+++ b/internal/control/lend_test.go
@@ -47,7 +47,7 @@
 		Service: "s", Fleet: known, Log: logr.Discard(), Terms: func(string) coldstart.Terms { return terms },
 		Lessor: lease.New(&freeLease{}, "lease", "n", "10.0.0.1:1", "p", options, logr.Discard()),
 	})
-	c.lender = coldstart.NewLender(time.Now().Add(-coldstart.Held))
+	c.lender = coldstart.NewLender(time.Now().Add(-coldstart.LendingPeriod))
 	return c
 }
 
--- a/internal/control/listed.go
+++ b/internal/control/listed.go
@@ -67,7 +67,7 @@
 		return false
 	}
 	for name, model := range ledger.Models() {
-		if models[name] && !model.Coming && !model.Leaving && told[name] < maxHoldersTold {
+		if models[name] && !model.Loading && !model.Unloading && told[name] < maxHoldersTold {
 			return c.listedRunner(ledger.Runner.ID) != nil
 		}
 	}
@@ -81,7 +81,7 @@
 			return true
 		}
 	}
-	for _, coming := range view.Coming {
+	for _, coming := range view.Pending {
 		if models[coming.Model] {
 			return true
 		}
--- a/internal/control/loadends.go
+++ b/internal/control/loadends.go
@@ -16,27 +16,27 @@
 	// Include orders sent since the last round.
 	c.ends.Follow(ledger)
 	planned := c.eligible(ledger, eligible.Load{Service: c.Service}) == eligible.Draining
-	for _, model := range c.ends.Ended(ledger.Runner.ID, planned, now) {
+	for _, model := range c.ends.RunnerEnded(ledger.Runner.ID, planned, now) {
 		until := c.ends.Paused(now)[model]
 		c.Log.Info("runner ended as it loaded a model", "runner", ledger.Runner.ID, "model", model, "pausedMs", max(until.Sub(now), 0).Milliseconds())
 		if !until.IsZero() {
-			c.Decide("model/"+c.objectName(model), "pause loads", "runners ended as they loaded it, the last was "+ledger.Runner.Name())
+			c.RecordDecision("model/"+c.objectName(model), "pause loads", "runners ended as they loaded it, the last was "+ledger.Runner.Name())
 		}
 	}
 }
 
 // loadEnds returns the counts that the next holder continues from. The caller holds mutex.
-func (c *Controller) loadEnds(now time.Time) []wire.LoadEnds {
-	var ends []wire.LoadEnds
+func (c *Controller) loadEnds(now time.Time) []wire.ModelCrashes {
+	var ends []wire.ModelCrashes
 	for _, known := range c.ends.Known() {
-		ends = append(ends, wire.LoadEnds{Model: known.Model, Count: known.Count, PauseMs: max(known.Until.Sub(now), 0).Milliseconds()})
+		ends = append(ends, wire.ModelCrashes{Model: known.Model, Count: known.Count, PauseMs: max(known.Until.Sub(now), 0).Milliseconds()})
 	}
 	return ends
 }
 
 // LearnLoadEnds records what the holder knows about runners that ended while they loaded
 // models, so that this node can continue from there if it becomes the holder.
-func (c *Controller) LearnLoadEnds(told []wire.LoadEnds) {
+func (c *Controller) LearnLoadEnds(told []wire.ModelCrashes) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.token != 0 {
@@ -46,7 +46,7 @@
 	c.knownEnds = c.knownEnds[:0]
 	for _, one := range told {
 		pause := min(max(time.Duration(one.PauseMs)*time.Millisecond, 0), orders.LongestLoadPause)
-		c.knownEnds = append(c.knownEnds, orders.ModelEnds{Model: one.Model, Count: max(one.Count, 0), Until: now.Add(pause)})
+		c.knownEnds = append(c.knownEnds, orders.ModelCrashes{Model: one.Model, Count: max(one.Count, 0), Until: now.Add(pause)})
 	}
 }
 
@@ -68,7 +68,7 @@
 // holdsModel reports whether any runner holds a model. The caller holds mutex.
 func (c *Controller) holdsModel(model string) bool {
 	for _, ledger := range c.ledgers {
-		if held := ledger.Models()[model]; held != nil && !held.Coming && !held.Leaving {
+		if held := ledger.Models()[model]; held != nil && !held.Loading && !held.Unloading {
 			return true
 		}
 	}
--- a/internal/control/ordering.go
+++ b/internal/control/ordering.go
@@ -41,7 +41,7 @@
 	if !c.mayOrder(ledger, step.Action) {
 		return backend.Order{}, false
 	}
-	if !ledger.Confirm(time.Now()) {
+	if !ledger.EnsureReport(time.Now()) {
 		c.Wake()
 		return backend.Order{}, false
 	}
@@ -99,8 +99,8 @@
 	}
 	c.Log.Info("order", fields...)
 	what := string(order.Action) + " " + order.Unit.String() + " at " + runner.ID + ": " + verdict.String() + " (" + step.Reason + ")"
-	c.Decide("model/"+c.objectName(order.Unit.Model), "order "+string(order.Action), what)
-	c.Decide("replica/"+runner.Name(), "order "+string(order.Action), what)
+	c.RecordDecision("model/"+c.objectName(order.Unit.Model), "order "+string(order.Action), what)
+	c.RecordDecision("replica/"+runner.Name(), "order "+string(order.Action), what)
 	return verdict == backend.Accepted || verdict == backend.AlreadyHeld
 }
 
--- a/internal/control/parts.go
+++ b/internal/control/parts.go
@@ -25,7 +25,9 @@
 	for _, want := range slices.SortedFunc(maps.Keys(demands), compareWants) {
 		parts[want.Unit] = append(parts[want.Unit], scheduler.Part{Homes: want.Homes, Demand: demands[want]})
 	}
-	maps.DeleteFunc(parts, func(_ backend.Unit, of []scheduler.Part) bool { return !of[len(of)-1].Homes.Bound() && len(of) == 1 })
+	maps.DeleteFunc(parts, func(_ backend.Unit, of []scheduler.Part) bool {
+		return !of[len(of)-1].Homes.Restricted() && len(of) == 1
+	})
 	return parts
 }
 
@@ -42,9 +44,9 @@
 // compareWants orders by unit and homes, those without homes last.
 func compareWants(a, b scheduler.Want) int {
 	bound := 0
-	if a.Homes.Bound() != b.Homes.Bound() {
+	if a.Homes.Restricted() != b.Homes.Restricted() {
 		bound = 1
-		if a.Homes.Bound() {
+		if a.Homes.Restricted() {
 			bound = -1
 		}
 	}
@@ -55,7 +57,7 @@
 func (d *demandTracker) waitingParts(now time.Time) map[scheduler.Want]*scheduler.Demand {
 	demands := make(map[scheduler.Want]*scheduler.Demand)
 	d.forEachWaiting(now, func(unit backend.Unit, waiting wire.UnitWaiting, left time.Duration, region place.Region) {
-		addWaiting(demands, scheduler.Want{Unit: unit, Homes: place.HomesOf(waiting.Homes)}, waiting, left, region)
+		addWaiting(demands, scheduler.Want{Unit: unit, Homes: place.HomesFromNames(waiting.Homes)}, waiting, left, region)
 	})
 	return demands
 }
@@ -90,7 +92,7 @@
 func (d *demandTracker) addUseWithoutHomes(demands map[scheduler.Want]*scheduler.Demand, units map[backend.Unit]*scheduler.Demand) {
 	taken := make(map[backend.Unit]scheduler.Demand)
 	for want, demand := range demands {
-		if !want.Homes.Bound() {
+		if !want.Homes.Restricted() {
 			continue
 		}
 		sum := taken[want.Unit]
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -34,7 +34,7 @@
 	bounded := engine.Bounded()
 	for _, ledger := range c.ledgers {
 		if bounded {
-			ledger.Confirm(now)
+			ledger.EnsureReport(now)
 		}
 		c.ends.Follow(ledger)
 	}
--- a/internal/control/rounds_test.go
+++ b/internal/control/rounds_test.go
@@ -73,7 +73,7 @@
 			state.Demand = map[backend.Unit]*scheduler.Demand{unit: {Waiting: 1}}
 		}, false},
 		{"a runner is to report", func(c *Controller, _ *scheduler.Plan, _ *scheduler.State) {
-			c.ledgers["i-0000000003"].Confirm(time.Now())
+			c.ledgers["i-0000000003"].EnsureReport(time.Now())
 		}, false},
 		{"an order", func(_ *Controller, plan *scheduler.Plan, _ *scheduler.State) {
 			plan.Steps = []scheduler.Step{{Unit: unit}}
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -33,7 +33,7 @@
 		if reason == eligible.Resting {
 			// A resting runner must not get orders until its rest ends, so loads go elsewhere or
 			// wait.
-			runner.BusyFor, runner.Idle, runner.Ready = max(runner.BusyFor, c.Statements.Of(id).Rest), false, false
+			runner.BusyFor, runner.Idle, runner.Ready = max(runner.BusyFor, c.Statements.State(id).Rest), false, false
 		}
 		state.Runners = append(state.Runners, runner)
 	}
--- a/internal/control/storeloads.go
+++ b/internal/control/storeloads.go
@@ -35,7 +35,7 @@
 		switch {
 		case ledger == nil || ledger.Models()[load.model] == nil:
 			c.store.Drop(runner)
-		case !ledger.Models()[load.model].Coming:
+		case !ledger.Models()[load.model].Loading:
 			c.endLoad(runner, load, now)
 		default:
 			c.updateDelay(ledger, load.model, now)
@@ -55,7 +55,7 @@
 // updateDelay tells nodes when a load takes longer than announced, so that requests that
 // cannot wait that long are not held. The caller holds mutex.
 func (c *Controller) updateDelay(ledger *orders.Ledger, model string, now time.Time) {
-	left := c.store.Left(ledger.Runner.ID, now)
+	left := c.store.Remaining(ledger.Runner.ID, now)
 	if left > 0 && ledger.Delay(model, now.Add(left)) {
 		c.publishLedger(ledger)
 	}
--- a/internal/control/sync.go
+++ b/internal/control/sync.go
@@ -35,8 +35,8 @@
 	if urgent {
 		c.wakeUrgently()
 	}
-	if request.Poison != nil && c.Count != nil {
-		c.Count(*request.Poison)
+	if request.Poison != nil && c.CountCrashes != nil {
+		c.CountCrashes(*request.Poison)
 	}
 	if c.Stated != nil {
 		c.Stated.Learn(request.Node, request.Leaving, request.Limited)
@@ -89,12 +89,12 @@
 		if !c.demand.waitsFor(request.Node, want.Unit.Model) {
 			continue
 		}
-		response.Planned = append(response.Planned, wire.UnitComing{
+		response.Planned = append(response.Planned, wire.PendingUnit{
 			Model: want.Unit.Model, InMs: max(at.Sub(now), 0).Milliseconds(), Homes: want.Homes.Names(), Firm: c.pausedModels[want.Unit.Model],
 		})
 	}
 	if request.Report {
-		response.Standbys, response.LoadEnds = nodes.standbys, c.loadEnds(now)
+		response.Standbys, response.LoadCrashes = nodes.standbys, c.loadEnds(now)
 	}
 	known := request.Version
 	if request.Token != c.token {
--- a/internal/control/syncer.go
+++ b/internal/control/syncer.go
@@ -41,10 +41,10 @@
 	service    string
 	self       wire.Member
 	spare      float64
-	lessor     *lease.Lessor
+	lessor     *lease.Elector
 	controller *Controller
 	client     *peer.Client
-	book       *demand.Book
+	book       *demand.Tracker
 	fleet      *fleet.Fleet
 	limits     Limits
 	crashes    Crashes
@@ -102,7 +102,7 @@
 type Observe func(Observed)
 
 // NewSyncer returns a Syncer for a service.
-func NewSyncer(service string, self wire.Member, spare float64, lessor *lease.Lessor, controller *Controller, client *peer.Client, book *demand.Book,
+func NewSyncer(service string, self wire.Member, spare float64, lessor *lease.Elector, controller *Controller, client *peer.Client, book *demand.Tracker,
 	known *fleet.Fleet, limits Limits, crashes Crashes, stated Stated, observe Observe, log logr.Logger) *Syncer {
 	return &Syncer{
 		service: service, self: self, spare: spare, lessor: lessor, controller: controller, client: client, book: book, fleet: known,
@@ -250,7 +250,7 @@
 
 // call makes one call to the holder, local or remote, and applies its answer.
 func (s *Syncer) call(ctx context.Context, request wire.SyncRequest) error {
-	request.Service, request.Node, request.Partial = s.service, s.self.Node, !s.fleet.Whole()
+	request.Service, request.Node, request.Partial = s.service, s.self.Node, !s.fleet.Complete()
 	if request.Report {
 		request.Zone, request.Region, request.Address = s.self.Zone, s.self.Region, s.self.Address
 	}
@@ -272,7 +272,7 @@
 	s.fleet.ApplyPermits(permitsLent(response.Permits), sent)
 	s.stated.Learn(s.holderName(), response.Leaving, response.Limited)
 	if request.Report {
-		s.controller.LearnLoadEnds(response.LoadEnds)
+		s.controller.LearnLoadEnds(response.LoadCrashes)
 	}
 	s.applyResponse(response)
 	return nil
@@ -302,7 +302,7 @@
 	switch {
 	case err == nil && response.Valid:
 		s.withoutOrders = false
-		s.fleet.HearLender(s.service)
+		s.fleet.RecordLender(s.service)
 		s.fleet.SetOrdersIn(s.service, time.Duration(response.ActsInMs)*time.Millisecond)
 	case !s.withoutOrders:
 		s.withoutOrders = true
@@ -356,8 +356,8 @@
 	s.fleet.ApplyViews(views, response.ListRevision)
 }
 
-func plannedUnits(planned []wire.UnitComing) []fleet.Coming {
-	units := make([]fleet.Coming, 0, len(planned))
+func plannedUnits(planned []wire.PendingUnit) []fleet.PendingUnit {
+	units := make([]fleet.PendingUnit, 0, len(planned))
 	for _, coming := range planned {
 		units = append(units, comingUnit(coming))
 	}
@@ -366,7 +366,7 @@
 
 // maxNextMs limits the time, in milliseconds, until the next permit can be lent, as stated
 // by the holder.
-const maxNextMs = int64(coldstart.Longest / time.Millisecond)
+const maxNextMs = int64(coldstart.MaxDuration / time.Millisecond)
 
 func permitsLent(lent []wire.PermitsLent) []fleet.PermitsLent {
 	permits := make([]fleet.PermitsLent, 0, len(lent))
@@ -377,10 +377,10 @@
 	return permits
 }
 
-func comingUnit(coming wire.UnitComing) fleet.Coming {
-	return fleet.Coming{
+func comingUnit(coming wire.PendingUnit) fleet.PendingUnit {
+	return fleet.PendingUnit{
 		Unit: backend.Unit{Model: coming.Model, Adapter: coming.Adapter}, In: time.Duration(coming.InMs) * time.Millisecond,
-		Homes: place.HomesOf(coming.Homes), Firm: coming.Firm,
+		Homes: place.HomesFromNames(coming.Homes), Firm: coming.Firm,
 	}
 }
 
@@ -395,8 +395,8 @@
 			Slots: listed.Slots, Revision: listed.Revision, Models: view.Ready,
 		}
 	}
-	for _, coming := range runner.Coming {
-		view.Coming = append(view.Coming, comingUnit(coming))
+	for _, coming := range runner.Pending {
+		view.Pending = append(view.Pending, comingUnit(coming))
 	}
 	return view
 }
--- a/internal/control/tick_bench_test.go
+++ b/internal/control/tick_bench_test.go
@@ -52,7 +52,7 @@
 		Configuration: func() *config.Configuration { return nil },
 	})
 	c.token, c.version, c.ledgers, c.store = 1, 1, make(map[string]*orders.Ledger), weightstore.New(weightstore.Estimate{})
-	c.ends, c.limiter, c.storeLoads = orders.NewEnds(nil), rate.NewLimiter(100, loadBurst), make(map[string]storeLoad)
+	c.ends, c.limiter, c.storeLoads = orders.NewLoadCrashes(nil), rate.NewLimiter(100, loadBurst), make(map[string]storeLoad)
 	for i := range nodes {
 		c.demand.addReport(wire.SyncRequest{
 			Node: fmt.Sprint("n", i), Report: true,
@@ -74,7 +74,7 @@
 				now := time.Now()
 				c.updateRunners(engine, now)
 				for _, ledger := range c.ledgers {
-					ledger.Settle(now)
+					ledger.CompleteAdapterLoads(now)
 				}
 				scheduler.MakePlan(c.buildState(engine, now))
 			}
--- a/internal/crash/detector.go
+++ b/internal/crash/detector.go
@@ -44,7 +44,7 @@
 }
 
 // Prober holds the functions that check whether a runner is still there.
-type Ask struct {
+type Prober struct {
 	// Report fetches the runner's report.
 	Report func(ctx context.Context, runner backend.Runner) (backend.Report, error)
 	// Connect opens a connection to an address and closes it.
@@ -55,13 +55,13 @@
 }
 
 // leaves reports whether a runner announced that it leaves, so that its end is planned.
-func (a Ask) leaves(runner backend.Runner) bool {
+func (a Prober) leaves(runner backend.Runner) bool {
 	return runner.Draining || (a.Leaves != nil && a.Leaves(runner.ID))
 }
 
 // Detector determines which runners crashed. Its methods may be called concurrently.
 type Detector struct {
-	prober  Ask
+	prober  Prober
 	onCrash func(Crash)
 	log     logr.Logger
 
@@ -76,23 +76,23 @@
 }
 
 // ProbeMethod is a method to find out whether a runner ended.
-type Way uint8
+type ProbeMethod uint8
 
 // The methods, each more conclusive than the one before.
 const (
 	// ProbeNone leaves the decision to the platform's list: the answer only took too long.
-	Wait Way = iota
+	ProbeNone ProbeMethod = iota
 	// ProbeConnect checks whether the runner accepts connections.
-	Connect
+	ProbeConnect
 	// ProbeReport requests the runner's report.
-	Report
+	ProbeReport
 )
 
 // inquiry is about a runner of which it is unknown whether it ended. Detector.mutex guards it.
 type inquiry struct {
 	runner   backend.Runner
 	requests []brokenRequest
-	method   Way
+	method   ProbeMethod
 	// due is set if the runner is to be probed; wake is signalled when due is set.
 	due  bool
 	wake chan struct{}
@@ -126,7 +126,7 @@
 
 // NewDetector returns a detector. onCrash is called for each crash with requests of this node,
 // possibly several times for one runner, but once for each request.
-func NewDetector(prober Ask, onCrash func(Crash), log logr.Logger) *Detector {
+func NewDetector(prober Prober, onCrash func(Crash), log logr.Logger) *Detector {
 	d := &Detector{prober: prober, onCrash: onCrash, log: log, pending: make(map[string]*inquiry), ended: make(map[string]endedRunner)}
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	return d
@@ -141,7 +141,7 @@
 // Broke records that the answer to a request from a runner broke off, or never came, and by
 // which method to find out whether the runner ended. The end of a runner that leaves is planned
 // and is not a crash.
-func (d *Detector) Broke(runner backend.Runner, request poison.Identity, method Way) {
+func (d *Detector) Broke(runner backend.Runner, request poison.Identity, method ProbeMethod) {
 	if d.prober.leaves(runner) {
 		return
 	}
@@ -167,7 +167,7 @@
 	}
 	inq.requests = append(inq.requests, brokenRequest{request: request, at: time.Now()})
 	inq.method = max(inq.method, method)
-	if method != Wait {
+	if method != ProbeNone {
 		inq.due = true
 		select {
 		case inq.wake <- struct{}{}:
@@ -209,16 +209,16 @@
 }
 
 // next returns the next probe of an inquiry; ok is false if the inquiry is over.
-func (d *Detector) next(inq *inquiry) (method Way, due, ok bool) {
+func (d *Detector) next(inq *inquiry) (method ProbeMethod, due, ok bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.pending[inq.runner.ID] != inq {
-		return Wait, false, false
+		return ProbeNone, false, false
 	}
 	if time.Since(inq.lastBroken()) > inquiryTimeout {
 		delete(d.pending, inq.runner.ID)
 		d.log.V(1).Info("cannot determine whether a runner ended", "runner", inq.runner.ID, "requests", len(inq.requests))
-		return Wait, false, false
+		return ProbeNone, false, false
 	}
 	due = inq.due
 	inq.due = false
@@ -247,10 +247,10 @@
 	howRefused = "its address refuses connections"
 	howOther   = "another runner, or a later incarnation of it, has its address"
 	// HowRestarted means that the runner is listed with a later start time.
-	HowBorn = "it started anew"
+	HowRestarted = "it started anew"
 	// HowUnlisted means that the runner disappeared from the platform's list without announcing
 	// it.
-	HowGone = "it is not listed any more"
+	HowUnlisted = "it is not listed any more"
 )
 
 // verdict is the result of a probe.
@@ -266,11 +266,11 @@
 )
 
 // probe probes a runner once. how describes how an end was detected.
-func (d *Detector) probe(ctx context.Context, runner backend.Runner, method Way) (result verdict, how string) {
+func (d *Detector) probe(ctx context.Context, runner backend.Runner, method ProbeMethod) (result verdict, how string) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var err error
-	if method == Report {
+	if method == ProbeReport {
 		_, err = d.prober.Report(ctx, runner)
 	} else {
 		err = d.prober.Connect(ctx, runner.Address)
@@ -282,7 +282,7 @@
 		return verdictEnded, howOther
 	case err != nil:
 		return verdictUnclear, ""
-	case method == Connect:
+	case method == ProbeConnect:
 		return verdictAccepts, ""
 	default:
 		return verdictAlive, ""
--- a/internal/crash/detector_test.go
+++ b/internal/crash/detector_test.go
@@ -49,8 +49,8 @@
 	t.Helper()
 	var crashes []Crash
 	synctest.Test(t, func(*testing.T) {
-		d := NewDetector(Ask{Report: a.report}, func(c Crash) { crashes = append(crashes, c) }, logr.Discard())
-		d.Broke(runner, request, Report)
+		d := NewDetector(Prober{Report: a.report}, func(c Crash) { crashes = append(crashes, c) }, logr.Discard())
+		d.Broke(runner, request, ProbeReport)
 		if then != nil {
 			then(d)
 		}
@@ -92,13 +92,13 @@
 	later := poison.Identity{2}
 	crashes := detect(t, &answers{list: []answer{{err: errReset}}}, func(d *Detector) {
 		time.Sleep(3 * time.Second)
-		d.Gone(runner, HowGone)
-		d.Gone(runner, HowGone)
-		d.Broke(runner, later, Report)
+		d.Gone(runner, HowUnlisted)
+		d.Gone(runner, HowUnlisted)
+		d.Broke(runner, later, ProbeReport)
 	})
 	assert.DeepEqual(t, crashes, []Crash{
-		{Runner: runner.ID, How: HowGone, Requests: []poison.Identity{request}},
-		{Runner: runner.ID, How: HowGone, Requests: []poison.Identity{later}},
+		{Runner: runner.ID, How: HowUnlisted, Requests: []poison.Identity{request}},
+		{Runner: runner.ID, How: HowUnlisted, Requests: []poison.Identity{later}},
 	})
 }
 
@@ -118,12 +118,12 @@
 			return nil
 		}
 		synctest.Test(t, func(*testing.T) {
-			d := NewDetector(Ask{Connect: connect}, func(c Crash) { crashes = append(crashes, c) }, logr.Discard())
-			d.Broke(runner, request, Connect)
+			d := NewDetector(Prober{Connect: connect}, func(c Crash) { crashes = append(crashes, c) }, logr.Discard())
+			d.Broke(runner, request, ProbeConnect)
 			time.Sleep(time.Second)
 			synctest.Wait()
 			assert.Equal(t, len(crashes) == 1, gone)
-			d.Gone(runner, HowBorn)
+			d.Gone(runner, HowRestarted)
 			d.Close()
 		})
 		assert.Equal(t, len(crashes), 1)
@@ -133,7 +133,7 @@
 // TestLaterAnswerThatBreaksOffIsAskedFor: a runner that was only slow, or accepted a connection,
 // is probed again immediately when another of its answers breaks off.
 func TestLaterAnswerThatBreaksOffIsAskedFor(t *testing.T) {
-	for _, first := range []Way{Wait, Connect} {
+	for _, first := range []ProbeMethod{ProbeNone, ProbeConnect} {
 		var crashes []Crash
 		gone := false
 		connect := func(context.Context, string) error {
@@ -143,13 +143,13 @@
 			return nil
 		}
 		synctest.Test(t, func(t *testing.T) {
-			d := NewDetector(Ask{Connect: connect}, func(c Crash) { crashes = append(crashes, c) }, logr.Discard())
+			d := NewDetector(Prober{Connect: connect}, func(c Crash) { crashes = append(crashes, c) }, logr.Discard())
 			d.Broke(runner, poison.Identity{9}, first)
 			time.Sleep(inquiryTimeout - time.Second)
 			synctest.Wait()
 			gone = true
 			start := time.Now()
-			d.Broke(runner, request, Connect)
+			d.Broke(runner, request, ProbeConnect)
 			synctest.Wait()
 			assert.Assert(t, time.Since(start) < time.Millisecond)
 			assert.Equal(t, len(crashes), 1)
@@ -164,12 +164,12 @@
 func TestOldRequestsAreNotReported(t *testing.T) {
 	var crashes []Crash
 	synctest.Test(t, func(t *testing.T) {
-		d := NewDetector(Ask{Connect: func(context.Context, string) error { return nil }}, func(c Crash) { crashes = append(crashes, c) }, logr.Discard())
+		d := NewDetector(Prober{Connect: func(context.Context, string) error { return nil }}, func(c Crash) { crashes = append(crashes, c) }, logr.Discard())
 		for number := range 8 {
-			d.Broke(runner, poison.Identity{byte(number)}, Wait)
+			d.Broke(runner, poison.Identity{byte(number)}, ProbeNone)
 			time.Sleep(inquiryTimeout / 4)
 		}
-		d.Gone(runner, HowGone)
+		d.Gone(runner, HowUnlisted)
 		d.Close()
 	})
 	assert.Equal(t, len(crashes), 1)
@@ -181,12 +181,12 @@
 func TestRefusedConnection(t *testing.T) {
 	var crashes []Crash
 	synctest.Test(t, func(*testing.T) {
-		d := NewDetector(Ask{Connect: noConnection}, func(c Crash) { crashes = append(crashes, c) }, logr.Discard())
+		d := NewDetector(Prober{Connect: noConnection}, func(c Crash) { crashes = append(crashes, c) }, logr.Discard())
 		other := backend.Runner{ID: "other"}
 		d.Refused(other.ID)
-		d.Broke(runner, request, Connect)
+		d.Broke(runner, request, ProbeConnect)
 		d.Refused(runner.ID)
-		d.Broke(other, request, Connect)
+		d.Broke(other, request, ProbeConnect)
 		d.Close()
 	})
 	assert.DeepEqual(t, crashes, []Crash{{Runner: runner.ID, How: howRefused, Requests: []poison.Identity{request}}})
@@ -195,12 +195,12 @@
 // TestPlannedEndIsNoCrash: the end of a runner that announced that it leaves is not reported.
 func TestPlannedEndIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := NewDetector(Ask{Connect: noConnection}, func(c Crash) { t.Errorf("unexpected crash: %+v", c) }, logr.Discard())
+		d := NewDetector(Prober{Connect: noConnection}, func(c Crash) { t.Errorf("unexpected crash: %+v", c) }, logr.Discard())
 		leaving := runner
 		leaving.Draining = true
-		d.Broke(leaving, request, Connect)
-		d.Broke(runner, request, Connect)
-		d.Gone(leaving, HowGone)
+		d.Broke(leaving, request, ProbeConnect)
+		d.Broke(runner, request, ProbeConnect)
+		d.Gone(leaving, HowUnlisted)
 		d.Close()
 	})
 }
@@ -218,11 +218,11 @@
 				return backend.Report{}, errGone
 			}
 			time.Sleep(time.Millisecond)
-			d.Broke(runner, poison.Identity{2}, Report)
+			d.Broke(runner, poison.Identity{2}, ProbeReport)
 			return backend.Report{}, nil
 		}
-		d = NewDetector(Ask{Report: report}, func(c Crash) { crashes = append(crashes, c) }, logr.Discard())
-		d.Broke(runner, request, Report)
+		d = NewDetector(Prober{Report: report}, func(c Crash) { crashes = append(crashes, c) }, logr.Discard())
+		d.Broke(runner, request, ProbeReport)
 		time.Sleep(time.Second)
 		d.Close()
 	})
@@ -234,9 +234,9 @@
 func TestPendingRequestsAreBounded(t *testing.T) {
 	crashes := detect(t, &answers{list: []answer{{err: errReset}}}, func(d *Detector) {
 		for number := range 2 * maxPendingRequests {
-			d.Broke(runner, poison.Identity{byte(number), byte(number >> 8), 1}, Report)
+			d.Broke(runner, poison.Identity{byte(number), byte(number >> 8), 1}, ProbeReport)
 		}
-		d.Gone(runner, HowGone)
+		d.Gone(runner, HowUnlisted)
 	})
 	assert.Equal(t, len(crashes), 1)
 	assert.Equal(t, len(crashes[0].Requests), maxPendingRequests)
--- a/internal/demand/tracker.go
+++ b/internal/demand/tracker.go
@@ -37,7 +37,7 @@
 }
 
 // Tracker collects the demand of one node. Its methods may be called concurrently.
-type Book struct {
+type Tracker struct {
 	mutex   sync.Mutex
 	next    int
 	waiting map[Key]map[int]waitingRequest
@@ -53,20 +53,20 @@
 }
 
 // NewTracker returns an empty tracker.
-func NewBook() *Book {
-	return &Book{waiting: make(map[Key]map[int]waitingRequest), usage: make(map[Key]*Usage), urgent: make(map[string]chan struct{})}
+func NewTracker() *Tracker {
+	return &Tracker{waiting: make(map[Key]map[int]waitingRequest), usage: make(map[Key]*Usage), urgent: make(map[string]chan struct{})}
 }
 
 // Urgent returns the channel that is signalled when a request waits for a unit of the
 // service that no request waited for before. The channel supports a single reader.
-func (tr *Book) Urgent(service string) <-chan struct{} {
+func (tr *Tracker) Urgent(service string) <-chan struct{} {
 	tr.mutex.Lock()
 	defer tr.mutex.Unlock()
 	return tr.urgentOf(service)
 }
 
 // urgentOf returns a service's channel. The caller holds mutex.
-func (tr *Book) urgentOf(service string) chan struct{} {
+func (tr *Tracker) urgentOf(service string) chan struct{} {
 	if tr.urgent[service] == nil {
 		tr.urgent[service] = make(chan struct{}, 1)
 	}
@@ -74,7 +74,7 @@
 }
 
 // RequestReport signals a service's channel, so that its reader reports the demand at once.
-func (tr *Book) Nudge(service string) {
+func (tr *Tracker) RequestReport(service string) {
 	tr.mutex.Lock()
 	defer tr.mutex.Unlock()
 	tr.signal(service)
@@ -82,7 +82,7 @@
 
 // AddWaiting records that a request waits for a unit until deadline. The returned function
 // removes the request again.
-func (tr *Book) Wait(key Key, deadline time.Time, priority int) (end func()) {
+func (tr *Tracker) AddWaiting(key Key, deadline time.Time, priority int) (end func()) {
 	tr.mutex.Lock()
 	defer tr.mutex.Unlock()
 	tr.next++
@@ -95,7 +95,7 @@
 	return func() { tr.end(key, id) }
 }
 
-func (tr *Book) end(key Key, id int) {
+func (tr *Tracker) end(key Key, id int) {
 	tr.mutex.Lock()
 	defer tr.mutex.Unlock()
 	delete(tr.waiting[key], id)
@@ -105,7 +105,7 @@
 }
 
 // signal notifies a service's reader. The caller holds mutex.
-func (tr *Book) signal(service string) {
+func (tr *Tracker) signal(service string) {
 	select {
 	case tr.urgentOf(service) <- struct{}{}:
 	default:
@@ -113,7 +113,7 @@
 }
 
 // Use records a request for a unit and the number of tokens in its prompt.
-func (tr *Book) Use(key Key, tokens int) {
+func (tr *Tracker) Use(key Key, tokens int) {
 	tr.mutex.Lock()
 	defer tr.mutex.Unlock()
 	usage := tr.usage[key]
@@ -126,7 +126,7 @@
 }
 
 // Waits reports whether any request waits at a service.
-func (tr *Book) Waits(service string) bool {
+func (tr *Tracker) Waits(service string) bool {
 	tr.mutex.Lock()
 	defer tr.mutex.Unlock()
 	for key := range tr.waiting {
@@ -138,7 +138,7 @@
 }
 
 // Waiting returns what requests wait for now.
-func (tr *Book) Waiting() []Waiting {
+func (tr *Tracker) Waiting() []Waiting {
 	tr.mutex.Lock()
 	defer tr.mutex.Unlock()
 	list := make([]Waiting, 0, len(tr.waiting))
@@ -164,7 +164,7 @@
 }
 
 // TakeUsage returns a service's usage since the last call.
-func (tr *Book) TakeUsage(service string) []Usage {
+func (tr *Tracker) TakeUsage(service string) []Usage {
 	tr.mutex.Lock()
 	defer tr.mutex.Unlock()
 	var list []Usage
--- a/internal/demand/tracker_test.go
+++ b/internal/demand/tracker_test.go
@@ -22,13 +22,13 @@
 // reader of its own service. With a single channel for all services, another service's
 // reader could consume the signal.
 func TestUrgentSignalsWaitingService(t *testing.T) {
-	tracker := NewBook()
+	tracker := NewTracker()
 	drafts, chats := tracker.Urgent("drafts"), tracker.Urgent("chats")
-	end := tracker.Wait(Key{Service: "chats", Unit: backend.Unit{Model: "m"}}, time.Now(), 0)
+	end := tracker.AddWaiting(Key{Service: "chats", Unit: backend.Unit{Model: "m"}}, time.Now(), 0)
 	assert.Assert(t, isSignalled(chats))
 	assert.Assert(t, !isSignalled(drafts))
 	// A second request for the same unit does not signal again.
-	endSecond := tracker.Wait(Key{Service: "chats", Unit: backend.Unit{Model: "m"}}, time.Now(), 0)
+	endSecond := tracker.AddWaiting(Key{Service: "chats", Unit: backend.Unit{Model: "m"}}, time.Now(), 0)
 	assert.Assert(t, !isSignalled(chats))
 	assert.Assert(t, tracker.Waits("chats"))
 	end()
@@ -39,11 +39,11 @@
 // TestWaitingSummary checks that a summary has the earliest deadline and the most urgent
 // priority.
 func TestWaitingSummary(t *testing.T) {
-	tracker := NewBook()
+	tracker := NewTracker()
 	key := Key{Service: "s", Unit: backend.Unit{Model: "m", Adapter: "a"}}
 	now := time.Now()
-	defer tracker.Wait(key, now.Add(time.Second), 0)()
-	defer tracker.Wait(key, now, 2)()
+	defer tracker.AddWaiting(key, now.Add(time.Second), 0)()
+	defer tracker.AddWaiting(key, now, 2)()
 	waiting := tracker.Waiting()
 	assert.Equal(t, len(waiting), 1)
 	assert.Equal(t, waiting[0].Count, 2)
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -335,8 +335,8 @@
 		Runner: choice.Runner.Name(), Incarnation: choice.Runner.ID, Address: choice.Runner.Address, Method: j.request.Method, Target: j.request.Target,
 		Host: j.request.Host, Header: header, Body: j.request.Body, RequestID: j.request.ID,
 		Admit: func() error {
-			if j.dispatcher.AwaitReading != nil {
-				j.dispatcher.AwaitReading()
+			if j.dispatcher.AwaitPendingReads != nil {
+				j.dispatcher.AwaitPendingReads()
 			}
 			if j.dispatcher.Fleet.Allowed(choice, query) {
 				return nil
@@ -358,6 +358,6 @@
 
 func (j *job) recordLoad(runner string, header http.Header) {
 	if load, ok := backend.ParseWorkload(header.Get(j.dispatcher.Names.Load)); ok {
-		j.dispatcher.Fleet.Told(runner, load)
+		j.dispatcher.Fleet.ObserveWorkload(runner, load)
 	}
 }
--- a/internal/dispatch/caller.go
+++ b/internal/dispatch/caller.go
@@ -16,20 +16,20 @@
 // The verdicts.
 const (
 	// WithinLimit means that the request may run; its cost was charged.
-	Within Verdict = iota
+	WithinLimit Verdict = iota
 	// OverLimit means that the limit is used up now.
-	Over
+	OverLimit
 	// TooLarge means that the request costs more than the limit ever allows at once.
 	TooLarge
 	// LimitUnknown means that no node can be asked now.
-	NotKnown
+	LimitUnknown
 )
 
 // Admission is the decision on a request.
 type Admission struct {
 	Verdict Verdict
 	// RetryAfter is when a request that is OverLimit may be sent again.
-	In time.Duration
+	RetryAfter time.Duration
 	// By is the node whose share of the limit decided, or its address.
 	By string
 }
@@ -37,7 +37,7 @@
 // Limiter decides whether requests of tenants are within their limits.
 type Limiter interface {
 	// RecordDemand records, once per request, that a request of the given cost arrived.
-	Ask(t *tenant.Tenant, cost float64)
+	RecordDemand(t *tenant.Tenant, cost float64)
 	// Admit decides on the request now; it may be called again. rank is its rank among the requests
 	// of its tenant, 0 the most urgent.
 	Admit(ctx context.Context, t *tenant.Tenant, cost float64, rank int) Admission
@@ -93,11 +93,11 @@
 	}
 	cost := limit.Cost(j.request.TokensIn+j.request.TokensOut, j.request.Counts == CountsGiven)
 	j.outcome.Cost = cost
-	j.dispatcher.Limits.Ask(j.tenant, cost)
+	j.dispatcher.Limits.RecordDemand(j.tenant, cost)
 	for {
 		admission := j.dispatcher.Limits.Admit(ctx, j.tenant, cost, j.route.Priority)
 		j.outcome.AdmittedBy = admission.By
-		if admission.Verdict == Within {
+		if admission.Verdict == WithinLimit {
 			j.outcome.Charged = true
 			return nil
 		}
@@ -126,9 +126,9 @@
 // long.
 func (a Admission) waits(patience time.Duration) (again time.Duration, ok bool) {
 	switch a.Verdict {
-	case Over:
-		return max(a.In, time.Millisecond), a.In <= patience
-	case NotKnown:
+	case OverLimit:
+		return max(a.RetryAfter, time.Millisecond), a.RetryAfter <= patience
+	case LimitUnknown:
 		return limitPollInterval, limitPollInterval <= patience
 	default:
 		return 0, false
@@ -139,9 +139,9 @@
 func (j *job) overLimit(admission Admission, cost float64) *fault.Error {
 	limit := j.tenant.Limit
 	switch admission.Verdict {
-	case Over:
+	case OverLimit:
 		return fault.New(fault.CodeOverLimit, stepLimit, "tenant %s is over %g %s a second", j.tenant.Name, limit.Rate, limit.Unit).
-			WithRetryAfter(max(admission.In, minOverLimitRetryAfter))
+			WithRetryAfter(max(admission.RetryAfter, minOverLimitRetryAfter))
 	case TooLarge:
 		return fault.New(fault.CodeOverLimit, stepLimit, "the request costs %g %s, more than the limit of tenant %s holds", cost, limit.Unit, j.tenant.Name).
 			WithRetryAfter(tooLargeRetryAfter)
--- a/internal/dispatch/caller_test.go
+++ b/internal/dispatch/caller_test.go
@@ -83,7 +83,7 @@
 	cost       float64
 }
 
-func (l *limiter) Ask(_ *tenant.Tenant, cost float64) { l.asked += cost }
+func (l *limiter) RecordDemand(_ *tenant.Tenant, cost float64) { l.asked += cost }
 
 func (l *limiter) Admit(_ context.Context, _ *tenant.Tenant, cost float64, _ int) Admission {
 	l.cost = cost
@@ -105,7 +105,7 @@
 // TestLimitIsCharged checks that demand is recorded once per request, and that a request costs its
 // tokens, or the plain cost if it has no counts.
 func TestLimitIsCharged(t *testing.T) {
-	l := &limiter{admissions: []Admission{{Verdict: NotKnown}, {Verdict: Within}}}
+	l := &limiter{admissions: []Admission{{Verdict: LimitUnknown}, {Verdict: WithinLimit}}}
 	assert.NilError(t, limitedJob(l, &Request{TokensIn: 5, TokensOut: 2, Counts: CountsGiven}).admit(t.Context()))
 	assert.Equal(t, l.asked, 7.0)
 	assert.Equal(t, l.cost, 7.0)
@@ -116,8 +116,8 @@
 // TestOnlyAdmittedRequestsAreCharged checks that the cost is recorded for each request, and as
 // charged only for an admitted one.
 func TestOnlyAdmittedRequestsAreCharged(t *testing.T) {
-	for verdict, charged := range map[Verdict]bool{Within: true, Over: false, TooLarge: false, NotKnown: false} {
-		j := limitedJob(&limiter{admissions: []Admission{{Verdict: verdict, In: time.Hour}}}, &Request{})
+	for verdict, charged := range map[Verdict]bool{WithinLimit: true, OverLimit: false, TooLarge: false, LimitUnknown: false} {
+		j := limitedJob(&limiter{admissions: []Admission{{Verdict: verdict, RetryAfter: time.Hour}}}, &Request{})
 		_ = j.admit(t.Context())
 		assert.Equal(t, j.outcome.Cost, 3.0, "%d", verdict)
 		assert.Equal(t, j.outcome.Charged, charged, "%d", verdict)
@@ -132,10 +132,10 @@
 		code       fault.Code
 		retry      time.Duration
 	}{
-		"over for long":     {[]Admission{{Verdict: Over, In: 2 * time.Second}}, fault.CodeOverLimit, 2 * time.Second},
-		"over for a moment": {[]Admission{{Verdict: Over, In: 20 * time.Millisecond}, {Verdict: Within}}, "", 0},
+		"over for long":     {[]Admission{{Verdict: OverLimit, RetryAfter: 2 * time.Second}}, fault.CodeOverLimit, 2 * time.Second},
+		"over for a moment": {[]Admission{{Verdict: OverLimit, RetryAfter: 20 * time.Millisecond}, {Verdict: WithinLimit}}, "", 0},
 		"larger than ever":  {[]Admission{{Verdict: TooLarge}}, fault.CodeOverLimit, tooLargeRetryAfter},
-		"nobody to ask":     {[]Admission{{Verdict: NotKnown}}, fault.CodeNotReady, defaultRetryAfter},
+		"nobody to ask":     {[]Admission{{Verdict: LimitUnknown}}, fault.CodeNotReady, defaultRetryAfter},
 	} {
 		err := limitedJob(&limiter{admissions: test.admissions}, &Request{}).admit(t.Context())
 		if test.code == "" {
@@ -160,7 +160,7 @@
 func TestLeavingClientEndsWaitForLimit(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	err := limitedJob(&limiter{admissions: []Admission{{Verdict: NotKnown}}}, &Request{}).admit(ctx)
+	err := limitedJob(&limiter{admissions: []Admission{{Verdict: LimitUnknown}}}, &Request{}).admit(ctx)
 	assert.Assert(t, fault.IsCode(err, fault.CodeCanceled))
 }
 
--- a/internal/dispatch/cold_test.go
+++ b/internal/dispatch/cold_test.go
@@ -14,7 +14,7 @@
 )
 
 // coldJob is a request for a model that is held by one runner, which stays cold for the given time.
-func coldJob(coldFor time.Duration) (*job, *fleet.Fleet, *demand.Book) {
+func coldJob(coldFor time.Duration) (*job, *fleet.Fleet, *demand.Tracker) {
 	unit := backend.Unit{Model: "alpha"}
 	known := fleet.New("zone", time.Now, noRules{})
 	terms := coldstart.NewTerms(6.9, 1.5, 5, 3*time.Second, coldstart.Lent{})
@@ -70,7 +70,7 @@
 func TestColdRunnerDoesNotHideALoad(t *testing.T) {
 	j, known, _ := coldJob(time.Minute)
 	known.Apply([]backend.Runner{{ID: "r2", Service: "s"}}, nil, false)
-	known.ApplyViews([]fleet.View{{Runner: "r2", Coming: []fleet.Coming{{Unit: j.query.Unit, In: 2 * time.Second}}}}, 0)
+	known.ApplyViews([]fleet.View{{Runner: "r2", Pending: []fleet.PendingUnit{{Unit: j.query.Unit, In: 2 * time.Second}}}}, 0)
 	known.SetOrdersIn("s", time.Minute)
 	w := j.currentWait()
 	assert.Assert(t, w.known && w.expected <= 2*time.Second, w.expected)
--- a/internal/dispatch/demand_test.go
+++ b/internal/dispatch/demand_test.go
@@ -15,7 +15,7 @@
 
 // waitingJob is a request for a model that no runner holds, whose load takes longer than the
 // request's objective.
-func waitingJob(book *demand.Book) *job {
+func waitingJob(book *demand.Tracker) *job {
 	alpha := &config.Model{Name: "alpha", LoadTime: 10 * time.Second}
 	configuration := &config.Configuration{Services: map[string]*config.Service{
 		"s": {Engine: &config.Engine{Models: map[string]*config.Model{"alpha": alpha}}},
@@ -32,7 +32,7 @@
 // TestRefusedRequestKeepsDemand checks that the demand for a model stays recorded when the client
 // is refused with a retry time, as the client tries again.
 func TestRefusedRequestKeepsDemand(t *testing.T) {
-	book := demand.NewBook()
+	book := demand.NewTracker()
 	_, err := waitingJob(book).selectRunner(t.Context())
 	assert.Assert(t, fault.IsCode(err, fault.CodeDeadline), "%v", err)
 	assert.Equal(t, len(book.Waiting()), 1)
@@ -41,7 +41,7 @@
 // TestNothingIsWantedForAClientThatLeft checks that no demand stays recorded for a client that left
 // while its request was about to be refused, as that client does not try again.
 func TestNothingIsWantedForAClientThatLeft(t *testing.T) {
-	book := demand.NewBook()
+	book := demand.NewTracker()
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
 	_, err := waitingJob(book).selectRunner(ctx)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -33,23 +33,23 @@
 	Node   string
 	Fleet  *fleet.Fleet
 	Pool   *upstream.Pool
-	Demand *demand.Book
+	Demand *demand.Tracker
 	Names  upstream.Names
 	// Configuration returns the configuration in force, or nil when none is known yet.
 	Configuration func() *config.Configuration
 	// ConfigurationOrigin returns the age and the source of the configuration; nil where that is
 	// not reported.
-	Knowledge func() Knowledge
+	ConfigurationOrigin func() ConfigurationOrigin
 	// AwaitFresh returns when the node's data is not older than the end of its last stall, or
 	// cannot be refreshed.
-	Fresh func(ctx context.Context)
+	AwaitFresh func(ctx context.Context)
 	// AwaitPendingReads returns once everything that arrived while the node was stalled has been
 	// read; nil where the node never stalls.
-	AwaitReading func()
-	Retries      retry.Limits
+	AwaitPendingReads func()
+	Retries           retry.Limits
 	// MaxPropagationDelay is how long it takes at most until this node learns of operators'
 	// decisions.
-	NewsWithin time.Duration
+	MaxPropagationDelay time.Duration
 	// Limits decides on requests of tenants; nil where no tenant has a limit.
 	Limits Limiter
 	// Report reads a runner's report; nil where runners cannot be asked.
@@ -87,7 +87,7 @@
 type Crashes interface {
 	// Broke reports a request whose answer broke off or never came, and how to find out whether its
 	// runner crashed.
-	Broke(runner backend.Runner, request poison.Identity, way crash.Way)
+	Broke(runner backend.Runner, request poison.Identity, way crash.ProbeMethod)
 	// Refused reports a runner whose address refused a connection.
 	Refused(runner string)
 }
@@ -181,8 +181,8 @@
 	if o.Unplaced != nil {
 		log = log.WithValues("unplacedMs", o.Unplaced.At.Milliseconds(), "obstacles", o.Unplaced.Obstacles.Wire())
 	}
-	if o.Knowledge != nil {
-		log = log.WithValues("configurationAgeMs", o.Knowledge.Age.Milliseconds(), "upstream", o.Knowledge.Source)
+	if o.ConfigurationOrigin != nil {
+		log = log.WithValues("configurationAgeMs", o.ConfigurationOrigin.Age.Milliseconds(), "upstream", o.ConfigurationOrigin.Source)
 	}
 	log.Info("request ended", "request", request.ID, "result", o.Result, "status", o.Status, "step", o.Step,
 		"reason", o.Reason, "route", o.Route, "tenant", string(o.Tenant), "homes", o.Homes.String(), "cost", o.Cost, "admittedBy", o.AdmittedBy, "revision", o.Revision, "unit", request.Unit.String(), "runner", o.Runner,
@@ -236,7 +236,7 @@
 }
 
 func (j *job) run(ctx context.Context) {
-	j.dispatcher.Fresh(ctx)
+	j.dispatcher.AwaitFresh(ctx)
 	configuration := j.dispatcher.Configuration()
 	if configuration == nil {
 		j.refuse(fault.New(fault.CodeNotReady, "route request", "no configuration is known yet").WithRetryAfter(defaultRetryAfter))
@@ -290,12 +290,12 @@
 // configuration older than MaxPropagationDelay does not prove that there is none: the request may
 // be tried again.
 func (j *job) notConfigured(problem *fault.Error) *fault.Error {
-	if j.dispatcher.Knowledge == nil {
+	if j.dispatcher.ConfigurationOrigin == nil {
 		return problem
 	}
-	origin := j.dispatcher.Knowledge()
-	j.outcome.Knowledge = &origin
-	if origin.Age <= j.dispatcher.NewsWithin {
+	origin := j.dispatcher.ConfigurationOrigin()
+	j.outcome.ConfigurationOrigin = &origin
+	if origin.Age <= j.dispatcher.MaxPropagationDelay {
 		return problem
 	}
 	return fault.At(fault.CodeNotReady, problem.Step, j.dispatcher.Node, fault.NotDone,
--- a/internal/dispatch/homes.go
+++ b/internal/dispatch/homes.go
@@ -16,7 +16,7 @@
 func (j *job) homes() place.Homes {
 	homes := j.route.Homes
 	if j.tenant != nil {
-		homes = homes.And(j.tenant.Homes)
+		homes = homes.Intersect(j.tenant.Homes)
 	}
 	j.outcome.Homes = homes
 	return homes
@@ -26,7 +26,7 @@
 // wait then, as no runner is expected where it may be served.
 func (j *job) checkHomes() *fault.Error {
 	homes := j.query.Homes
-	if !homes.Bound() || j.dispatcher.Fleet.Serves(j.query.Service, homes) {
+	if !homes.Restricted() || j.dispatcher.Fleet.Serves(j.query.Service, homes) {
 		return nil
 	}
 	return fault.New(fault.CodeOutsideHomes, "check homes", "no runner of service %s is listed in the homes of the request: %s", j.query.Service, homes).
--- a/internal/dispatch/homes_test.go
+++ b/internal/dispatch/homes_test.go
@@ -62,7 +62,7 @@
 	known := fleet.New("z", time.Now, noRules{})
 	holding := []backend.Holding{{Model: "m"}}
 	known.Replace([]backend.Runner{{ID: "home", Service: "s", Region: "north"}, {ID: "away", Service: "s", Region: "south", Models: holding}}, false)
-	book := demand.NewBook()
+	book := demand.NewTracker()
 	j := &job{
 		dispatcher: &Dispatcher{Fleet: known, Demand: book, Configuration: func() *config.Configuration { return &config.Configuration{} }},
 		request:    &Request{Arrived: time.Now(), StartWithin: time.Minute}, route: &config.Route{}, log: logr.Discard(), engine: true,
--- a/internal/dispatch/probe.go
+++ b/internal/dispatch/probe.go
@@ -41,7 +41,7 @@
 // did, the result is empty and does not restrict the choice, as the fault is then more likely on
 // this side.
 func (j *job) probe(ctx context.Context, runners []backend.Runner) []string {
-	ctx, cancel := context.WithTimeout(ctx, probeTimeout+j.dispatcher.Fleet.Beyond(runners))
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout+j.dispatcher.Fleet.ExtraLatency(runners))
 	defer cancel()
 	answered := make([]string, len(runners))
 	var probes sync.WaitGroup
@@ -53,8 +53,8 @@
 				j.log.V(1).Info("runner did not report its load", "runner", runner.ID, "error", err.Error())
 				return
 			}
-			j.dispatcher.Fleet.Answered(runner.ID, time.Since(start))
-			j.dispatcher.Fleet.Reported(runner.ID, report)
+			j.dispatcher.Fleet.ObserveLatency(runner.ID, time.Since(start))
+			j.dispatcher.Fleet.ObserveReport(runner.ID, report)
 			answered[i] = runner.ID
 		})
 	}
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -73,14 +73,14 @@
 // crashCheck is how to find out whether a runner crashed: runners of engine services are asked for
 // a report. Of the others, only one that broke off the connection itself is worth a new connection,
 // as many are just slow.
-func (j *job) crashCheck(ending Ending) crash.Way {
+func (j *job) crashCheck(ending Ending) crash.ProbeMethod {
 	switch {
 	case j.engine:
-		return crash.Report
+		return crash.ProbeReport
 	case ending == EndedByRunner:
-		return crash.Connect
+		return crash.ProbeConnect
 	default:
-		return crash.Wait
+		return crash.ProbeNone
 	}
 }
 
@@ -94,7 +94,7 @@
 	const step = "check quarantine"
 	now := time.Now()
 	if mark.Provisional(now) {
-		return fault.New(fault.CodeCrashSuspected, step, "%s", mark.Finding).WithRetryAfter(poison.Provisional - now.Sub(mark.Since))
+		return fault.New(fault.CodeCrashSuspected, step, "%s", mark.Finding).WithRetryAfter(poison.ProvisionalPeriod - now.Sub(mark.Since))
 	}
 	return fault.New(fault.CodeCrashesRunners, step, "%s", mark.Finding)
 }
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -103,7 +103,7 @@
 	Revision uint64
 	// ConfigurationOrigin is the age and source of that configuration, for a request whose route or
 	// key is not in it; nil for others.
-	Knowledge *Knowledge
+	ConfigurationOrigin *ConfigurationOrigin
 	// Tenant is the tenant that the request belongs to; empty when it is not known.
 	Tenant tenant.Name
 	// Homes are the only regions in which it may be served.
@@ -118,7 +118,7 @@
 }
 
 // ConfigurationOrigin says where a node's configuration came from.
-type Knowledge struct {
+type ConfigurationOrigin struct {
 	// Age is the time since the store last reported it.
 	Age time.Duration
 	// Source is the node's upstream for the store's tables.
--- a/internal/dispatch/rest_test.go
+++ b/internal/dispatch/rest_test.go
@@ -17,7 +17,7 @@
 // restingFleet is a fleet whose only runner of model alpha asked for a rest (Retry-After).
 func restingFleet(seconds string) *fleet.Fleet {
 	known := fleet.New("zone", time.Now, noRules{})
-	book := statement.NewBook(statement.Options{
+	book := statement.NewRegistry(statement.Options{
 		Headers: statement.Headers{Leaving: "X-Leaves"}, Now: time.Now, Log: logr.Discard(),
 		Limits: func() statement.Limits {
 			return statement.Limits{LongestRest: time.Minute, UnreadableRest: time.Second, LeavingFor: time.Minute}
@@ -25,7 +25,7 @@
 	})
 	known.SetStatements(book)
 	known.Replace([]backend.Runner{{ID: "r1", Service: "s", Slots: 4, Models: []backend.Holding{{Model: "alpha"}}}}, false)
-	book.Hear(statement.Source{Runner: "r1"}, http.StatusServiceUnavailable, http.Header{"Retry-After": {seconds}})
+	book.ReadHeader(statement.Source{Runner: "r1"}, http.StatusServiceUnavailable, http.Header{"Retry-After": {seconds}})
 	return known
 }
 
@@ -37,7 +37,7 @@
 	choice, err := j.selectRunner(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, choice.Runner.ID, "r1")
-	assert.Equal(t, j.outcome.Unplaced.Obstacles.Main().String(), "resting")
+	assert.Equal(t, j.outcome.Unplaced.Obstacles.MainReason().String(), "resting")
 
 	j = waitingFor(restingFleet("3"), 2*time.Second)
 	_, err = j.selectRunner(t.Context())
--- a/internal/dispatch/route_test.go
+++ b/internal/dispatch/route_test.go
@@ -14,14 +14,14 @@
 )
 
 // serveUnknownRoute serves a request that no route matches.
-func serveUnknownRoute(t *testing.T, known Knowledge) (Outcome, *httptest.ResponseRecorder) {
+func serveUnknownRoute(t *testing.T, known ConfigurationOrigin) (Outcome, *httptest.ResponseRecorder) {
 	t.Helper()
 	d := &Dispatcher{
-		Configuration: func() *config.Configuration { return &config.Configuration{Revision: 7} },
-		Knowledge:     func() Knowledge { return known },
-		NewsWithin:    3 * time.Second,
-		Fresh:         func(context.Context) {},
-		Log:           logr.Discard(),
+		Configuration:       func() *config.Configuration { return &config.Configuration{Revision: 7} },
+		ConfigurationOrigin: func() ConfigurationOrigin { return known },
+		MaxPropagationDelay: 3 * time.Second,
+		AwaitFresh:          func(context.Context) {},
+		Log:                 logr.Discard(),
 	}
 	answer := httptest.NewRecorder()
 	return d.Serve(t.Context(), answer, &Request{Host: "a.example", Path: "/b", Arrived: time.Now()}), answer
@@ -30,17 +30,17 @@
 // TestUnknownRouteTellsWhatIsKnown checks that the outcome of a request that no route matches says
 // which configuration decided, how old it is, and where it came from.
 func TestUnknownRouteTellsWhatIsKnown(t *testing.T) {
-	known := Knowledge{Age: 3 * time.Second, Source: "10.0.0.2:7200"}
+	known := ConfigurationOrigin{Age: 3 * time.Second, Source: "10.0.0.2:7200"}
 	outcome, _ := serveUnknownRoute(t, known)
 	assert.Equal(t, outcome.Status, http.StatusNotFound)
 	assert.Equal(t, outcome.Revision, uint64(7))
-	assert.Equal(t, *outcome.Knowledge, known)
+	assert.Equal(t, *outcome.ConfigurationOrigin, known)
 }
 
 // TestOldConfigurationDeniedARoute: a node whose configuration is older than MaxPropagationDelay
 // must not answer with a permanent error that there is no route.
 func TestOldConfigurationDeniedARoute(t *testing.T) {
-	outcome, answer := serveUnknownRoute(t, Knowledge{Age: 3*time.Second + time.Millisecond})
+	outcome, answer := serveUnknownRoute(t, ConfigurationOrigin{Age: 3*time.Second + time.Millisecond})
 	assert.Equal(t, outcome.Status, http.StatusServiceUnavailable)
 	assert.Assert(t, answer.Header().Get("Retry-After") != "")
 }
--- a/internal/dispatch/selection.go
+++ b/internal/dispatch/selection.go
@@ -75,10 +75,10 @@
 	j.recordObstacles()
 	endDemand := func() {}
 	if j.engine {
-		endDemand = j.dispatcher.Demand.Wait(demand.Key{Service: j.query.Service, Unit: j.query.Unit, Homes: j.query.Homes}, j.latestStart(), j.priority())
+		endDemand = j.dispatcher.Demand.AddWaiting(demand.Key{Service: j.query.Service, Unit: j.query.Unit, Homes: j.query.Homes}, j.latestStart(), j.priority())
 	}
 	if j.dispatcher.Fleet.WaitsForPermit(j.query) {
-		j.dispatcher.Demand.Nudge(j.query.Service)
+		j.dispatcher.Demand.RequestReport(j.query.Service)
 	}
 	choice, retryAfter, err := j.waitForRunner(ctx, changed)
 	if err != nil && time.Since(start) >= obstaclesMaxAge {
@@ -130,7 +130,7 @@
 		w := j.currentWait()
 		decision, delay, recheck := w.decide()
 		if w.exact && decision != keepWaiting {
-			delay = max(delay, j.dispatcher.Fleet.ReturnAfterRest(j.query))
+			delay = max(delay, j.dispatcher.Fleet.RetryAfterRest(j.query))
 		}
 		switch decision {
 		case giveUp:
@@ -164,14 +164,14 @@
 		return nil
 	}
 	return fault.New(fault.CodeZonesOut, "wait for a runner", "all zones with runners of %s are taken out", j.query.Service).
-		WithRetryAfter(max(j.dispatcher.NewsWithin, defaultRetryAfter))
+		WithRetryAfter(max(j.dispatcher.MaxPropagationDelay, defaultRetryAfter))
 }
 
 // checkLeaving refuses a request while all runners that could serve it are leaving: others may be
 // listed, but it is unknown when. In a test, 247 requests with 3 s each were held for 2.1 s on
 // average before they were refused. A stream that has begun waits as long as its client does.
 func (j *job) checkLeaving() error {
-	if j.stream != nil || !j.dispatcher.Fleet.AllLeave(j.query) {
+	if j.stream != nil || !j.dispatcher.Fleet.AllDraining(j.query) {
 		return nil
 	}
 	j.recordObstacles()
@@ -304,8 +304,8 @@
 		return j.request.Arrived.Add(j.request.StartWithin)
 	}
 	limit := time.Duration(latestStartShare * float64(j.deadline.Sub(j.request.Arrived)))
-	if j.route.Patience > patienceMargin {
-		limit = min(limit, j.route.Patience-patienceMargin)
+	if j.route.ClientTimeout > patienceMargin {
+		limit = min(limit, j.route.ClientTimeout-patienceMargin)
 	}
 	return j.request.Arrived.Add(limit)
 }
--- a/internal/dispatch/selection_test.go
+++ b/internal/dispatch/selection_test.go
@@ -26,7 +26,7 @@
 	asked := 0
 	j := &job{
 		dispatcher: &Dispatcher{
-			Fleet: known, Demand: demand.NewBook(), Configuration: func() *config.Configuration { return &config.Configuration{} },
+			Fleet: known, Demand: demand.NewTracker(), Configuration: func() *config.Configuration { return &config.Configuration{} },
 		},
 		log:      logr.Discard(),
 		route:    &config.Route{Kind: config.Safe, Attempts: 1},
@@ -52,7 +52,7 @@
 func waitingFor(known *fleet.Fleet, within time.Duration) *job {
 	return &job{
 		dispatcher: &Dispatcher{
-			Fleet: known, Demand: demand.NewBook(), Configuration: func() *config.Configuration { return &config.Configuration{} },
+			Fleet: known, Demand: demand.NewTracker(), Configuration: func() *config.Configuration { return &config.Configuration{} },
 		},
 		log: logr.Discard(), route: &config.Route{Kind: config.Safe, Attempts: 1}, engine: true,
 		query:    fleet.Query{Service: "s", Unit: backend.Unit{Model: "alpha"}},
@@ -73,7 +73,7 @@
 	defer leaving.Stop()
 	_, err := j.selectRunner(t.Context())
 	assert.Assert(t, fault.IsCode(err, fault.CodeDraining))
-	assert.Equal(t, j.outcome.Unplaced.Obstacles.Main().String(), "draining")
+	assert.Equal(t, j.outcome.Unplaced.Obstacles.MainReason().String(), "draining")
 
 	known.Replace([]backend.Runner{{ID: "r2", Service: "s", Models: []backend.Holding{{Model: "alpha"}}}}, false)
 	j = waitingFor(known, 2*time.Second)
--- a/internal/dispatch/silence.go
+++ b/internal/dispatch/silence.go
@@ -68,7 +68,7 @@
 	return time.AfterFunc(after, func() {
 		if j.dispatcher.Fleet.Suspect(runner) {
 			log.V(1).Info("runner suspected", "runner", runner, "silentMs", after.Milliseconds())
-			j.dispatcher.Demand.Nudge(service)
+			j.dispatcher.Demand.RequestReport(service)
 		}
 	})
 }
--- a/internal/dispatch/zones_test.go
+++ b/internal/dispatch/zones_test.go
@@ -31,7 +31,7 @@
 		{ID: "r1", Service: "s", Zone: "a", Models: held}, {ID: "r2", Service: "s", Zone: "b", Models: held},
 	}, false)
 	j := waitingFor(known, time.Hour)
-	j.dispatcher.NewsWithin = 3 * time.Second
+	j.dispatcher.MaxPropagationDelay = 3 * time.Second
 	return j
 }
 
--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -53,14 +53,14 @@
 	// Within is how long after a zone was taken out a request may still arrive there.
 	Within time.Duration
 	// PropagationDelay is the maximum time until a node receives what operators wrote.
-	News time.Duration
+	PropagationDelay time.Duration
 }
 
 // leavingTime returns how long a zone is Leaving if nothing was received for gap before its
 // row. The row is at most as old as gap plus the age of an answer, which PropagationDelay
 // limits as long as answers arrive.
 func (b Bounds) leavingTime(gap time.Duration) time.Duration {
-	return max(b.Within-max(b.News, gap+maxAnswerAge)-sendMargin, 0)
+	return max(b.Within-max(b.PropagationDelay, gap+maxAnswerAge)-sendMargin, 0)
 }
 
 // Row is an operator's change of a zone.
@@ -68,7 +68,7 @@
 	Zone     place.Zone
 	Revision uint64
 	// Returned is set if the zone was taken back.
-	Back bool
+	Returned bool
 }
 
 // Table holds the known state of the zones. It is immutable. In a nil Table nothing is known,
@@ -93,11 +93,11 @@
 // ApplySnapshot returns the table after a full read of the zones that are out. Zones missing
 // from rows were taken back. A full read doesn't tell the age of its rows, so a zone not known
 // to be out before is Out at once.
-func (t *Table) Whole(rows []Row, now time.Time) *Table {
+func (t *Table) ApplySnapshot(rows []Row, now time.Time) *Table {
 	next := t.copy()
 	listed := make(map[place.Zone]bool, len(rows))
 	for _, row := range rows {
-		if row.Back {
+		if row.Returned {
 			continue
 		}
 		listed[row.Zone] = true
@@ -113,7 +113,7 @@
 
 // ApplyChanges returns the table after changes, in their order. gap is how long nothing had
 // been received before. Changes are ignored until the zones have been read in full.
-func (t *Table) Changed(rows []Row, gap time.Duration, bounds Bounds, now time.Time) *Table {
+func (t *Table) ApplyChanges(rows []Row, gap time.Duration, bounds Bounds, now time.Time) *Table {
 	if t == nil {
 		return nil
 	}
@@ -123,7 +123,7 @@
 		switch {
 		case seen && row.Revision <= known.revision:
 			// The row is outdated.
-		case !row.Back:
+		case !row.Returned:
 			next.markOut(row, now, now.Add(bounds.leavingTime(gap)))
 		default:
 			// The zone was out since the last known row, even if that was not received: of
@@ -260,7 +260,7 @@
 
 // NextChange returns when the state of a zone changes next without further rows. It returns
 // false if none will.
-func (t *Table) Next(now time.Time) (next time.Time, ok bool) {
+func (t *Table) NextChange(now time.Time) (next time.Time, ok bool) {
 	if t == nil {
 		return time.Time{}, false
 	}
--- a/internal/evacuation/evacuation_test.go
+++ b/internal/evacuation/evacuation_test.go
@@ -12,7 +12,7 @@
 
 var (
 	start  = time.Unix(1000, 0)
-	bounds = Bounds{Within: 5 * time.Second, News: 3 * time.Second}
+	bounds = Bounds{Within: 5 * time.Second, PropagationDelay: 3 * time.Second}
 )
 
 const (
@@ -20,28 +20,28 @@
 	shortGap    = 400 * time.Millisecond
 )
 
-func emptyTable() *Table { return (*Table)(nil).Whole(nil, start) }
+func emptyTable() *Table { return (*Table)(nil).ApplySnapshot(nil, start) }
 
 func TestNothingIsKnownBeforeTheWholeRead(t *testing.T) {
 	var unread *Table
 	assert.Equal(t, unread.State("a", start), Out)
-	unread = unread.Changed([]Row{{Zone: "a", Revision: 4, Back: true}}, shortGap, bounds, start)
+	unread = unread.ApplyChanges([]Row{{Zone: "a", Revision: 4, Returned: true}}, shortGap, bounds, start)
 	assert.Equal(t, unread.State("a", start), Out)
 	assert.Assert(t, !unread.Read())
 	assert.Equal(t, emptyTable().State("a", start), In)
 }
 
 func TestZoneGoesOutAndComesBack(t *testing.T) {
-	table := emptyTable().Changed([]Row{{Zone: "a", Revision: 4}}, shortGap, bounds, start)
+	table := emptyTable().ApplyChanges([]Row{{Zone: "a", Revision: 4}}, shortGap, bounds, start)
 	assert.Equal(t, table.State("a", start), Leaving)
 	assert.Equal(t, table.State("b", start), In)
 	assert.Equal(t, table.Share("a", start), 0.0)
 	left := start.Add(leavingTime)
-	next, ok := table.Next(start)
+	next, ok := table.NextChange(start)
 	assert.Assert(t, ok && next.Equal(left))
 	assert.Equal(t, table.State("a", left), Out)
 	returnedAt := left.Add(time.Minute)
-	table = table.Changed([]Row{{Zone: "a", Revision: 9, Back: true}}, shortGap, bounds, returnedAt)
+	table = table.ApplyChanges([]Row{{Zone: "a", Revision: 9, Returned: true}}, shortGap, bounds, returnedAt)
 	assert.Equal(t, table.State("a", returnedAt), Returning)
 	at, returned := table.ReturnedAt("a")
 	assert.Assert(t, returned && at.Equal(returnedAt))
@@ -55,24 +55,24 @@
 // as old as its limit.
 func TestRowOfUnknownAgeIsOutAtOnce(t *testing.T) {
 	row := []Row{{Zone: "a", Revision: 4}}
-	assert.Equal(t, (*Table)(nil).Whole(row, start).State("a", start), Out)
-	assert.Equal(t, emptyTable().Whole(row, start).State("a", start), Out)
-	assert.Equal(t, emptyTable().Changed(row, 20*time.Second, bounds, start).State("a", start), Out)
-	late := emptyTable().Changed(row, 3*time.Second, bounds, start)
+	assert.Equal(t, (*Table)(nil).ApplySnapshot(row, start).State("a", start), Out)
+	assert.Equal(t, emptyTable().ApplySnapshot(row, start).State("a", start), Out)
+	assert.Equal(t, emptyTable().ApplyChanges(row, 20*time.Second, bounds, start).State("a", start), Out)
+	late := emptyTable().ApplyChanges(row, 3*time.Second, bounds, start)
 	assert.Equal(t, late.State("a", start), Leaving)
 	assert.Equal(t, late.State("a", start.Add(leavingTime-time.Second)), Out)
-	assert.Equal(t, emptyTable().Changed(row, shortGap, Bounds{Within: time.Second, News: 3 * time.Second}, start).State("a", start), Out)
+	assert.Equal(t, emptyTable().ApplyChanges(row, shortGap, Bounds{Within: time.Second, PropagationDelay: 3 * time.Second}, start).State("a", start), Out)
 }
 
 // TestZoneOutAgainIsLeavingAnew checks that a zone taken out, back and out again is Leaving
 // anew, and that writing a row again does not postpone its end.
 func TestZoneOutAgainIsLeavingAnew(t *testing.T) {
-	table := emptyTable().Changed([]Row{{Zone: "a", Revision: 4}}, shortGap, bounds, start)
-	rewritten := table.Changed([]Row{{Zone: "a", Revision: 5}}, shortGap, bounds, start.Add(time.Second))
+	table := emptyTable().ApplyChanges([]Row{{Zone: "a", Revision: 4}}, shortGap, bounds, start)
+	rewritten := table.ApplyChanges([]Row{{Zone: "a", Revision: 5}}, shortGap, bounds, start.Add(time.Second))
 	assert.Equal(t, rewritten.State("a", start.Add(leavingTime)), Out)
-	table = table.Changed([]Row{{Zone: "a", Revision: 5, Back: true}}, shortGap, bounds, start.Add(time.Second))
+	table = table.ApplyChanges([]Row{{Zone: "a", Revision: 5, Returned: true}}, shortGap, bounds, start.Add(time.Second))
 	assert.Equal(t, table.State("a", start.Add(time.Second)), Returning)
-	table = table.Changed([]Row{{Zone: "a", Revision: 6}}, shortGap, bounds, start.Add(2*time.Second))
+	table = table.ApplyChanges([]Row{{Zone: "a", Revision: 6}}, shortGap, bounds, start.Add(2*time.Second))
 	assert.Equal(t, table.State("a", start.Add(2*time.Second)), Leaving)
 	assert.Equal(t, table.State("a", start.Add(2*time.Second).Add(leavingTime)), Out)
 	_, returned := table.ReturnedAt("a")
@@ -80,20 +80,20 @@
 }
 
 func TestOutdatedRowsAreIgnored(t *testing.T) {
-	table := emptyTable().Changed([]Row{{Zone: "a", Revision: 4}}, shortGap, bounds, start)
-	assert.Equal(t, table.Changed([]Row{{Zone: "a", Revision: 3, Back: true}}, shortGap, bounds, start).State("a", start), Leaving)
-	table = table.Changed([]Row{{Zone: "a", Revision: 9, Back: true}}, shortGap, bounds, start)
+	table := emptyTable().ApplyChanges([]Row{{Zone: "a", Revision: 4}}, shortGap, bounds, start)
+	assert.Equal(t, table.ApplyChanges([]Row{{Zone: "a", Revision: 3, Returned: true}}, shortGap, bounds, start).State("a", start), Leaving)
+	table = table.ApplyChanges([]Row{{Zone: "a", Revision: 9, Returned: true}}, shortGap, bounds, start)
 	for _, older := range []*Table{
-		table.Changed([]Row{{Zone: "a", Revision: 4}}, shortGap, bounds, start), table.Whole([]Row{{Zone: "a", Revision: 4}}, start),
+		table.ApplyChanges([]Row{{Zone: "a", Revision: 4}}, shortGap, bounds, start), table.ApplySnapshot([]Row{{Zone: "a", Revision: 4}}, start),
 	} {
 		assert.Equal(t, older.State("a", start), Returning)
 	}
 }
 
 func TestMissingInWholeReadIsTakenBack(t *testing.T) {
-	table := emptyTable().Whole([]Row{{Zone: "a", Revision: 4}, {Zone: "b", Revision: 5}}, start)
+	table := emptyTable().ApplySnapshot([]Row{{Zone: "a", Revision: 4}, {Zone: "b", Revision: 5}}, start)
 	assert.Equal(t, table.CountOut(), 2)
-	table = table.Whole([]Row{{Zone: "b", Revision: 5}}, start)
+	table = table.ApplySnapshot([]Row{{Zone: "b", Revision: 5}}, start)
 	assert.Equal(t, table.State("a", start), Returning)
 	assert.Equal(t, table.State("b", start), Out)
 	statuses := table.Zones(start)
@@ -117,7 +117,7 @@
 
 // read reads the full table as of the position end.
 func (f *follower) read(history []tableChange, end int, now time.Time) {
-	f.table = f.table.Whole(rowsAt(history, end), now)
+	f.table = f.table.ApplySnapshot(rowsAt(history, end), now)
 	f.position, f.lastRead = end, now
 }
 
@@ -133,7 +133,7 @@
 			rows = append(rows, history[i].row)
 		}
 	}
-	f.table = f.table.Changed(rows, now.Sub(f.lastRead), bounds, now)
+	f.table = f.table.ApplyChanges(rows, now.Sub(f.lastRead), bounds, now)
 	f.position, f.lastRead = end, now
 }
 
@@ -145,7 +145,7 @@
 	}
 	for _, change := range history[from:] {
 		if change.row.Revision <= f.table.zones[change.row.Zone].revision {
-			f.table = f.table.Changed([]Row{change.row}, shortGap, bounds, now)
+			f.table = f.table.ApplyChanges([]Row{change.row}, shortGap, bounds, now)
 			return
 		}
 	}
@@ -166,7 +166,7 @@
 func rowsAt(history []tableChange, end int) []Row {
 	standing := make(map[place.Zone]Row)
 	for _, change := range history[:end] {
-		if change.row.Back {
+		if change.row.Returned {
 			delete(standing, change.row.Zone)
 		} else {
 			standing[change.row.Zone] = change.row
@@ -184,7 +184,7 @@
 	for _, change := range history[:end] {
 		switch {
 		case change.row.Zone != zone:
-		case change.row.Back:
+		case change.row.Returned:
 			out = false
 		case !out:
 			since, out = change.at, true
@@ -207,7 +207,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(1, 2500).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.SampledFrom([]string{"write", "write", "watch", "watch", "whole", "restart", "old"}).Draw(t, "step") {
 			case "write":
-				row := Row{Zone: rapid.SampledFrom(zones).Draw(t, "zone"), Revision: uint64(len(history) + 1), Back: rapid.Bool().Draw(t, "back")}
+				row := Row{Zone: rapid.SampledFrom(zones).Draw(t, "zone"), Revision: uint64(len(history) + 1), Returned: rapid.Bool().Draw(t, "back")}
 				history = append(history, tableChange{row: row, at: now})
 			case "watch":
 				if node.table.Read() {
@@ -249,14 +249,14 @@
 // changes, of which only the last row is kept, is Returning anew.
 func TestSecondReturnInOneBatch(t *testing.T) {
 	now := time.Unix(1000, 0)
-	table := (*Table)(nil).Whole([]Row{{Zone: "a", Revision: 1}}, now)
-	table = table.Changed([]Row{{Zone: "a", Revision: 2, Back: true}}, 0, Bounds{}, now)
+	table := (*Table)(nil).ApplySnapshot([]Row{{Zone: "a", Revision: 1}}, now)
+	table = table.ApplyChanges([]Row{{Zone: "a", Revision: 2, Returned: true}}, 0, Bounds{}, now)
 	later := now.Add(time.Minute)
-	table = table.Changed([]Row{{Zone: "a", Revision: 4, Back: true}}, 0, Bounds{}, later)
+	table = table.ApplyChanges([]Row{{Zone: "a", Revision: 4, Returned: true}}, 0, Bounds{}, later)
 	assert.Equal(t, table.State("a", later), Returning)
 	at, returned := table.ReturnedAt("a")
 	assert.Assert(t, returned && at.Equal(later))
-	table = table.Changed([]Row{{Zone: "b", Revision: 6, Back: true}}, 0, Bounds{}, later)
+	table = table.ApplyChanges([]Row{{Zone: "b", Revision: 6, Returned: true}}, 0, Bounds{}, later)
 	assert.Equal(t, table.State("b", later), Returning)
 	assert.Equal(t, table.State("b", later.Add(returnRamp)), In)
 }
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -45,10 +45,10 @@
 type Handler interface {
 	// ApplySnapshot processes all rows. gap is the time since the source last answered; zero for
 	// the first read.
-	Whole(rows []Row, gap time.Duration)
+	ApplySnapshot(rows []Row, gap time.Duration)
 	// ApplyChanges processes changed rows in the order of their changes. Each key occurs once, with
 	// its state at the end of the batch.
-	Changed(rows []Row)
+	ApplyChanges(rows []Row)
 }
 
 // Options configures a Follower.
@@ -64,7 +64,7 @@
 	Pace func() time.Duration
 	// RetrySignal returns a channel that is closed once the source may answer again, which ends the
 	// backoff after an error. It is nil for a source without such a signal.
-	Woken func() <-chan struct{}
+	RetrySignal func() <-chan struct{}
 	// Timeout is how long a call may take beyond its wait.
 	Timeout time.Duration
 	// ReadTimeout is the same for a read of the whole table, if that takes longer.
@@ -133,10 +133,10 @@
 }
 
 func (f *Follower) retrySignal() <-chan struct{} {
-	if f.options.Woken == nil {
+	if f.options.RetrySignal == nil {
 		return nil
 	}
-	return f.options.Woken()
+	return f.options.RetrySignal()
 }
 
 // backOff pauses after an error until woken is closed, but at least for minBackoff.
@@ -220,12 +220,12 @@
 		return fault.New(fault.CodeStale, "read table", "revision %d is older than %d", batch.Revision, f.newestRevision)
 	}
 	gap := time.Duration(0)
-	if heard := f.Heard(); !heard.IsZero() {
+	if heard := f.LastResponse(); !heard.IsZero() {
 		gap = time.Since(heard)
 	}
 	f.log.Info("table read", "revision", batch.Revision, "rows", len(batch.Rows), "gapMs", gap.Milliseconds())
 	f.setDelivering(batch.Revision)
-	f.handler.Whole(batch.Rows, gap)
+	f.handler.ApplySnapshot(batch.Rows, gap)
 	f.whole = true
 	f.advance(batch)
 	return nil
@@ -248,7 +248,7 @@
 	}
 	if len(batch.Rows) > 0 {
 		f.setDelivering(batch.Revision)
-		f.handler.Changed(latestPerKey(batch.Rows))
+		f.handler.ApplyChanges(latestPerKey(batch.Rows))
 	}
 	f.advance(batch)
 	return nil
@@ -289,7 +289,7 @@
 }
 
 // AppliedRevision returns the revision up to which the handler has processed all changes.
-func (f *Follower) Taken() uint64 {
+func (f *Follower) AppliedRevision() uint64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.applied
@@ -297,14 +297,14 @@
 
 // DeliveringRevision returns a revision up to which all changes have been passed to the handler.
 // The handler may still be processing them.
-func (f *Follower) Taking() uint64 {
+func (f *Follower) DeliveringRevision() uint64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.delivering
 }
 
 // LastResponse returns when the source last answered. The handler has processed that answer.
-func (f *Follower) Heard() time.Time {
+func (f *Follower) LastResponse() time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.heard
@@ -313,14 +313,14 @@
 // AsOf returns when the store provided the newest answer, as far as the source knows. The handler
 // has processed all changes acknowledged before that time. It is the zero time until the table has
 // been read.
-func (f *Follower) Told() time.Time {
+func (f *Follower) AsOf() time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.asOf
 }
 
 // Read reports whether the table has been read.
-func (f *Follower) Read() bool { return !f.Heard().IsZero() }
+func (f *Follower) Read() bool { return !f.LastResponse().IsZero() }
 
 // logSourceState logs the loss and the recovery of the source once each.
 func (f *Follower) logSourceState(err error) {
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -44,12 +44,12 @@
 	last    []Row
 }
 
-func (r *recorder) Whole(rows []Row, _ time.Duration) {
+func (r *recorder) ApplySnapshot(rows []Row, _ time.Duration) {
 	r.whole++
 	r.last = rows
 }
 
-func (r *recorder) Changed(rows []Row) {
+func (r *recorder) ApplyChanges(rows []Row) {
 	r.last = rows
 	for _, row := range rows {
 		r.changed = append(r.changed, row.Key)
@@ -127,8 +127,8 @@
 // wholeHandler signals each whole table.
 type wholeHandler struct{ whole chan struct{} }
 
-func (h wholeHandler) Whole([]Row, time.Duration) { h.whole <- struct{}{} }
-func (h wholeHandler) Changed([]Row)              {}
+func (h wholeHandler) ApplySnapshot([]Row, time.Duration) { h.whole <- struct{}{} }
+func (h wholeHandler) ApplyChanges([]Row)                 {}
 
 // TestTableIsReadAnewAtOnce checks that Reread interrupts a watch call.
 func TestTableIsReadAnewAtOnce(t *testing.T) {
@@ -186,7 +186,7 @@
 func TestFollowerSleptThoughItsSourceWasBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source, woken := &failingSource{}, make(chan struct{})
-		options := Options{Name: "test", Wait: time.Second, Timeout: time.Second, Woken: func() <-chan struct{} { return woken }}
+		options := Options{Name: "test", Wait: time.Second, Timeout: time.Second, RetrySignal: func() <-chan struct{} { return woken }}
 		f := NewFollower(source, &recorder{}, options, logr.Discard())
 		ctx, cancel := context.WithCancel(t.Context())
 		go f.Run(ctx)
--- a/internal/fleet/choose.go
+++ b/internal/fleet/choose.go
@@ -340,12 +340,12 @@
 }
 
 // ObserveReport records the load from a report that a runner gave when asked.
-func (f *Fleet) Reported(id string, report backend.Report) {
-	f.Told(id, backend.Workload{Running: report.Active, Waiting: report.Queued, Slowness: report.Slowness})
+func (f *Fleet) ObserveReport(id string, report backend.Report) {
+	f.ObserveWorkload(id, backend.Workload{Running: report.Active, Waiting: report.Queued, Slowness: report.Slowness})
 }
 
 // ObserveWorkload records the load that a runner stated in an answer.
-func (f *Fleet) Told(id string, load backend.Workload) {
+func (f *Fleet) ObserveWorkload(id string, load backend.Workload) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if known := f.runners[id]; known != nil {
--- a/internal/fleet/cold.go
+++ b/internal/fleet/cold.go
@@ -41,7 +41,7 @@
 }
 
 // ColdChange is a runner that became cold or warm.
-type ColdNews struct {
+type ColdChange struct {
 	Runner  string
 	Service string
 	Zone    string
@@ -51,7 +51,7 @@
 	Terms coldstart.Terms
 	// Reported is set if the runner reported its state itself, and not if it merely has not
 	// reported that it is warm.
-	Said bool
+	Reported bool
 }
 
 // SetColdStarts sets how cold runners are recognized. It must be called once, before any
@@ -72,12 +72,12 @@
 	}
 	_, returns := f.departedAt[row.ID]
 	delete(f.departedAt, row.ID)
-	known.cold.Hear(coldstart.Word{For: row.ColdFor, Proof: !isNew || returns || !f.listRead || len(f.retention.skipped) > 0}, f.now())
+	known.cold.Hear(coldstart.Status{ColdFor: row.ColdFor, Conclusive: !isNew || returns || !f.listRead || len(f.retention.skipped) > 0}, f.now())
 }
 
 // departureLifetime is how long a departed runner is remembered, so as not to count as new:
 // rows may vanish while the store is down and come back.
-const departureLifetime = coldstart.Longest
+const departureLifetime = coldstart.MaxDuration
 
 // recordDeparture remembers a runner that is forgotten. mutex must be held.
 func (f *Fleet) recordDeparture(id string) {
@@ -148,7 +148,7 @@
 // TakeColdChanges returns the runners that became cold or warm since the last call, and the
 // time until the next one becomes warm by itself; zero for none. If one became warm, waiting
 // requests look again.
-func (f *Fleet) TakeColdNews() (news []ColdNews, next time.Duration) {
+func (f *Fleet) TakeColdChanges() (news []ColdChange, next time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	now := f.now()
@@ -162,8 +162,8 @@
 		if cold := left > 0; cold != known.lastCold {
 			known.lastCold = cold
 			warmed = warmed || !cold
-			news = append(news, ColdNews{Runner: known.listed.ID, Service: known.listed.Service, Zone: known.listed.Zone,
-				Cold: cold, For: max(left, 0), Terms: terms, Said: known.cold.Said()})
+			news = append(news, ColdChange{Runner: known.listed.ID, Service: known.listed.Service, Zone: known.listed.Zone,
+				Cold: cold, For: max(left, 0), Terms: terms, Reported: known.cold.StatedByRunner()})
 		}
 	}
 	if warmed {
--- a/internal/fleet/cold_test.go
+++ b/internal/fleet/cold_test.go
@@ -205,7 +205,7 @@
 func TestShareGrowsAfterTheCold(t *testing.T) {
 	f, c := coldFleet(coldFor(listed("r1", "m"), time.Second), listed("r2", "m"))
 	c.now = c.now.Add(time.Second)
-	f.Told("r2", backend.Workload{Running: 3})
+	f.ObserveWorkload("r2", backend.Workload{Running: 3})
 	at := map[string]int{}
 	for range 3 {
 		choice, ok := f.Choose(coldQuery)
@@ -219,14 +219,14 @@
 // requests are woken.
 func TestColdNews(t *testing.T) {
 	f, c := coldFleet(coldFor(listed("r1", "m"), 2*time.Second), listed("r2", "m"))
-	news, next := f.TakeColdNews()
+	news, next := f.TakeColdChanges()
 	assert.Equal(t, len(news), 1)
-	assert.Assert(t, news[0].Cold && news[0].Said && news[0].For == 2*time.Second && news[0].Terms.Bound == 15)
+	assert.Assert(t, news[0].Cold && news[0].Reported && news[0].For == 2*time.Second && news[0].Terms.Bound == 15)
 	assert.Equal(t, next, 2*time.Second)
 	assert.Equal(t, f.ColdFigures().Cold, 1)
 	changed := f.Changed()
 	c.now = c.now.Add(2 * time.Second)
-	news, next = f.TakeColdNews()
+	news, next = f.TakeColdChanges()
 	assert.Equal(t, len(news), 1)
 	assert.Assert(t, !news[0].Cold)
 	assert.Equal(t, next, time.Duration(0))
@@ -235,7 +235,7 @@
 	default:
 		t.Fatal("waiting requests were not woken")
 	}
-	news, _ = f.TakeColdNews()
+	news, _ = f.TakeColdChanges()
 	assert.Equal(t, len(news), 0)
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -44,7 +44,7 @@
 	// zones adds costs for zones; nil if zones are never taken out.
 	zones Zones
 	// statements holds what runners stated in answers; nil if statements are not used.
-	statements *statement.Book
+	statements *statement.Registry
 
 	mutex   sync.Mutex
 	runners map[string]*runner
@@ -138,7 +138,7 @@
 
 // SetStatements sets where the statements of runners are kept. It must be called before the
 // fleet is used.
-func (f *Fleet) SetStatements(statements *statement.Book) { f.statements = statements }
+func (f *Fleet) SetStatements(statements *statement.Registry) { f.statements = statements }
 
 // SetRegion sets the region of the node. It must be called before the fleet is used; without
 // it all runners count as local.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -79,7 +79,7 @@
 func TestHolderIsBelievedBeforeTheList(t *testing.T) {
 	f, c := testFleet()
 	f.Replace([]backend.Runner{listed("r1", "old")}, false)
-	f.ApplyViews([]View{{Runner: "r1", Ready: []backend.Holding{{Model: "new"}}, Coming: []Coming{{Unit: backend.Unit{Model: "next"}, In: time.Second}}}}, 0)
+	f.ApplyViews([]View{{Runner: "r1", Ready: []backend.Holding{{Model: "new"}}, Pending: []PendingUnit{{Unit: backend.Unit{Model: "next"}, In: time.Second}}}}, 0)
 	_, holds := f.Choose(Query{Service: "s", Unit: backend.Unit{Model: "new"}})
 	assert.Assert(t, holds)
 	_, holds = f.Choose(Query{Service: "s", Unit: backend.Unit{Model: "old"}})
--- a/internal/fleet/incarnations_test.go
+++ b/internal/fleet/incarnations_test.go
@@ -26,7 +26,7 @@
 	for name, late := range map[string]func(*Fleet, Choice){
 		"nothing":        func(*Fleet, Choice) {},
 		"holder's view":  func(f *Fleet, _ Choice) { f.ApplyViews([]View{view}, 0) },
-		"report":         func(f *Fleet, _ Choice) { f.Reported(old.ID, backend.Report{Active: 3}) },
+		"report":         func(f *Fleet, _ Choice) { f.ObserveReport(old.ID, backend.Report{Active: 3}) },
 		"answer":         func(f *Fleet, c Choice) { f.Started(c); f.Done(c, query, Served, time.Second, true) },
 		"broken answer":  func(f *Fleet, c Choice) { f.Done(c, query, Failed, time.Second, false) },
 		"permits":        func(f *Fleet, _ Choice) { f.ApplyPermits([]PermitsLent{{Runner: old.ID, Count: 5}}, f.now()) },
--- a/internal/fleet/latency.go
+++ b/internal/fleet/latency.go
@@ -58,7 +58,7 @@
 }
 
 // ObserveLatency records how long a runner took to answer a question for its load.
-func (f *Fleet) Answered(id string, took time.Duration) {
+func (f *Fleet) ObserveLatency(id string, took time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if known := f.runners[id]; known != nil && known.listed.Region != "" {
@@ -68,7 +68,7 @@
 
 // ExtraLatency returns how much longer than local runners the farthest of the given runners
 // takes to answer.
-func (f *Fleet) Beyond(runners []backend.Runner) time.Duration {
+func (f *Fleet) ExtraLatency(runners []backend.Runner) time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	longest := time.Duration(0)
--- a/internal/fleet/latency_test.go
+++ b/internal/fleet/latency_test.go
@@ -46,12 +46,12 @@
 	assumed := sentNear(regionFleet(1, 1, 64))
 	assert.Assert(t, assumed > 1 && assumed < 100, "%d", assumed)
 	long := regionFleet(1, 1, 64)
-	long.Answered("near-0", 2*time.Millisecond)
-	long.Answered("far-0", 202*time.Millisecond)
+	long.ObserveLatency("near-0", 2*time.Millisecond)
+	long.ObserveLatency("far-0", 202*time.Millisecond)
 	assert.Assert(t, sentNear(long) > assumed)
 	short := regionFleet(1, 1, 64)
-	short.Answered("near-0", 2*time.Millisecond)
-	short.Answered("far-0", 3*time.Millisecond)
+	short.ObserveLatency("near-0", 2*time.Millisecond)
+	short.ObserveLatency("far-0", 3*time.Millisecond)
 	assert.Assert(t, sentNear(short) < assumed)
 }
 
@@ -65,8 +65,8 @@
 		}
 		f.Choose(forM)
 	}
-	f.Told("near-0", backend.Workload{Running: 16, Waiting: 9})
-	f.Told("near-1", backend.Workload{Running: 16, Waiting: 9})
+	f.ObserveWorkload("near-0", backend.Workload{Running: 16, Waiting: 9})
+	f.ObserveWorkload("near-1", backend.Workload{Running: 16, Waiting: 9})
 	assert.Equal(t, f.Candidates(forM, 2)[0].Region, "south")
 	assert.Equal(t, len(regionFleet(0, 2, 16).Candidates(forM, 2)), 2)
 }
@@ -76,13 +76,13 @@
 func TestWaysFollowAnswers(t *testing.T) {
 	f := regionFleet(1, 1, 64)
 	far := []backend.Runner{listedIn("south", "far-0")}
-	assert.Equal(t, f.Beyond(far), assumedExtraLatency)
-	f.Answered("far-0", 30*time.Millisecond)
-	f.Answered("far-0", time.Second)
-	assert.Assert(t, f.Beyond(far) < 60*time.Millisecond)
+	assert.Equal(t, f.ExtraLatency(far), assumedExtraLatency)
+	f.ObserveLatency("far-0", 30*time.Millisecond)
+	f.ObserveLatency("far-0", time.Second)
+	assert.Assert(t, f.ExtraLatency(far) < 60*time.Millisecond)
 	for range 500 {
-		f.Answered("far-0", time.Second)
+		f.ObserveLatency("far-0", time.Second)
 	}
-	assert.Assert(t, f.Beyond(far) > 900*time.Millisecond)
-	assert.Equal(t, f.Beyond([]backend.Runner{listedIn("north", "near-0"), listedIn("", "unknown")}), time.Duration(0))
+	assert.Assert(t, f.ExtraLatency(far) > 900*time.Millisecond)
+	assert.Equal(t, f.ExtraLatency([]backend.Runner{listedIn("north", "near-0"), listedIn("", "unknown")}), time.Duration(0))
 }
--- a/internal/fleet/load_estimates.go
+++ b/internal/fleet/load_estimates.go
@@ -15,7 +15,7 @@
 
 // ApplyPlanned records when the control holder expects the models that requests of a service
 // wait for and that no runner has begun to load.
-func (f *Fleet) ApplyPlanned(service string, planned []Coming) {
+func (f *Fleet) ApplyPlanned(service string, planned []PendingUnit) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	expected := make(map[modelInHomes]time.Time, len(planned))
@@ -71,7 +71,9 @@
 
 // appliesTo reports whether a planned load is of use to requests with the homes: it is planned
 // for those homes, or the requests may be served anywhere.
-func (m modelInHomes) appliesTo(homes place.Homes) bool { return !homes.Bound() || m.homes == homes }
+func (m modelInHomes) appliesTo(homes place.Homes) bool {
+	return !homes.Restricted() || m.homes == homes
+}
 
 // LoadTime returns the least time that a load of a model takes, given where the runners of the
 // service in the homes are listed to have a copy of its weights.
--- a/internal/fleet/load_test.go
+++ b/internal/fleet/load_test.go
@@ -29,11 +29,11 @@
 			f.recordResult(f.runners["slow"], query, Served, 100*time.Millisecond)
 		}
 		for range 20 {
-			f.Told("usual", backend.Workload{Running: 1, Slowness: 1})
-			f.Told("slow", backend.Workload{Running: 1, Slowness: 4})
+			f.ObserveWorkload("usual", backend.Workload{Running: 1, Slowness: 1})
+			f.ObserveWorkload("slow", backend.Workload{Running: 1, Slowness: 4})
 			assert.Equal(t, choose(), "usual", name)
 		}
-		f.Told("slow", backend.Workload{Running: 1, Slowness: 4})
+		f.ObserveWorkload("slow", backend.Workload{Running: 1, Slowness: 4})
 		clock.now = clock.now.Add(slownessLifetime)
 		assert.Equal(t, f.runners["slow"].load.factor(clock.now), 1.0, name)
 	}
--- a/internal/fleet/obstacles.go
+++ b/internal/fleet/obstacles.go
@@ -90,7 +90,7 @@
 
 // MainReason is the reason that blocks most of the runners that hold the unit; UnitNotHeld if
 // none holds it and at least one of the runners might load it.
-func (o Obstacles) Main() Reason {
+func (o Obstacles) MainReason() Reason {
 	switch {
 	case len(o) == 0:
 		return NoneKnown
--- a/internal/fleet/obstacles_test.go
+++ b/internal/fleet/obstacles_test.go
@@ -44,7 +44,7 @@
 		{Reason: AlreadyTried, Runners: 1, Holding: 1, Age: 300 * time.Millisecond},
 		{Reason: UnitNotHeld, Runners: 3, Age: 300 * time.Millisecond},
 	})
-	assert.Equal(t, found.Main().String(), "zone_out")
+	assert.Equal(t, found.MainReason().String(), "zone_out")
 	assert.Equal(t, found.Wire()[0].Reason, "zone_out")
 	assert.Equal(t, found.Wire()[0].AgeMs, int64(300))
 	_, chosen := f.Choose(query)
@@ -57,7 +57,7 @@
 	f, _ := testFleet()
 	f.Replace([]backend.Runner{listed("r1")}, false)
 	found := f.Obstacles(Query{Service: "s", Homes: place.NewHomes([]place.Region{"north"})})
-	assert.Equal(t, found.Main().String(), "outside_homes")
+	assert.Equal(t, found.MainReason().String(), "outside_homes")
 }
 
 // TestObstaclesWithoutRunners covers a service without runners and a unit that no runner
@@ -65,10 +65,10 @@
 func TestObstaclesWithoutRunners(t *testing.T) {
 	f, _ := testFleet()
 	query := Query{Service: "s", Unit: backend.Unit{Model: "m"}}
-	assert.Equal(t, f.Obstacles(query).Main(), NoneKnown)
+	assert.Equal(t, f.Obstacles(query).MainReason(), NoneKnown)
 	assert.Equal(t, f.Obstacles(query).String(), "none_known")
 	f.Replace([]backend.Runner{listed("r1"), listed("r2")}, false)
-	assert.Equal(t, f.Obstacles(query).Main(), UnitNotHeld)
+	assert.Equal(t, f.Obstacles(query).MainReason(), UnitNotHeld)
 	assert.Equal(t, f.Obstacles(query).String(), "2 not_held, 0 of them hold it, heard of within 0s")
 }
 
--- a/internal/fleet/permits.go
+++ b/internal/fleet/permits.go
@@ -18,7 +18,7 @@
 func (f *Fleet) permitTerms(known *runner) (terms coldstart.Terms, until time.Time) {
 	terms = f.terms(known)
 	until = f.coldUntil(known, terms)
-	stated := f.statements.Of(known.listed.ID)
+	stated := f.statements.State(known.listed.ID)
 	if stated.Rate == 0 || f.coldStarts.Limit == nil {
 		return terms, until
 	}
@@ -33,7 +33,7 @@
 
 // RecordLender records that the holder of a service's control lease answered while its lease
 // was valid.
-func (f *Fleet) HearLender(service string) {
+func (f *Fleet) RecordLender(service string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.lenderSeenAt[service] = f.now()
@@ -47,7 +47,7 @@
 
 // limited reports whether a limit that the runner stated is in force. mutex must be held.
 func (f *Fleet) limited(known *runner) bool {
-	return f.coldStarts.Limit != nil && f.statements.Of(known.listed.ID).Rate > 0
+	return f.coldStarts.Limit != nil && f.statements.State(known.listed.ID).Rate > 0
 }
 
 // hasPermit reports whether one more request may be sent to a runner now: it needs no permit,
@@ -57,7 +57,7 @@
 	if !f.now().Before(until) {
 		return true
 	}
-	return known.cold.May(known.listed.ID, terms, f.now())
+	return known.cold.MaySend(known.listed.ID, terms, f.now())
 }
 
 // spendPermit counts a request sent to a runner and returns when its permit expires; the zero
@@ -158,7 +158,7 @@
 		if !f.limited(known) {
 			return 0, false
 		}
-		rate += f.statements.Of(known.listed.ID).Rate
+		rate += f.statements.State(known.listed.ID).Rate
 	}
 	return rate * min(rateShareFactor/float64(max(nodes, 1)), 1), rate > 0
 }
@@ -185,7 +185,7 @@
 	wanted := make([]PermitsWanted, 0, min(len(cold), count))
 	for i, known := range cold[:min(len(cold), count)] {
 		share := (count + len(cold) - 1 - i) / len(cold)
-		wanted = append(wanted, PermitsWanted{Runner: known.listed.ID, Count: share, Rate: f.statements.Of(known.listed.ID).Rate})
+		wanted = append(wanted, PermitsWanted{Runner: known.listed.ID, Count: share, Rate: f.statements.State(known.listed.ID).Rate})
 	}
 	return wanted
 }
--- a/internal/fleet/prompt_affinity_test.go
+++ b/internal/fleet/prompt_affinity_test.go
@@ -43,7 +43,7 @@
 	f := apartFleet(8)
 	first, _ := f.Choose(sharing(1, 1))
 	f = apartFleet(8)
-	f.Reported(first.Runner.ID, backend.Report{Queued: 3})
+	f.ObserveReport(first.Runner.ID, backend.Report{Queued: 3})
 	second, _ := f.Choose(sharing(1, 2))
 	assert.Assert(t, second.Runner.ID != first.Runner.ID)
 }
--- a/internal/fleet/retention.go
+++ b/internal/fleet/retention.go
@@ -183,7 +183,7 @@
 }
 
 // Complete reports whether no runner was skipped since the whole list was read.
-func (f *Fleet) Whole() bool {
+func (f *Fleet) Complete() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.listRead && len(f.retention.skipped) == 0
@@ -192,7 +192,7 @@
 // NeedsFullList reports whether few runners of a service are left while others of it were
 // skipped, so that the whole list should be read again. It ignores runners per unit, as the
 // service's control holder tells which runners hold a unit.
-func (f *Fleet) Lacks() bool {
+func (f *Fleet) NeedsFullList() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if len(f.retention.skipped) == 0 {
--- a/internal/fleet/retention_test.go
+++ b/internal/fleet/retention_test.go
@@ -105,7 +105,7 @@
 	list[7].Draining = true
 	f.Replace(list, false)
 	assert.Equal(t, f.Count(), DefaultBound.Runners)
-	assert.Assert(t, f.Whole())
+	assert.Assert(t, f.Complete())
 }
 
 // TestHolderKeepsAll checks that a node that controls a service tracks all runners once the
@@ -115,17 +115,17 @@
 	const size = 5000
 	f := boundedFleet("node")
 	f.Replace(largeList(size), false)
-	assert.Assert(t, !f.Whole())
+	assert.Assert(t, !f.Complete())
 	f.KeepAll(true)
-	assert.Assert(t, !f.Whole())
+	assert.Assert(t, !f.Complete())
 	f.Replace(largeList(size), false)
-	assert.Assert(t, f.Whole())
+	assert.Assert(t, f.Complete())
 	assert.Equal(t, f.Count(), size)
 	query := Query{Service: "s", Unit: backend.Unit{Model: "busy-3"}}
 	choice, ok := f.Choose(query)
 	assert.Assert(t, ok)
 	f.KeepAll(false)
-	assert.Assert(t, f.Count() < size/2 && !f.Whole(), "%d runners are kept", f.Count())
+	assert.Assert(t, f.Count() < size/2 && !f.Complete(), "%d runners are kept", f.Count())
 	assert.Assert(t, f.Known(choice.Runner.ID))
 	f.Done(choice, query, Served, time.Millisecond, false)
 }
@@ -142,7 +142,7 @@
 		list[i].Draining = i == 2
 	}
 	f.Replace(list, false)
-	assert.Assert(t, !f.Lacks())
+	assert.Assert(t, !f.NeedsFullList())
 	remove := func(lost func(known *runner) bool) {
 		var gone []string
 		for id, known := range f.runners {
@@ -153,12 +153,12 @@
 		f.Apply(nil, gone, false)
 	}
 	remove(func(known *runner) bool { return known.listed.Zone == "zone-0" })
-	assert.Assert(t, !f.Lacks())
+	assert.Assert(t, !f.NeedsFullList())
 	left := 0
 	remove(func(*runner) bool { left++; return left >= DefaultBound.Service })
-	assert.Assert(t, f.Lacks())
+	assert.Assert(t, f.NeedsFullList())
 	f.Replace(list, false)
-	assert.Assert(t, !f.Lacks())
+	assert.Assert(t, !f.NeedsFullList())
 }
 
 // BenchmarkStateBytes reports the memory that a node uses for the runners.
--- a/internal/fleet/short_prompts_test.go
+++ b/internal/fleet/short_prompts_test.go
@@ -67,9 +67,9 @@
 	kept := runnersOf(f, 500, 1)
 	for id := range f.runners {
 		if kept[id] {
-			f.Reported(id, backend.Report{Queued: 1})
+			f.ObserveReport(id, backend.Report{Queued: 1})
 		} else {
-			f.Reported(id, backend.Report{})
+			f.ObserveReport(id, backend.Report{})
 		}
 	}
 	used := runnersOf(f, 500, 1)
--- a/internal/fleet/state_counts.go
+++ b/internal/fleet/state_counts.go
@@ -7,20 +7,20 @@
 )
 
 // StateCounts counts listed runners by state; each counts once.
-type Standing struct {
+type StateCounts struct {
 	Ready    int
 	Cold     int
 	Draining int
 }
 
 // Total is the number of runners.
-func (s Standing) Total() int { return s.Ready + s.Cold + s.Draining }
+func (s StateCounts) Total() int { return s.Ready + s.Cold + s.Draining }
 
 // Zones counts the listed runners of each zone by state.
-func (f *Fleet) Zones() map[place.Zone]Standing {
+func (f *Fleet) Zones() map[place.Zone]StateCounts {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	zones := make(map[place.Zone]Standing)
+	zones := make(map[place.Zone]StateCounts)
 	for _, known := range f.runners {
 		if !known.present {
 			continue
@@ -34,7 +34,7 @@
 }
 
 // addState adds a runner to the counts. mutex must be held.
-func (f *Fleet) addState(standing *Standing, known *runner) {
+func (f *Fleet) addState(standing *StateCounts, known *runner) {
 	switch {
 	case f.isDraining(known) || f.rules.Drained(known.listed.Name(), known.listed.Zone):
 		standing.Draining++
--- a/internal/fleet/state_counts_test.go
+++ b/internal/fleet/state_counts_test.go
@@ -24,9 +24,9 @@
 	f.Replace([]backend.Runner{cold, leaving, listed("r3"), other, listed("r5")}, false)
 	f.Apply(nil, []string{"r5"}, false)
 	c.now = c.now.Add(500 * time.Millisecond)
-	assert.DeepEqual(t, f.Zones(), map[place.Zone]Standing{"zone-a": {Cold: 1, Draining: 2}, "zone-b": {Ready: 1}})
+	assert.DeepEqual(t, f.Zones(), map[place.Zone]StateCounts{"zone-a": {Cold: 1, Draining: 2}, "zone-b": {Ready: 1}})
 	assert.DeepEqual(t, f.Cold(), map[string]time.Duration{"r1": 1500 * time.Millisecond, "r2": time.Minute - 500*time.Millisecond})
 	c.now = c.now.Add(1500 * time.Millisecond)
-	assert.DeepEqual(t, f.Zones()["zone-a"], Standing{Ready: 1, Draining: 2})
+	assert.DeepEqual(t, f.Zones()["zone-a"], StateCounts{Ready: 1, Draining: 2})
 	assert.Equal(t, f.Cold()["r1"], time.Duration(0))
 }
--- a/internal/fleet/statements.go
+++ b/internal/fleet/statements.go
@@ -10,12 +10,12 @@
 // isDraining reports whether a runner stated that it is leaving, in the platform's list or in
 // an answer. The list lags, by seconds while the store is down. mutex must be held.
 func (f *Fleet) isDraining(known *runner) bool {
-	return known.listed.Draining || f.statements.Of(known.listed.ID).Leaving
+	return known.listed.Draining || f.statements.State(known.listed.ID).Leaving
 }
 
 // AllDraining reports whether there are runners of the query's service in its homes and all of
 // them are draining, so that none can take the request, whatever it holds.
-func (f *Fleet) AllLeave(query Query) bool {
+func (f *Fleet) AllDraining(query Query) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	found := false
@@ -34,12 +34,12 @@
 // isResting reports whether a runner asked for a rest, or has rested and has as many requests
 // as it may have at once afterwards. mutex must be held.
 func (f *Fleet) isResting(known *runner) bool {
-	stated := f.statements.Of(known.listed.ID)
+	stated := f.statements.State(known.listed.ID)
 	return stated.Rest > 0 || (stated.Window > 0 && known.unanswered >= stated.Window)
 }
 
 // Rests reports whether a runner asked this node for a rest that has not ended.
-func (f *Fleet) Rests(id string) bool { return f.statements.Of(id).Rest > 0 }
+func (f *Fleet) Rests(id string) bool { return f.statements.State(id).Rest > 0 }
 
 // minRestCapacity is the least number of requests that a rested runner is assumed to take.
 const minRestCapacity = 2
@@ -48,7 +48,7 @@
 // called when the runner refused a request, and reports whether the runner rests. mutex must
 // be held.
 func (f *Fleet) recordRest(known *runner) bool {
-	rest := f.statements.Of(known.listed.ID).Rest
+	rest := f.statements.State(known.listed.ID).Rest
 	if rest == 0 {
 		return false
 	}
@@ -101,7 +101,7 @@
 			continue
 		}
 		found.capacity += max(known.activeBeforeRest, minRestCapacity)
-		left := max(f.statements.Of(id).Rest, restRecheckInterval)
+		left := max(f.statements.State(id).Rest, restRecheckInterval)
 		if found.first == nil || left < found.in {
 			found.first, found.in = known, left
 		}
@@ -122,7 +122,7 @@
 // RetryAfterRest returns after what time a refused request may be sent again: once the first
 // rest has ended and the runner has had time for the requests that were given an earlier time,
 // by its mean answer time and its slots. It is zero if no runner rests.
-func (f *Fleet) ReturnAfterRest(query Query) time.Duration {
+func (f *Fleet) RetryAfterRest(query Query) time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	found := f.restBlocked(query)
--- a/internal/fleet/statements_test.go
+++ b/internal/fleet/statements_test.go
@@ -21,9 +21,9 @@
 )
 
 // statedFleet returns a fleet of runners that hold model m, and the book of their statements.
-func statedFleet(names ...string) (*Fleet, *statement.Book, *clock) {
+func statedFleet(names ...string) (*Fleet, *statement.Registry, *clock) {
 	f, c := testFleet()
-	book := statement.NewBook(statement.Options{
+	book := statement.NewRegistry(statement.Options{
 		Headers: statement.Headers{Leaving: leavingHeader, Limit: limitHeader}, Now: c.read, Log: logr.Discard(),
 		Limits: func() statement.Limits {
 			return statement.Limits{LongestRest: time.Minute, UnreadableRest: time.Second, LeavingFor: 5 * time.Minute, LeastRate: 0.1, LimitFor: time.Minute}
@@ -39,8 +39,8 @@
 }
 
 // sayLeaving records an answer in which a runner states that it is leaving.
-func sayLeaving(book *statement.Book, id string) {
-	book.Hear(statement.Source{Runner: id}, http.StatusOK, http.Header{leavingHeader: {"1"}})
+func sayLeaving(book *statement.Registry, id string) {
+	book.ReadHeader(statement.Source{Runner: id}, http.StatusOK, http.Header{leavingHeader: {"1"}})
 }
 
 var statedQuery = Query{Service: "s", Unit: backend.Unit{Model: "m"}}
@@ -62,7 +62,7 @@
 			assert.Assert(t, candidate.ID != before.Runner.ID)
 		}
 	}
-	assert.Equal(t, f.Zones()["zone-a"], Standing{Ready: 2, Draining: 1})
+	assert.Equal(t, f.Zones()["zone-a"], StateCounts{Ready: 2, Draining: 1})
 	// Its row expires while the store is down and comes back.
 	f.Replace([]backend.Runner{listed("r2", "m"), listed("r3", "m")}, true)
 	c.now = c.now.Add(missingLifetime + time.Second)
@@ -84,7 +84,7 @@
 	}
 	f.Apply([]backend.Runner{born(1)}, nil, false)
 	sayLeaving(book, born(1).ID)
-	assert.Assert(t, f.AllLeave(statedQuery))
+	assert.Assert(t, f.AllDraining(statedQuery))
 	f.Apply([]backend.Runner{born(2)}, nil, false)
 	sayLeaving(book, born(1).ID)
 	choice, ok := f.Choose(statedQuery)
@@ -94,24 +94,24 @@
 // TestAllLeave checks that runners of other services and departed runners do not count.
 func TestAllLeave(t *testing.T) {
 	f, book, _ := statedFleet("r1", "r2")
-	assert.Assert(t, !f.AllLeave(Query{Service: "other"}), "the service has no runners")
+	assert.Assert(t, !f.AllDraining(Query{Service: "other"}), "the service has no runners")
 	sayLeaving(book, "r1")
-	assert.Assert(t, !f.AllLeave(statedQuery))
+	assert.Assert(t, !f.AllDraining(statedQuery))
 	sayLeaving(book, "r2")
-	assert.Assert(t, f.AllLeave(statedQuery))
+	assert.Assert(t, f.AllDraining(statedQuery))
 	assert.Equal(t, f.Refusal(statedQuery), eligible.Draining)
 	f.Apply([]backend.Runner{listed("r3")}, nil, false)
-	assert.Assert(t, !f.AllLeave(statedQuery), "a runner without the model may load it")
+	assert.Assert(t, !f.AllDraining(statedQuery), "a runner without the model may load it")
 }
 
 // askRest records a refusal in which a runner asks for a rest.
-func askRest(book *statement.Book, id, seconds string) {
-	book.Hear(statement.Source{Runner: id}, http.StatusServiceUnavailable, http.Header{"Retry-After": {seconds}})
+func askRest(book *statement.Registry, id, seconds string) {
+	book.ReadHeader(statement.Source{Runner: id}, http.StatusServiceUnavailable, http.Header{"Retry-After": {seconds}})
 }
 
 // answer records that a runner answered a request.
-func answer(f *Fleet, book *statement.Book, choice Choice) {
-	book.Hear(statement.Source{Runner: choice.Runner.ID, Request: "q"}, http.StatusOK, http.Header{})
+func answer(f *Fleet, book *statement.Registry, choice Choice) {
+	book.ReadHeader(statement.Source{Runner: choice.Runner.ID, Request: "q"}, http.StatusOK, http.Header{})
 	f.Started(choice)
 	f.Done(choice, statedQuery, Served, time.Millisecond, true)
 }
@@ -131,7 +131,7 @@
 	_, ok := f.Choose(other)
 	assert.Assert(t, !ok, "a resting runner got a request for another model")
 	assert.Assert(t, f.Holds("s", "other", other.Homes), "a resting runner still holds its model")
-	assert.Equal(t, f.Obstacles(other).Main().String(), "resting")
+	assert.Equal(t, f.Obstacles(other).MainReason().String(), "resting")
 	in, _, rests := f.RestEndsIn(other)
 	assert.Assert(t, rests && in == 3*time.Second, "%s", in)
 	c.now = c.now.Add(3 * time.Second)
@@ -180,18 +180,18 @@
 		assert.Assert(t, ok)
 		f.Done(choice, statedQuery, Served, 400*time.Millisecond, false)
 	}
-	assert.Equal(t, f.ReturnAfterRest(statedQuery), time.Duration(0))
+	assert.Equal(t, f.RetryAfterRest(statedQuery), time.Duration(0))
 	askRest(book, "r1", "2")
-	first := f.ReturnAfterRest(statedQuery)
+	first := f.RetryAfterRest(statedQuery)
 	assert.Equal(t, first, 2*time.Second)
 	for range 9 {
-		f.ReturnAfterRest(statedQuery)
+		f.RetryAfterRest(statedQuery)
 	}
-	eleventh := f.ReturnAfterRest(statedQuery)
+	eleventh := f.RetryAfterRest(statedQuery)
 	assert.Assert(t, eleventh > 2900*time.Millisecond && eleventh <= 3*time.Second, "%s", eleventh)
 	c.now = c.now.Add(3 * time.Second)
 	askRest(book, "r1", "2")
-	assert.Equal(t, f.ReturnAfterRest(statedQuery), 2*time.Second, "the next rest starts anew")
+	assert.Equal(t, f.RetryAfterRest(statedQuery), 2*time.Second, "the next rest starts anew")
 }
 
 // TestRoomIsWhatARunnerTook checks that the capacity of a resting runner is the number of
@@ -226,11 +226,11 @@
 			return coldstart.NewLimit(rate, coldstart.Lent{})
 		},
 	})
-	f.HearLender("s")
+	f.RecordLender("s")
 	before, ok := f.Choose(statedQuery)
 	assert.Assert(t, ok)
 	named := http.Header{limitHeader: {"2"}}
-	book.Hear(statement.Source{Runner: "r1", Request: "a"}, http.StatusOK, named)
+	book.ReadHeader(statement.Source{Runner: "r1", Request: "a"}, http.StatusOK, named)
 	assert.Assert(t, !f.Allowed(before, statedQuery), "a request for which it was chosen earlier may still be sent")
 	_, ok = f.Choose(statedQuery)
 	assert.Assert(t, !ok)
@@ -243,7 +243,7 @@
 	_, ok = f.Choose(statedQuery)
 	assert.Assert(t, !ok)
 	c.now = c.now.Add(time.Second)
-	book.Hear(statement.Source{Runner: "r1", Request: "b"}, http.StatusOK, http.Header{})
+	book.ReadHeader(statement.Source{Runner: "r1", Request: "b"}, http.StatusOK, http.Header{})
 	_, ok = f.Choose(statedQuery)
 	assert.Assert(t, ok)
 }
--- a/internal/fleet/views.go
+++ b/internal/fleet/views.go
@@ -15,13 +15,13 @@
 	Listed *backend.Runner
 	Ready  []backend.Holding
 	// Pending lists the units being loaded.
-	Coming []Coming
+	Pending []PendingUnit
 	// Silent is set while the runner does not answer the holder after nodes suspected it.
 	Silent bool
 }
 
 // PendingUnit is a unit that is being loaded, with the time until it is expected.
-type Coming struct {
+type PendingUnit struct {
 	Unit backend.Unit
 	In   time.Duration
 	// Homes are those of the requests for which the load is planned.
@@ -55,8 +55,8 @@
 }
 
 func (f *Fleet) newView(reported View) *view {
-	built := &view{at: f.now(), silent: reported.Silent, ready: unitsOf(reported.Ready), coming: make(map[backend.Unit]time.Time, len(reported.Coming))}
-	for _, coming := range reported.Coming {
+	built := &view{at: f.now(), silent: reported.Silent, ready: unitsOf(reported.Ready), coming: make(map[backend.Unit]time.Time, len(reported.Pending))}
+	for _, coming := range reported.Pending {
 		built.coming[coming.Unit] = f.now().Add(coming.In)
 	}
 	return built
--- a/internal/fleet/zones_test.go
+++ b/internal/fleet/zones_test.go
@@ -51,7 +51,7 @@
 func TestZoneOutGetsNothing(t *testing.T) {
 	f, z, _ := zonedFleet(inZone("r1", "zone-a", "m"), inZone("r2", "zone-b", "m"), inZone("r3", "zone-b", "m"))
 	coming := backend.Unit{Model: "next"}
-	f.ApplyViews([]View{{Runner: "r1", Ready: []backend.Holding{{Model: "m"}}, Coming: []Coming{{Unit: coming, In: time.Second}}}}, 0)
+	f.ApplyViews([]View{{Runner: "r1", Ready: []backend.Holding{{Model: "m"}}, Pending: []PendingUnit{{Unit: coming, In: time.Second}}}}, 0)
 	query := Query{Service: "s", Unit: backend.Unit{Model: "m"}}
 	z.out["zone-a"] = true
 	for range 20 {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -128,25 +128,25 @@
 }
 
 // resolve returns what serves a model name.
-func (s *Server) resolve(model string) (config.Name, error) {
+func (s *Server) resolve(model string) (config.ModelTarget, error) {
 	const step = "resolve model"
 	configuration := s.Configuration()
 	if configuration == nil {
-		return config.Name{}, fault.New(fault.CodeNotReady, step, "no configuration is known yet")
+		return config.ModelTarget{}, fault.New(fault.CodeNotReady, step, "no configuration is known yet")
 	}
 	name, known := configuration.Names[model]
 	if !known {
-		return config.Name{}, fault.New(fault.CodeUnknownModel, step, "there is no model or adapter %q", model)
+		return config.ModelTarget{}, fault.New(fault.CodeUnknownModel, step, "there is no model or adapter %q", model)
 	}
 	if name.Replicas == 0 {
-		return config.Name{}, fault.New(fault.CodeNoReplica, step, "the operators decided on no replica of %q", model).WithRetryAfter(retryAfterNoReplica)
+		return config.ModelTarget{}, fault.New(fault.CodeNoReplica, step, "the operators decided on no replica of %q", model).WithRetryAfter(retryAfterNoReplica)
 	}
 	return name, nil
 }
 
 // setRoute sets the service that the call goes to and the route options, which depend on whether it
 // may be repeated.
-func (s *Server) setRoute(call *parsedCall, name config.Name) {
+func (s *Server) setRoute(call *parsedCall, name config.ModelTarget) {
 	repeatable := call.key == ""
 	route := &config.Route{
 		Name: "completions", Kind: config.Unsafe, Resumable: repeatable && call.completion.Stream, Objective: startObjective,
--- a/internal/lab/experiment/simulate.go
+++ b/internal/lab/experiment/simulate.go
@@ -167,7 +167,7 @@
 
 func (s *simulation) prepare() {
 	s.models = s.deployment.catalogue(rand.New(rand.NewPCG(s.options.Seed, 1)))
-	s.keeper = sleep.NewKeeper(sleep.Settings{Fixed: s.configuration.Fixed, Exchange: s.deployment.Exchange, TailPower: s.deployment.TailPower,
+	s.keeper = sleep.NewKeeper(sleep.Settings{Fixed: s.configuration.Fixed, IdlePerColdSecond: s.deployment.Exchange, TailPower: s.deployment.TailPower,
 		Limit: maxKeepAlive})
 	s.replicas = make([]replica, len(s.models))
 	s.lastUseTime = make([]float64, len(s.models))
@@ -441,7 +441,7 @@
 			s.load(index)
 		case r.state == ready && r.active == 0 && !ahead && !s.inUse(index):
 			idle := time.Duration((s.now - r.lastUsed) * float64(time.Second))
-			if idle > s.keeper.For(s.sleepReplica(index)) {
+			if idle > s.keeper.KeepAlive(s.sleepReplica(index)) {
 				s.unload(index)
 			}
 		}
--- a/internal/lab/faultproxy/faultproxy.go
+++ b/internal/lab/faultproxy/faultproxy.go
@@ -24,7 +24,7 @@
 	// Silence holds back the bytes of both directions; connections stay open.
 	Silence
 	// SilenceResponses holds back what the target sends: requests arrive, responses do not.
-	Deaf
+	SilenceResponses
 )
 
 // Proxy forwards the connections to its address to a target. It is safe for concurrent
@@ -203,7 +203,7 @@
 func (p *Proxy) waitToForward(s *connectionState, fromTarget bool) bool {
 	for {
 		p.mutex.Lock()
-		blocked := s.silent || p.mode == Silence || (p.mode == Deaf && fromTarget)
+		blocked := s.silent || p.mode == Silence || (p.mode == SilenceResponses && fromTarget)
 		delay, changed, closed := p.delay, p.changed, p.closed
 		p.mutex.Unlock()
 		if closed {
--- a/internal/lab/journal/journal.go
+++ b/internal/lab/journal/journal.go
@@ -19,7 +19,7 @@
 	EventStart     Event = "start"
 	EventLoad      Event = "load"
 	EventReady     Event = "ready"
-	EventGone      Event = "gone"
+	EventUnloaded  Event = "gone"
 	EventRun       Event = "run"
 	EventFinished  Event = "finished"
 	EventCanceled  Event = "canceled"
@@ -29,8 +29,8 @@
 	EventRevoked   Event = "revoked"
 	// EventCold is the start of a period in which the runner is cold, EventColdPeak a new
 	// maximum (in Detail) of requests within one second of it.
-	EventCold  Event = "cold"
-	EventCrowd Event = "crowd"
+	EventCold     Event = "cold"
+	EventColdPeak Event = "crowd"
 	// EventArrival is a request that reached a runner that is draining, sends Retry-After or
 	// announces a rate limit; Detail is a JSON object with the status and these statements.
 	EventArrival Event = "arrival"
--- a/internal/lab/runnerstub/cold.go
+++ b/internal/lab/runnerstub/cold.go
@@ -72,7 +72,7 @@
 	}
 	if len(c.arrivals) > c.peak {
 		c.peak = len(c.arrivals)
-		r.record(journal.Record{Event: journal.EventCrowd, Detail: strconv.Itoa(c.peak)})
+		r.record(journal.Record{Event: journal.EventColdPeak, Detail: strconv.Itoa(c.peak)})
 	}
 	if c.collapse > 0 && len(c.arrivals) > c.collapse {
 		r.collapsed = true
--- a/internal/lab/runnerstub/runner.go
+++ b/internal/lab/runnerstub/runner.go
@@ -192,8 +192,8 @@
 	return d
 }
 
-func (r *Runner) readyModels() []protocol.Held {
-	models := []protocol.Held{}
+func (r *Runner) readyModels() []protocol.LoadedModel {
+	models := []protocol.LoadedModel{}
 	for name, m := range r.models {
 		if !m.ready {
 			continue
@@ -205,14 +205,14 @@
 			}
 		}
 		slices.Sort(adapters)
-		models = append(models, protocol.Held{Name: name, Adapters: adapters})
+		models = append(models, protocol.LoadedModel{Name: name, Adapters: adapters})
 	}
-	slices.SortFunc(models, func(a, b protocol.Held) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(models, func(a, b protocol.LoadedModel) int { return strings.Compare(a.Name, b.Name) })
 	return models
 }
 
-func (r *Runner) available() protocol.Available {
-	return protocol.Available{Resident: slices.Clone(r.onHost), OnDisk: slices.Clone(r.onDisk)}
+func (r *Runner) available() protocol.CachedModels {
+	return protocol.CachedModels{Resident: slices.Clone(r.onHost), OnDisk: slices.Clone(r.onDisk)}
 }
 
 // delayedReport returns the report as of ReportLag ago. The caller holds r.mutex.
@@ -369,7 +369,7 @@
 	r.saveReport()
 	delete(r.models, name)
 	r.busy = false
-	r.record(journal.Record{Event: journal.EventGone, Unit: name, TotalMiB: int64(r.memoryInUse())})
+	r.record(journal.Record{Event: journal.EventUnloaded, Unit: name, TotalMiB: int64(r.memoryInUse())})
 	go r.Announce()
 }
 
@@ -382,7 +382,7 @@
 	if o.Operation == protocol.OperationUnload {
 		r.sequence++
 		delete(m.adapters, o.Adapter)
-		r.record(journal.Record{Event: journal.EventGone, Unit: o.Model + "/" + o.Adapter})
+		r.record(journal.Record{Event: journal.EventUnloaded, Unit: o.Model + "/" + o.Adapter})
 		return http.StatusOK
 	}
 	if _, exists := m.adapters[o.Adapter]; exists {
--- a/internal/lab/storestub/http.go
+++ b/internal/lab/storestub/http.go
@@ -75,7 +75,7 @@
 		switch {
 		case rejection == Busy:
 			w.WriteHeader(http.StatusServiceUnavailable)
-		case rejection == Many:
+		case rejection == TooManyRequests:
 			w.WriteHeader(http.StatusTooManyRequests)
 		case rejection == Reset:
 			panic(http.ErrAbortHandler)
--- a/internal/lab/storestub/store.go
+++ b/internal/lab/storestub/store.go
@@ -27,8 +27,8 @@
 // The kinds of rejection.
 const (
 	// Busy responds with 503 (Service Unavailable), TooManyRequests with 429.
-	Busy Down = "busy"
-	Many Down = "many"
+	Busy            Down = "busy"
+	TooManyRequests Down = "many"
 	// Reset closes the connection, Silent never responds.
 	Reset  Down = "reset"
 	Silent Down = "silent"
--- a/internal/lab/world/places.go
+++ b/internal/lab/world/places.go
@@ -18,12 +18,12 @@
 func (r *Runner) Zone() place.Zone { return place.Zone(r.options.Zone) }
 
 // EvacuateZone writes the operator's row that asks nodes to send nothing new to a zone.
-func (w *World) TakeOutZone(zone place.Zone) error {
+func (w *World) EvacuateZone(zone place.Zone) error {
 	return w.PutRows(zoneRow(zone, false))
 }
 
 // RestoreZone removes that row.
-func (w *World) TakeBackZone(zone place.Zone) error {
+func (w *World) RestoreZone(zone place.Zone) error {
 	return w.PutRows(zoneRow(zone, true))
 }
 
@@ -32,6 +32,6 @@
 }
 
 // MakeRunnerCold makes a runner cold for a duration, as its row then says.
-func (w *World) ChillRunner(id string, duration time.Duration) error {
+func (w *World) MakeRunnerCold(id string, duration time.Duration) error {
 	return w.SetRunnerCold(id, runnerstub.Cold{ForMs: duration.Milliseconds()})
 }
--- a/internal/lab/world/runners.go
+++ b/internal/lab/world/runners.go
@@ -46,12 +46,12 @@
 	// name of a model when it is loaded. Empty for none. Restart says whether and how the
 	// process is restarted.
 	CrashBy string
-	Returns Return
+	Restart RestartPolicy
 }
 
 // RestartPolicy says how a runner whose process has ended, as by a crash, is restarted, at
 // the same address and with nothing loaded.
-type Return struct {
+type RestartPolicy struct {
 	// After is the delay until the restart; zero for no restart.
 	After time.Duration
 	// Renamed gives it a new identifier each time, as runners have after most ends of
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	w.Runners[options.Name] = runner
-	if options.Returns.After > 0 {
+	if options.Restart.After > 0 {
 		go w.restartOnExit(runner)
 	}
 	return runner, waitForURL("http://" + runner.address + protocol.PathReport)
@@ -108,8 +108,8 @@
 	id := runner.options.Name
 	for incarnation := 2; ; incarnation++ {
 		<-runner.currentProcess().Done()
-		time.Sleep(runner.options.Returns.After)
-		if runner.options.Returns.Renamed {
+		time.Sleep(runner.options.Restart.After)
+		if runner.options.Restart.Renamed {
 			// The platform's list drops runners that no longer write to it.
 			_ = w.Unlist(id)
 			id = fmt.Sprintf("%s-%d", runner.options.Name, incarnation)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -61,21 +61,21 @@
 	CallTimeout time.Duration
 	// TakeoverDelay is how much longer than others this node waits before it takes a free
 	// lease, so that nodes with more spare capacity take it first. Nil means no delay.
-	Reluctance func() time.Duration
+	TakeoverDelay func() time.Duration
 	// Heard reports whether the holder was recently heard from by other means, in which case
 	// the row need not be read. If nil, the row is always read.
 	Heard func() bool
 	// ReadStoreOnce makes this process read the row from the store once, whatever Heard and
 	// ReadFromPeer say: its node may have held the lease when the previous process ended, and
 	// then continues at once.
-	LookFirst bool
+	ReadStoreOnce bool
 	// ReadAtStart makes Run read the row as soon as it begins, to learn who holds the lease.
-	LookAtOnce bool
+	ReadAtStart bool
 	// ReadFromPeer reads the row from another node instead of the store; it may be nil. ok is
 	// false if this node must read the store itself. The row may be stale: it is handled like
 	// a stale answer of the store, and a node that only reads from peers never takes the
 	// lease.
-	Ask func(ctx context.Context) (value []byte, revision uint64, ok bool)
+	ReadFromPeer func(ctx context.Context) (value []byte, revision uint64, ok bool)
 	// Nodes returns how many nodes contend for the lease, as far as is known; nil means few.
 	// The more there are, the less often each reads the row of a store that does not answer.
 	Nodes func() int
@@ -86,9 +86,9 @@
 	Now func() time.Time
 }
 
-// Lessor competes for one lease and holds it when it can. Its methods may be called
+// Elector competes for one lease and holds it when it can. Its methods may be called
 // concurrently.
-type Lessor struct {
+type Elector struct {
 	table   table.Table
 	key     string
 	self    Record
@@ -128,14 +128,14 @@
 
 // New returns a Lessor for a node. process distinguishes this process from earlier ones of
 // the same node.
-func New(rows table.Table, key, node, address, process string, options Options, log logr.Logger) *Lessor {
+func New(rows table.Table, key, node, address, process string, options Options, log logr.Logger) *Elector {
 	if options.Now == nil {
 		options.Now = clock.Now
 	}
-	if options.Reluctance == nil {
-		options.Reluctance = func() time.Duration { return 0 }
+	if options.TakeoverDelay == nil {
+		options.TakeoverDelay = func() time.Duration { return 0 }
 	}
-	return &Lessor{
+	return &Elector{
 		table: rows, key: key, options: options, log: log.WithValues("lease", key),
 		self: Record{Holder: node, Address: address, Process: process},
 		// An earlier process of this node may have acted until now.
@@ -146,7 +146,7 @@
 }
 
 // Holds reports whether the newest record names this process as the holder.
-func (l *Lessor) Holds() bool {
+func (l *Elector) Holds() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.held
@@ -154,7 +154,7 @@
 
 // Act returns the lease's token if the holder may act now, and records the time of the act.
 // It must be called right before each act.
-func (l *Lessor) Act() (token uint64, ok bool) {
+func (l *Elector) Act() (token uint64, ok bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if !l.mayAct() {
@@ -165,14 +165,14 @@
 }
 
 // Valid reports whether this process holds the lease and its last renewal has not expired.
-func (l *Lessor) Valid() bool {
+func (l *Elector) Valid() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.held && !l.stopped && !l.yielded() && l.options.Now().Before(l.validUntil)
 }
 
 // Acting reports whether this process holds the lease and may act now.
-func (l *Lessor) Acting() bool {
+func (l *Elector) Acting() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.mayAct()
@@ -182,7 +182,7 @@
 // act or since the last moment at which the previous holder can have acted, whichever is
 // later. The result is negative while that moment lies in the future. The caller holds
 // mutex.
-func (l *Lessor) sinceLastAct() time.Duration {
+func (l *Elector) sinceLastAct() time.Duration {
 	last := l.lastAct
 	if others := l.actsFrom.Add(-l.options.TurnGap); !l.actsFrom.IsZero() && others.After(last) {
 		last = others
@@ -195,51 +195,51 @@
 
 // setGap records whether the holder still waits out a turn gap, and for how long. It is
 // called right before the record is sent.
-func (l *Lessor) setGap(record *Record, actsFrom time.Time) {
+func (l *Elector) setGap(record *Record, actsFrom time.Time) {
 	wait := actsFrom.Sub(l.options.Now())
 	record.Settled = wait <= 0
 	record.GapLeftMs = max(-floorMs(-wait), 0)
 }
 
 // nodes returns how many nodes contend for the lease; zero if unknown.
-func (l *Lessor) nodes() int {
+func (l *Elector) nodes() int {
 	if l.options.Nodes == nil {
 		return 0
 	}
 	return l.options.Nodes()
 }
 
-func (l *Lessor) mayAct() bool {
+func (l *Elector) mayAct() bool {
 	now := l.options.Now()
 	return l.held && !l.stopped && !l.yielded() && now.Add(l.options.ActMargin).Before(l.validUntil) && !now.Before(l.actsFrom)
 }
 
 // ActsIn returns the time until this process may act if it holds the lease, that is until
 // the turn gap after the previous holder has passed.
-func (l *Lessor) ActsIn() time.Duration {
+func (l *Elector) ActsIn() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return max(l.actsFrom.Sub(l.options.Now()), 0)
 }
 
 // TurnGap returns the minimum time between the acts of two nodes.
-func (l *Lessor) TurnGap() time.Duration { return l.options.TurnGap }
+func (l *Elector) TurnGap() time.Duration { return l.options.TurnGap }
 
 // Holder returns the newest record known, and whether it names a current holder.
-func (l *Lessor) Holder() (Record, bool) {
+func (l *Elector) Holder() (Record, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.latest, l.rowKnown && !l.latest.Released && l.latest.Holder != ""
 }
 
 // RowKnown reports whether the row has been read, from the store or from a peer.
-func (l *Lessor) Looked() bool {
+func (l *Elector) RowKnown() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.rowKnown
 }
 
-func (l *Lessor) readRow(ctx context.Context) error {
+func (l *Elector) readRow(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, l.options.CallTimeout)
 	defer cancel()
 	row, err := l.table.Get(ctx, l.key)
@@ -251,7 +251,7 @@
 
 // applyRow takes over a record that was read. It ignores records older than the newest
 // known one.
-func (l *Lessor) applyRow(value []byte, revision uint64) error {
+func (l *Elector) applyRow(value []byte, revision uint64) error {
 	var record Record
 	if revision != 0 {
 		if err := json.Unmarshal(value, &record); err != nil {
@@ -274,7 +274,7 @@
 // updateEarliestAct computes from the newest record how long this process must wait before
 // it may act. A holder acts no longer than the validity after its last renewal, which was
 // sent before it was seen. The caller holds mutex.
-func (l *Lessor) updateEarliestAct() {
+func (l *Elector) updateEarliestAct() {
 	switch {
 	case l.latest.Holder == "":
 	case l.latest.Process == l.self.Process:
@@ -292,7 +292,7 @@
 
 // mayTake reports whether this process may try to take the lease. The write is conditional
 // on the revision last seen, so it fails if the holder has renewed since.
-func (l *Lessor) mayTake() bool {
+func (l *Elector) mayTake() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.stopped || !l.rowKnown {
@@ -302,7 +302,7 @@
 		return true
 	}
 	if l.holderYielded() {
-		return l.options.Now().Sub(l.observed.yieldedAt) >= yieldGrace+l.options.Reluctance()
+		return l.options.Now().Sub(l.observed.yieldedAt) >= yieldGrace+l.options.TakeoverDelay()
 	}
-	return l.options.Now().Sub(l.seenAt) >= l.options.Validity+l.options.Interval+l.options.Reluctance()
+	return l.options.Now().Sub(l.seenAt) >= l.options.Validity+l.options.Interval+l.options.TakeoverDelay()
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -92,7 +92,7 @@
 type cluster struct {
 	table   *fakeTable
 	now     time.Time
-	nodes   []*Lessor
+	nodes   []*Elector
 	started int
 	// lastBy and lastAt are the node and time of the last act.
 	lastBy string
@@ -110,7 +110,7 @@
 }
 
 // start starts a new process of a node.
-func (w *cluster) start(index int) *Lessor {
+func (w *cluster) start(index int) *Elector {
 	w.started++
 	name := fmt.Sprintf("node-%d", index)
 	options := Options{
@@ -384,7 +384,7 @@
 func TestTakeoverDelay(t *testing.T) {
 	w := newCluster(3)
 	holder, small, large := w.nodes[0], w.nodes[1], w.nodes[2]
-	small.options.Reluctance = func() time.Duration { return 400 * time.Millisecond }
+	small.options.TakeoverDelay = func() time.Duration { return 400 * time.Millisecond }
 	holder.step(t.Context())
 	small.step(t.Context())
 	large.step(t.Context())
--- a/internal/lease/peer_test.go
+++ b/internal/lease/peer_test.go
@@ -40,10 +40,10 @@
 }
 
 // newPeerReader returns a Lessor that can read the row from a peer.
-func newPeerReader(store *oneRow, first bool) *Lessor {
+func newPeerReader(store *oneRow, first bool) *Elector {
 	return New(store, "lease", "self", "10.0.0.1:1", "now", Options{
-		Validity: 2 * time.Second, Interval: 500 * time.Millisecond, TurnGap: 3 * time.Second, CallTimeout: time.Second, LookFirst: first,
-		Ask: func(context.Context) ([]byte, uint64, bool) { return store.row.Value, store.row.Revision, true },
+		Validity: 2 * time.Second, Interval: 500 * time.Millisecond, TurnGap: 3 * time.Second, CallTimeout: time.Second, ReadStoreOnce: first,
+		ReadFromPeer: func(context.Context) ([]byte, uint64, bool) { return store.row.Value, store.row.Revision, true },
 	}, logr.Discard())
 }
 
--- a/internal/lease/release.go
+++ b/internal/lease/release.go
@@ -12,7 +12,7 @@
 // Release gives up the lease; this process does not act any more afterwards. A renewal
 // still in flight may change the row in the meantime, so a release that conflicts is
 // retried on the newest row as long as that row belongs to this process.
-func (l *Lessor) Release(ctx context.Context) {
+func (l *Elector) Release(ctx context.Context) {
 	l.mutex.Lock()
 	l.stopped = true
 	held := l.held
@@ -40,7 +40,7 @@
 
 // releaseRecord returns the record that releases the lease and the revision it replaces.
 // own is false if another process holds the lease.
-func (l *Lessor) releaseRecord() (record Record, revision uint64, own bool) {
+func (l *Elector) releaseRecord() (record Record, revision uint64, own bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	record = l.latest
--- a/internal/lease/run.go
+++ b/internal/lease/run.go
@@ -12,12 +12,12 @@
 )
 
 // Run acquires, renews and watches the lease until ctx is done.
-func (l *Lessor) Run(ctx context.Context) {
-	if l.options.LookAtOnce {
+func (l *Elector) Run(ctx context.Context) {
+	if l.options.ReadAtStart {
 		l.readAtStart(ctx)
 	}
 	// Nodes that start together should not all try to take the lease at once.
-	wait.For(ctx, rand.N(l.options.Interval/2)+l.options.Reluctance())
+	wait.For(ctx, rand.N(l.options.Interval/2)+l.options.TakeoverDelay())
 	for ctx.Err() == nil {
 		l.step(ctx)
 		l.pauseUntilNextStep(ctx, l.nextPause())
@@ -30,14 +30,14 @@
 // readAtStart reads the row before this process waits for its turn to take the lease, so
 // that the holder is known early. The next step reads it again: if all nodes were started
 // together, the row may date from before.
-func (l *Lessor) readAtStart(ctx context.Context) {
+func (l *Elector) readAtStart(ctx context.Context) {
 	wait.For(ctx, rand.N(firstReadJitter))
 	l.logStoreChange(l.readRow(ctx))
 }
 
 // Retry ends the pause before the next step. It is called when other calls show that the
 // store answers again.
-func (l *Lessor) Retry() {
+func (l *Elector) Retry() {
 	select {
 	case l.retryNow <- struct{}{}:
 	default:
@@ -46,7 +46,7 @@
 
 // pauseUntilNextStep waits until the pause is over, the store answers again, or the holder
 // has yielded.
-func (l *Lessor) pauseUntilNextStep(ctx context.Context, pause time.Duration) {
+func (l *Elector) pauseUntilNextStep(ctx context.Context, pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
@@ -55,7 +55,7 @@
 	case <-l.retryNow:
 	case <-l.wake:
 		spread := l.options.Interval / 2 * time.Duration(l.pauseFactor())
-		wait.For(ctx, yieldGrace+l.options.Reluctance()+rand.N(spread))
+		wait.For(ctx, yieldGrace+l.options.TakeoverDelay()+rand.N(spread))
 	}
 }
 
@@ -76,12 +76,12 @@
 
 // pauseFactor returns how many times longer each node waits, so that many nodes do not all
 // call the store at once.
-func (l *Lessor) pauseFactor() int {
+func (l *Elector) pauseFactor() int {
 	return min(max(l.nodes()/nodesPerPauseFactor, 1), maxPauseFactor)
 }
 
 // nextPause returns the time until the next step.
-func (l *Lessor) nextPause() time.Duration {
+func (l *Elector) nextPause() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	pause := l.options.Interval/2 + rand.N(l.options.Interval)
@@ -99,7 +99,7 @@
 	}
 }
 
-func (l *Lessor) step(ctx context.Context) {
+func (l *Elector) step(ctx context.Context) {
 	if l.Holds() {
 		l.renew(ctx)
 		return
@@ -120,8 +120,8 @@
 
 // learnsFromOthers reports whether the row need not be read from the store now, because
 // this process hears from the holder or reads the row from a peer.
-func (l *Lessor) learnsFromOthers(ctx context.Context) bool {
-	if l.options.LookFirst && !l.readStore {
+func (l *Elector) learnsFromOthers(ctx context.Context) bool {
+	if l.options.ReadStoreOnce && !l.readStore {
 		return false
 	}
 	return l.options.Heard != nil && l.options.Heard() || l.readFromPeer(ctx)
@@ -129,11 +129,11 @@
 
 // readFromPeer reads the row from another node. It reports whether the store need not be
 // read.
-func (l *Lessor) readFromPeer(ctx context.Context) bool {
-	if l.options.Ask == nil {
+func (l *Elector) readFromPeer(ctx context.Context) bool {
+	if l.options.ReadFromPeer == nil {
 		return false
 	}
-	value, revision, ok := l.options.Ask(ctx)
+	value, revision, ok := l.options.ReadFromPeer(ctx)
 	if !ok {
 		return false
 	}
@@ -148,7 +148,7 @@
 }
 
 // Row returns the row as this process knows it. A revision of zero means there is none.
-func (l *Lessor) Row() (value []byte, revision uint64, err error) {
+func (l *Elector) Row() (value []byte, revision uint64, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if !l.rowKnown || l.revision == 0 {
@@ -159,7 +159,7 @@
 }
 
 // take tries to write this process as the holder.
-func (l *Lessor) take(ctx context.Context) {
+func (l *Elector) take(ctx context.Context) {
 	nodes := l.nodes()
 	l.mutex.Lock()
 	record := l.self
@@ -179,7 +179,7 @@
 	l.log.Info("lease taken", "token", record.Token, "revision", revision, "actsInMs", max(actsFrom.Sub(l.options.Now()), 0).Milliseconds())
 }
 
-func (l *Lessor) writeRow(ctx context.Context, record Record, expected uint64) (uint64, time.Time, error) {
+func (l *Elector) writeRow(ctx context.Context, record Record, expected uint64) (uint64, time.Time, error) {
 	value, err := json.Marshal(record)
 	if err != nil {
 		return 0, time.Time{}, fault.From(err, "encode lease")
@@ -194,7 +194,7 @@
 	return revision, sent, err
 }
 
-func (l *Lessor) setHeld(record Record, revision uint64, sent, actsFrom time.Time) {
+func (l *Elector) setHeld(record Record, revision uint64, sent, actsFrom time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.latest, l.revision, l.seenAt, l.held = record, revision, l.options.Now(), true
@@ -205,7 +205,7 @@
 
 // renew writes the next renewal. If its answer is lost, reading the row shows whether the
 // renewal or another holder's write took effect.
-func (l *Lessor) renew(ctx context.Context) {
+func (l *Elector) renew(ctx context.Context) {
 	nodes := l.nodes()
 	l.mutex.Lock()
 	if l.stopped {
@@ -233,7 +233,7 @@
 
 // setRetrySoon makes the next renewal follow soon after one whose outcome is unknown. A
 // store that refused the write is called again only after the usual interval.
-func (l *Lessor) setRetrySoon(err error) {
+func (l *Elector) setRetrySoon(err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.retrySoon = err != nil && fault.OutcomeOf(err) != fault.NotDone
@@ -242,7 +242,7 @@
 // reconcile reads the row after an unconfirmed renewal. If the renewal took effect late,
 // the lease is kept, but its validity is not extended, because the time at which the
 // renewal was sent is no longer known.
-func (l *Lessor) reconcile(ctx context.Context) {
+func (l *Elector) reconcile(ctx context.Context) {
 	if err := l.readRow(ctx); err != nil {
 		return
 	}
@@ -255,7 +255,7 @@
 	}
 }
 
-func (l *Lessor) logStoreChange(err error) {
+func (l *Elector) logStoreChange(err error) {
 	if !l.setStoreLost(err != nil) {
 		return
 	}
@@ -270,7 +270,7 @@
 }
 
 // setStoreLost records whether the store fails, and reports whether that changed.
-func (l *Lessor) setStoreLost(lost bool) bool {
+func (l *Elector) setStoreLost(lost bool) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	changed := lost != l.storeLost
--- a/internal/lease/status.go
+++ b/internal/lease/status.go
@@ -31,7 +31,7 @@
 
 // Status returns the holder's status of its lease; false if this process does not hold it.
 // Once a returned status says Yielded, the process does not act under its token any more.
-func (l *Lessor) Status() (HolderStatus, bool) {
+func (l *Elector) Status() (HolderStatus, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if !l.held || l.stopped {
@@ -51,10 +51,10 @@
 
 // yielded reports whether this process announced that it no longer acts under the newest
 // record's token. The caller holds mutex.
-func (l *Lessor) yielded() bool { return l.yieldedToken != 0 && l.yieldedToken == l.latest.Token }
+func (l *Elector) yielded() bool { return l.yieldedToken != 0 && l.yieldedToken == l.latest.Token }
 
 // ApplyStatus takes over a status received from a holder.
-func (l *Lessor) ApplyStatus(status HolderStatus) {
+func (l *Elector) ApplyStatus(status HolderStatus) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.options.Now()
@@ -80,7 +80,7 @@
 
 // knownSince returns the earliest time by which a record just read is known to have been
 // written: when its renewal was learned of, else now.
-func (l *Lessor) knownSince(record Record) time.Time {
+func (l *Elector) knownSince(record Record) time.Time {
 	now := l.options.Now()
 	if record.Token == l.observed.token && record.Renewal == l.observed.renewal && !l.observed.renewalAt.IsZero() {
 		return l.observed.renewalAt
@@ -94,6 +94,6 @@
 
 // holderYielded reports whether the holder of the newest record announced that it no longer
 // acts. The caller holds mutex.
-func (l *Lessor) holderYielded() bool {
+func (l *Elector) holderYielded() bool {
 	return l.observed.yielded && l.observed.token == l.latest.Token
 }
--- a/internal/limit/divider.go
+++ b/internal/limit/divider.go
@@ -67,12 +67,12 @@
 }
 
 // InStartup reports whether the divider may still grant initial tokens.
-func (d *Divider) Young(now time.Time) bool { return now.Sub(d.began) < startupWindow }
+func (d *Divider) InStartup(now time.Time) bool { return now.Sub(d.began) < startupWindow }
 
 // claimInitialFill marks the row as granting initial tokens, if most nodes restarted and no
 // earlier row did so within a window. It reports whether it marked the row.
 func (d *Divider) claimInitialFill(next *Record, now time.Time) bool {
-	if !d.Young(now) || d.fillVersion > 0 {
+	if !d.InStartup(now) || d.fillVersion > 0 {
 		return false
 	}
 	if next.FilledAt > 0 && d.readAt-next.FilledAt < d.tolerance.Window+startupWindow+startReadMargin {
@@ -112,7 +112,7 @@
 	for _, use := range report.Asked {
 		m.usageOf(use.Tenant, now).add(use.Cost, float64(use.Requests), now)
 	}
-	fill := m.startedEmpty && !m.filledInitially && d.fillVersion > 0 && d.record.Version == d.fillVersion && d.Young(now)
+	fill := m.startedEmpty && !m.filledInitially && d.fillVersion > 0 && d.record.Version == d.fillVersion && d.InStartup(now)
 	if !fill && report.Version > 0 && report.Version >= d.record.changed(report.Node) {
 		return Grant{Version: d.record.Version, Unchanged: true}
 	}
--- a/internal/limit/keeper.go
+++ b/internal/limit/keeper.go
@@ -67,7 +67,7 @@
 
 // RecordDemand records that a request of the cost arrived. Dividers move shares to the nodes
 // with demand.
-func (k *Keeper) Ask(t *tenant.Tenant, cost float64) {
+func (k *Keeper) RecordDemand(t *tenant.Tenant, cost float64) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	a := k.account(t.Name)
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -112,7 +112,7 @@
 }
 
 func (f *fleet) spend(n *node, t *tenant.Tenant, cost float64) bool {
-	n.keeper.Ask(t, cost)
+	n.keeper.RecordDemand(t, cost)
 	ok := n.keeper.SpendSmall(t, cost)
 	if !ok {
 		ok, _ = n.keeper.Spend(t, cost, f.rank)
--- a/internal/limit/share_test.go
+++ b/internal/limit/share_test.go
@@ -187,7 +187,7 @@
 	t := &tenant.Tenant{Name: "t", Limit: tenant.Limit{Rate: 1e9, Burst: 1e9}}
 	keeper.Apply(Grant{Version: 1, Shares: []Share{{Tenant: "t", Part: Whole}}}, time.Now())
 	for b.Loop() {
-		keeper.Ask(t, 1)
+		keeper.RecordDemand(t, 1)
 		keeper.Spend(t, 1, 0)
 	}
 }
@@ -203,7 +203,7 @@
 		}
 		for _, n := range f.nodes {
 			for _, t := range f.tenants {
-				n.keeper.Ask(t, 1000)
+				n.keeper.RecordDemand(t, 1000)
 			}
 			f.report(n, false, false)
 		}
--- a/internal/limit/spend.go
+++ b/internal/limit/spend.go
@@ -42,7 +42,7 @@
 }
 
 // Capacity returns the most that this node's share of a tenant's bucket can hold.
-func (k *Keeper) Holds(t *tenant.Tenant) float64 {
+func (k *Keeper) Capacity(t *tenant.Tenant) float64 {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.expire()
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -78,7 +78,7 @@
 	clientAckTimeout    = 10 * time.Second
 	// TrustedIdle is how long the end of an answer shows that its connection works. An idle
 	// connection may lose its path at any time, and nothing indicates that until it is used.
-	ProvedFor = 50 * time.Millisecond
+	TrustedIdle = 50 * time.Millisecond
 	// peerMaxIdle is longer than the pauses between the calls of a node: a node that answers
 	// hundreds of others could not accept a new connection from each several times a second.
 	peerMaxIdle = 30 * time.Second
@@ -95,7 +95,7 @@
 	case Client:
 		return Bounds{AckTimeout: clientAckTimeout, ProbeIdle: clientProbeIdle, ProbeInterval: clientProbeInterval}
 	case Store:
-		return Bounds{ConnectTimeout: connectTimeout, AckTimeout: ackTimeout, ProbeIdle: probeIdle, ProbeInterval: probeInterval, MaxIdle: ProvedFor}
+		return Bounds{ConnectTimeout: connectTimeout, AckTimeout: ackTimeout, ProbeIdle: probeIdle, ProbeInterval: probeInterval, MaxIdle: TrustedIdle}
 	default:
 		return Bounds{ConnectTimeout: connectTimeout, AckTimeout: ackTimeout, ProbeIdle: probeIdle, ProbeInterval: probeInterval, MaxIdle: peerMaxIdle}
 	}
@@ -156,10 +156,10 @@
 // RelaxAckTimeout makes a connection tolerate lost probes once its own bytes are sent.
 // RestoreAckTimeout limits again how long bytes may stay unacknowledged. Neither has an effect on
 // closed connections or on those that are not TCP.
-func Wait(conn net.Conn) { setAckTimeout(conn, ackTimeout) }
+func RelaxAckTimeout(conn net.Conn) { setAckTimeout(conn, ackTimeout) }
 
 // RestoreAckTimeout undoes RelaxAckTimeout.
-func Send(conn net.Conn) { setAckTimeout(conn, RunnerSending) }
+func RestoreAckTimeout(conn net.Conn) { setAckTimeout(conn, RunnerSending) }
 
 func setAckTimeout(conn net.Conn, limit time.Duration) {
 	control, ok := conn.(syscall.Conn)
@@ -175,4 +175,4 @@
 }
 
 // AckTimedOut reports whether an error means that the other machine stopped acknowledging.
-func Lost(err error) bool { return errors.Is(err, syscall.ETIMEDOUT) }
+func AckTimedOut(err error) bool { return errors.Is(err, syscall.ETIMEDOUT) }
--- a/internal/link/transport.go
+++ b/internal/link/transport.go
@@ -92,7 +92,7 @@
 	waited := time.Since(at)
 	mute = mute && waited >= minSilence && errors.Is(ctx.Err(), context.DeadlineExceeded)
 	reason := Mute
-	if Lost(err) {
+	if AckTimedOut(err) {
 		reason = Unacknowledged
 	} else if !mute {
 		return
--- a/internal/link/transport_test.go
+++ b/internal/link/transport_test.go
@@ -101,7 +101,7 @@
 		t.Run(test.kind.String(), func(t *testing.T) {
 			for seed := range uint64(seeds) {
 				client, proxy, _ := startSilenceable(t, test.kind, 4)
-				idleTime := 2*ProvedFor + time.Duration(rand.New(rand.NewPCG(seed, 0)).Int64N(int64(2*ProvedFor)))
+				idleTime := 2*TrustedIdle + time.Duration(rand.New(rand.NewPCG(seed, 0)).Int64N(int64(2*TrustedIdle)))
 				time.Sleep(idleTime)
 				proxy.SilenceOpen()
 				lost := 0
--- a/internal/link/trust.go
+++ b/internal/link/trust.go
@@ -21,7 +21,7 @@
 // The scopes.
 const (
 	// NoPeer: the connections were already dropped after the silent one was taken.
-	Nobody Scope = iota
+	NoPeer Scope = iota
 	// OnePeer is the peer whose connection was silent.
 	OnePeer
 	// AllPeers is all peers.
@@ -63,7 +63,7 @@
 		}
 	}
 	if t.dropped.After(taken) || t.silent[peer].at.After(taken) {
-		return Nobody
+		return NoPeer
 	}
 	t.silent[peer] = silence{taken: taken, at: now}
 	if len(t.silent) < minSilentPeers {
@@ -79,7 +79,7 @@
 // stopped by itself, so only requests that must not be lost avoid such connections. Without this
 // check, requests that may not be repeated were lost in 5 of 48 runs in which all connections went
 // silent.
-func (t *Trust) Doubts(idleSince time.Time) bool {
+func (t *Trust) Suspects(idleSince time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, known := range t.silent {
--- a/internal/metrics/runners.go
+++ b/internal/metrics/runners.go
@@ -48,7 +48,7 @@
 }
 
 // CountStates counts runners by state, given the counts of each zone and which zones are out.
-func CountStates(zones map[place.Zone]fleet.Standing, out func(place.Zone) bool) map[string]int {
+func CountStates(zones map[place.Zone]fleet.StateCounts, out func(place.Zone) bool) map[string]int {
 	counts := map[string]int{runnersReady: 0, runnersDraining: 0, runnersCold: 0, runnersZoneOut: 0}
 	for zone, standing := range zones {
 		if out(zone) {
@@ -78,5 +78,5 @@
 	if o.Unplaced == nil {
 		return otherReason
 	}
-	return o.Unplaced.Obstacles.Main().String()
+	return o.Unplaced.Obstacles.MainReason().String()
 }
--- a/internal/metrics/runners_test.go
+++ b/internal/metrics/runners_test.go
@@ -14,7 +14,7 @@
 
 // The states add up to the number of runners, even with a zone out.
 func TestRunnersCountOnceByState(t *testing.T) {
-	zones := map[place.Zone]fleet.Standing{"a": {Ready: 4, Cold: 2, Draining: 1}, "b": {Ready: 3, Cold: 1}}
+	zones := map[place.Zone]fleet.StateCounts{"a": {Ready: 4, Cold: 2, Draining: 1}, "b": {Ready: 3, Cold: 1}}
 	counts := CountStates(zones, func(zone place.Zone) bool { return zone == "b" })
 	assert.DeepEqual(t, counts, map[string]int{"ready": 4, "cold": 2, "draining": 1, "zone_out": 4})
 	registry := prometheus.NewRegistry()
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -41,16 +41,16 @@
 func (l *limits) spendLocally(t *tenant.Tenant, request wire.SpendRequest) wire.SpendResponse {
 	if request.Probe {
 		retryAfter := l.keeper.UntilEnough(t, request.Cost, request.Rank)
-		return wire.SpendResponse{Spent: retryAfter == 0, InMs: retryAfter.Milliseconds(), Holds: l.keeper.Holds(t)}
+		return wire.SpendResponse{Spent: retryAfter == 0, InMs: retryAfter.Milliseconds(), Holds: l.keeper.Capacity(t)}
 	}
 	ok, retryAfter := l.keeper.Spend(t, request.Cost, request.Rank)
-	return wire.SpendResponse{Spent: ok, InMs: retryAfter.Milliseconds(), Holds: l.keeper.Holds(t)}
+	return wire.SpendResponse{Spent: ok, InMs: retryAfter.Milliseconds(), Holds: l.keeper.Capacity(t)}
 }
 
 // RecordDemand records that a request of this cost was received.
-func (l *limits) Ask(t *tenant.Tenant, cost float64) {
+func (l *limits) RecordDemand(t *tenant.Tenant, cost float64) {
 	if t.Limit.Limited() {
-		l.keeper.Ask(t, cost)
+		l.keeper.RecordDemand(t, cost)
 	}
 }
 
@@ -58,29 +58,29 @@
 // first and then asks the lenders.
 func (l *limits) Admit(ctx context.Context, t *tenant.Tenant, cost float64, rank int) dispatch.Admission {
 	if !t.Limit.Limited() || *l.service.Load() == "" {
-		return dispatch.Admission{Verdict: dispatch.Within}
+		return dispatch.Admission{Verdict: dispatch.WithinLimit}
 	}
 	self := l.node.settings.Load().Node
 	if l.keeper.SpendSmall(t, cost) {
-		return dispatch.Admission{Verdict: dispatch.Within, By: self}
+		return dispatch.Admission{Verdict: dispatch.WithinLimit, By: self}
 	}
 	ok, retryAfter := l.keeper.Spend(t, cost, rank)
 	if ok {
-		return dispatch.Admission{Verdict: dispatch.Within, By: self}
+		return dispatch.Admission{Verdict: dispatch.WithinLimit, By: self}
 	}
 	admission := l.spendFromLenders(ctx, t, wire.SpendRequest{Tenant: t.Name, Cost: cost, Rank: rank}, retryAfter)
-	if admission.Verdict == dispatch.Within || ctx.Err() != nil {
+	if admission.Verdict == dispatch.WithinLimit || ctx.Err() != nil {
 		// Spend nothing more for a client that has disconnected.
 		return admission
 	}
 	ok, retryAfter = l.keeper.SpendReserve(t, cost)
 	switch {
 	case ok:
-		return dispatch.Admission{Verdict: dispatch.Within, By: self}
+		return dispatch.Admission{Verdict: dispatch.WithinLimit, By: self}
 	case !l.keeper.Fits(t, cost):
 		return dispatch.Admission{Verdict: dispatch.TooLarge}
-	case admission.Verdict == dispatch.NotKnown && retryAfter < limit.Never:
-		return dispatch.Admission{Verdict: dispatch.Over, In: retryAfter}
+	case admission.Verdict == dispatch.LimitUnknown && retryAfter < limit.Never:
+		return dispatch.Admission{Verdict: dispatch.OverLimit, RetryAfter: retryAfter}
 	default:
 		return admission
 	}
@@ -90,31 +90,31 @@
 func (l *limits) spendFromLenders(ctx context.Context, t *tenant.Tenant, request wire.SpendRequest, retryAfter time.Duration) dispatch.Admission {
 	lenders, dry := l.keeper.Lenders(t, request.Cost, request.Rank)
 	if dry > 0 {
-		return dispatch.Admission{Verdict: dispatch.Over, In: min(retryAfter, dry)}
+		return dispatch.Admission{Verdict: dispatch.OverLimit, RetryAfter: min(retryAfter, dry)}
 	}
 	var answered []answeredLender
 	for _, lender := range lenders {
 		response, ok := l.spendFromLender(ctx, t, lender, request)
 		if !ok && ctx.Err() != nil {
-			return dispatch.Admission{Verdict: dispatch.NotKnown}
+			return dispatch.Admission{Verdict: dispatch.LimitUnknown}
 		}
 		if !ok {
 			continue
 		}
 		if response.Spent {
-			return dispatch.Admission{Verdict: dispatch.Within, By: lender}
+			return dispatch.Admission{Verdict: dispatch.WithinLimit, By: lender}
 		}
 		answered = append(answered, answeredLender{address: lender, holds: response.Holds})
 		retryAfter = min(retryAfter, time.Duration(response.InMs)*time.Millisecond)
 	}
 	switch {
 	case len(answered) == 0:
-		return dispatch.Admission{Verdict: dispatch.NotKnown}
+		return dispatch.Admission{Verdict: dispatch.LimitUnknown}
 	case retryAfter >= limit.Never:
 		return l.spendAcrossLenders(ctx, t, answered, request)
 	}
 	l.keeper.Refused(t, request.Cost, request.Rank, retryAfter)
-	return dispatch.Admission{Verdict: dispatch.Over, In: retryAfter}
+	return dispatch.Admission{Verdict: dispatch.OverLimit, RetryAfter: retryAfter}
 }
 
 // answeredLender is a lender that cannot spend now, with the most that it can ever spend at once.
@@ -135,7 +135,7 @@
 	}
 	if sum < total {
 		// A lender is unreachable, or shares are being moved.
-		return dispatch.Admission{Verdict: dispatch.NotKnown}
+		return dispatch.Admission{Verdict: dispatch.LimitUnknown}
 	}
 	for _, probe := range []bool{true, false} {
 		request.Probe = probe
@@ -144,13 +144,13 @@
 			response, ok := l.spendFromLender(ctx, t, lender.address, request)
 			switch {
 			case !ok:
-				return dispatch.Admission{Verdict: dispatch.NotKnown}
+				return dispatch.Admission{Verdict: dispatch.LimitUnknown}
 			case !response.Spent:
-				return dispatch.Admission{Verdict: dispatch.Over, In: min(time.Duration(response.InMs)*time.Millisecond, divideInterval)}
+				return dispatch.Admission{Verdict: dispatch.OverLimit, RetryAfter: min(time.Duration(response.InMs)*time.Millisecond, divideInterval)}
 			}
 		}
 	}
-	return dispatch.Admission{Verdict: dispatch.Within, By: strings.Join(addresses, ",")}
+	return dispatch.Admission{Verdict: dispatch.WithinLimit, By: strings.Join(addresses, ",")}
 }
 
 // spendFromLender sends a request to one lender, which may be this node. It returns false if the
--- a/internal/node/cold.go
+++ b/internal/node/cold.go
@@ -19,9 +19,9 @@
 		return coldstart.Terms{}
 	}
 	s, described := n.settings.Load(), configuration.Services[service]
-	var way coldstart.Way = coldstart.Lent{}
+	var way coldstart.Strategy = coldstart.Lent{}
 	if described.Engine == nil {
-		way = coldstart.Drawn{Node: s.Node, Nodes: int(n.nodes.Load())}
+		way = coldstart.Randomized{Node: s.Node, Nodes: int(n.nodes.Load())}
 	}
 	return coldstart.NewTerms(described.ColdRate, s.ColdStart.Share, s.ColdStart.Slack, described.ColdStart, way)
 }
@@ -33,7 +33,7 @@
 	if lent {
 		return coldstart.NewLimit(rate, coldstart.Lent{})
 	}
-	return coldstart.NewLimit(rate, coldstart.Shared{Node: n.settings.Load().Node, Nodes: int(n.nodes.Load())})
+	return coldstart.NewLimit(rate, coldstart.TimeSliced{Node: n.settings.Load().Node, Nodes: int(n.nodes.Load())})
 }
 
 // coldMonitor logs which runners become cold and warm, and wakes waiting requests when one became
@@ -74,7 +74,7 @@
 // logChanges logs one line per batch of changes, as each of hundreds of nodes reports hundreds of
 // runners. It returns the time until the next check.
 func (c *coldMonitor) logChanges() time.Duration {
-	changes, next := c.node.fleet.TakeColdNews()
+	changes, next := c.node.fleet.TakeColdChanges()
 	var cold, supposed, warm []string
 	var longest time.Duration
 	var terms coldstart.Terms
@@ -84,7 +84,7 @@
 		switch {
 		case !runner.Cold:
 			warm = append(warm, runner.Runner)
-		case runner.Said:
+		case runner.Reported:
 			cold = append(cold, runner.Runner)
 		default:
 			supposed = append(supposed, runner.Runner)
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -24,9 +24,9 @@
 
 type noHandler struct{}
 
-func (noHandler) Whole([]feed.Row, time.Duration) {}
+func (noHandler) ApplySnapshot([]feed.Row, time.Duration) {}
 
-func (noHandler) Changed([]feed.Row) {}
+func (noHandler) ApplyChanges([]feed.Row) {}
 
 func emptyFollower() *feed.Follower {
 	return feed.NewFollower(emptyTable{}, noHandler{}, feed.Options{Name: "empty", Wait: time.Hour, Timeout: time.Hour}, logr.Discard())
--- a/internal/node/controls.go
+++ b/internal/node/controls.go
@@ -36,7 +36,7 @@
 }
 
 type serviceControl struct {
-	lessor     *lease.Lessor
+	lessor     *lease.Elector
 	controller *control.Controller
 	end        context.CancelFunc
 }
@@ -73,19 +73,19 @@
 	s := n.settings.Load()
 	options := lease.Options{
 		Validity: leaseValidity, Interval: leaseInterval, TurnGap: s.Lease.TurnGap + turnGapMargin,
-		ActMargin: control.OrderMargin, CallTimeout: leaseCallTimeout, Reluctance: n.takeoverDelay,
-		Nodes: n.relay.Nodes, Ask: c.peerLeaseReader(service), LookFirst: !s.Relay.FirstStart, LookAtOnce: !s.Relay.FirstStart,
+		ActMargin: control.OrderMargin, CallTimeout: leaseCallTimeout, TakeoverDelay: n.takeoverDelay,
+		Nodes: n.relay.Nodes, ReadFromPeer: c.peerLeaseReader(service), ReadStoreOnce: !s.Relay.FirstStart, ReadAtStart: !s.Relay.FirstStart,
 	}
 	ctx, end := context.WithCancel(c.ctx)
 	var syncer *control.Syncer
 	options.Heard = func() bool { return syncer.Heard() }
 	lessor := lease.New(n.platform.Leases, leasePrefix+service, s.Node, s.Listen.PeerAddress(), n.process, options, n.log.Logger)
 	controller := control.NewController(control.Options{
-		Service: service, Node: s.Node, Lessor: lessor, Runners: n.platform.Control, Fleet: n.fleet, Rules: placementRules{(*operatorRules)(n)}, Statements: n.statements, Stated: (*statementExchange)(n), NeedList: n.requireFullList, ListRevision: n.followers.runners.Taken, Configuration: n.configuration.Load,
-		Policies: n.policies, Sleeper: newSleeper(s.Sleep, n.policies.Zone()), ObserveLoad: n.metrics.ObserveLoad, Divide: n.limits.divide, Count: n.quarantine.Count, Terms: n.coldTerms, Decide: n.recordDecision, Log: n.log.Logger,
+		Service: service, Node: s.Node, Lessor: lessor, Runners: n.platform.Control, Fleet: n.fleet, Rules: placementRules{(*operatorRules)(n)}, Statements: n.statements, Stated: (*statementExchange)(n), NeedList: n.requireFullList, ListRevision: n.followers.runners.AppliedRevision, Configuration: n.configuration.Load,
+		Policies: n.policies, Sleeper: newSleeper(s.Sleep, n.policies.Zone()), ObserveLoad: n.metrics.ObserveLoad, Divide: n.limits.divide, CountCrashes: n.quarantine.AddReport, Terms: n.coldTerms, RecordDecision: n.recordDecision, Log: n.log.Logger,
 	})
 	self := wire.Member{Node: s.Node, Zone: s.Zone, Region: s.Region, Address: s.Listen.PeerAddress()}
-	syncer = control.NewSyncer(service, self, s.Capacity.Spare(), lessor, controller, n.client, n.demand, n.fleet, n.limits.forService(service), n.quarantine.Of(service), (*statementExchange)(n), n.observeFleet, n.log.Logger)
+	syncer = control.NewSyncer(service, self, s.Capacity.Spare(), lessor, controller, n.client, n.demand, n.fleet, n.limits.forService(service), n.quarantine.ReportsFor(service), (*statementExchange)(n), n.observeFleet, n.log.Logger)
 	c.work.Go(func() { lessor.Run(ctx) })
 	c.work.Go(func() { controller.Run(ctx) })
 	c.work.Go(func() { syncer.Run(ctx) })
@@ -120,7 +120,7 @@
 	n.dispatcher.SetNodes(observed.Nodes)
 	n.relay.SetNodes(observed.Nodes)
 	n.relay.SetStandbys(observed.Standbys)
-	n.quarantine.SetCounters(observed.Standbys)
+	n.quarantine.SetAggregators(observed.Standbys)
 	n.bestSpare.Store(math.Float64bits(observed.BestSpare))
 }
 
@@ -137,7 +137,7 @@
 func (c *controls) peerLeaseReader(service string) func(context.Context) ([]byte, uint64, bool) {
 	lastAnswer := time.Now()
 	return func(ctx context.Context) ([]byte, uint64, bool) {
-		informant := c.node.relay.Informant()
+		informant := c.node.relay.LeaseQueryPeer()
 		if informant == "" {
 			return nil, 0, false
 		}
@@ -238,7 +238,7 @@
 // reportDemandNow makes the demand of each service, and what is sent with it, be reported at once.
 func (c *controls) reportDemandNow() {
 	for service := range c.all() {
-		c.node.demand.Nudge(service)
+		c.node.demand.RequestReport(service)
 	}
 }
 
--- a/internal/node/crashes.go
+++ b/internal/node/crashes.go
@@ -18,7 +18,7 @@
 	n.metrics.CountCrash()
 	n.quarantine.Crashed(c)
 	if runner, known := n.fleet.Find(c.Runner); known && n.fleet.Suspect(c.Runner) {
-		n.demand.Nudge(runner.Service)
+		n.demand.RequestReport(runner.Service)
 	}
 }
 
@@ -28,9 +28,9 @@
 	var restarted []string
 	for _, runner := range listed {
 		before, known := h.fleet.Listed(runner.Name())
-		if known && before.EndedBy(runner.Born) {
+		if known && before.SupersededBy(runner.Born) {
 			restarted = append(restarted, runner.Name())
-			h.crashes.Gone(before, crash.HowBorn)
+			h.crashes.Gone(before, crash.HowRestarted)
 		}
 	}
 	if len(restarted) > 0 {
@@ -43,7 +43,7 @@
 func (h *runnerHandler) recordRemovals(removed []string) {
 	for _, id := range removed {
 		if before, known := h.fleet.Find(id); known {
-			h.crashes.Gone(before, crash.HowGone)
+			h.crashes.Gone(before, crash.HowUnlisted)
 		}
 	}
 }
@@ -52,15 +52,15 @@
 // runners.
 func newQuarantine(n *Node) *quarantine.Quarantine {
 	q := quarantine.New(quarantine.Options{
-		Rows: n.platform.Poison, Wake: n.fleet.Wake, Nudge: n.demand.Nudge, Decide: n.recordDecision, Log: n.log.Logger,
+		Rows: n.platform.Poison, Wake: n.fleet.Wake, ReportNow: n.demand.RequestReport, Decide: n.recordDecision, Log: n.log.Logger,
 		Self: func() string { return n.settings.Load().Listen.PeerAddress() },
-		Tell: func(ctx context.Context, address string, report wire.PoisonReport) error {
+		SendReport: func(ctx context.Context, address string, report wire.PoisonReport) error {
 			return n.client.Call(ctx, address, wire.MethodPoison, report, &wire.Empty{})
 		},
 		Holds: func(service string) bool { return n.controls.holds(service) },
 	})
 	peer.Handle(n.peers, wire.MethodPoison, func(_ context.Context, report wire.PoisonReport) (wire.Empty, error) {
-		q.Count(report)
+		q.AddReport(report)
 		return wire.Empty{}, nil
 	})
 	return q
--- a/internal/node/division.go
+++ b/internal/node/division.go
@@ -55,7 +55,7 @@
 func (l *limits) starting() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.divider == nil || l.divider.Young(time.Now())
+	return l.divider == nil || l.divider.InStartup(time.Now())
 }
 
 // step moves shares once.
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -64,13 +64,13 @@
 	runners := n.relay.Source(tableRunners, n.platform.Runners)
 	return &followers{
 		configuration: feed.NewFollower(configuration, (*configurationHandler)(n),
-			feed.Options{Name: string(tableConfiguration), Wait: configurationWait, Pace: n.configurationPace, Woken: n.relay.Found, Timeout: feedTimeout}, log),
-		objects: feed.NewFollower(objects, &objectHandler{Follower: commit.Follower{Copy: n.catalog, Log: log}, node: n},
-			feed.Options{Name: string(tableObjects), Wait: objectWait, Woken: n.relay.Found, Timeout: feedTimeout}, log),
+			feed.Options{Name: string(tableConfiguration), Wait: configurationWait, Pace: n.configurationPace, RetrySignal: n.relay.UpstreamFound, Timeout: feedTimeout}, log),
+		objects: feed.NewFollower(objects, &objectHandler{Follower: commit.Follower{Catalog: n.catalog, Log: log}, node: n},
+			feed.Options{Name: string(tableObjects), Wait: objectWait, RetrySignal: n.relay.UpstreamFound, Timeout: feedTimeout}, log),
 		runners: feed.NewFollower(runners, (*runnerHandler)(n),
-			feed.Options{Name: string(tableRunners), Wait: runnerWait, Interval: runnerInterval, Pace: n.listPace, Woken: n.relay.Found, Timeout: feedTimeout, ReadTimeout: listTimeout}, log),
+			feed.Options{Name: string(tableRunners), Wait: runnerWait, Interval: runnerInterval, Pace: n.listPace, RetrySignal: n.relay.UpstreamFound, Timeout: feedTimeout, ReadTimeout: listTimeout}, log),
 		poison: feed.NewFollower(n.relay.Source(tablePoison, n.platform.Poison), (*quarantine.Handler)(n.quarantine),
-			feed.Options{Name: string(tablePoison), Wait: objectWait, Woken: n.relay.Found, Timeout: feedTimeout}, log),
+			feed.Options{Name: string(tablePoison), Wait: objectWait, RetrySignal: n.relay.UpstreamFound, Timeout: feedTimeout}, log),
 	}
 }
 
@@ -84,17 +84,17 @@
 // configurationHandler applies the platform's part of the configuration.
 type configurationHandler Node
 
-// Whole applies the whole table. Zones come first, so that no request is served before it is known
+// ApplySnapshot applies the whole table. Zones come first, so that no request is served before it is known
 // which zones are evacuated.
-func (h *configurationHandler) Whole(rows []feed.Row, _ time.Duration) {
+func (h *configurationHandler) ApplySnapshot(rows []feed.Row, _ time.Duration) {
 	h.zones.applySnapshot(h.evacuationRows(rows))
 	h.configure(rows)
 }
 
-// Changed applies changed rows.
-func (h *configurationHandler) Changed(rows []feed.Row) {
+// ApplyChanges applies changed rows.
+func (h *configurationHandler) ApplyChanges(rows []feed.Row) {
 	if evacuationRows := h.evacuationRows(rows); len(evacuationRows) > 0 {
-		h.zones.applyChanges(evacuationRows, time.Since(h.followers.configuration.Heard()))
+		h.zones.applyChanges(evacuationRows, time.Since(h.followers.configuration.LastResponse()))
 	}
 	h.configure(rows)
 }
@@ -109,7 +109,7 @@
 		case zone == "":
 			h.log.Info("evacuation row has no zone", "step", "follow zones", "key", row.Key, "revision", row.Revision)
 		default:
-			evacuationRows = append(evacuationRows, evacuation.Row{Zone: zone, Revision: row.Revision, Back: row.Deleted})
+			evacuationRows = append(evacuationRows, evacuation.Row{Zone: zone, Revision: row.Revision, Returned: row.Deleted})
 		}
 	}
 	return evacuationRows
@@ -154,15 +154,15 @@
 	node *Node
 }
 
-// Whole applies the whole table.
-func (h *objectHandler) Whole(rows []feed.Row, gap time.Duration) {
-	h.Follower.Whole(rows, gap)
+// ApplySnapshot applies the whole table.
+func (h *objectHandler) ApplySnapshot(rows []feed.Row, gap time.Duration) {
+	h.Follower.ApplySnapshot(rows, gap)
 	h.node.objectsChanged()
 }
 
-// Changed applies changed rows.
-func (h *objectHandler) Changed(rows []feed.Row) {
-	h.Follower.Changed(rows)
+// ApplyChanges applies changed rows.
+func (h *objectHandler) ApplyChanges(rows []feed.Row) {
+	h.Follower.ApplyChanges(rows)
 	h.node.objectsChanged()
 }
 
@@ -212,26 +212,26 @@
 // runnerHandler applies the list of runners.
 type runnerHandler Node
 
-// Whole applies the whole list.
-func (h *runnerHandler) Whole(rows []feed.Row, gap time.Duration) {
+// ApplySnapshot applies the whole list.
+func (h *runnerHandler) ApplySnapshot(rows []feed.Row, gap time.Duration) {
 	runners, _, _ := h.decode(rows)
 	h.recordRestarts(runners)
-	h.fleet.SetListRevision(h.followers.runners.Taking())
+	h.fleet.SetListRevision(h.followers.runners.DeliveringRevision())
 	h.fleet.Replace(runners, gap > doubtfulGap)
 	h.runnersListed.Store(true)
 	h.log.Info("runners listed", "runners", len(runners), "kept", h.fleet.Count(), "doubtful", gap > doubtfulGap)
 	h.afterListChange()
 }
 
-// Changed applies changed rows.
-func (h *runnerHandler) Changed(rows []feed.Row) {
+// ApplyChanges applies changed rows.
+func (h *runnerHandler) ApplyChanges(rows []feed.Row) {
 	changed, removed, unusable := h.decode(rows)
 	doubtful := len(removed) >= doubtfulCount && float64(len(removed)) >= doubtfulShare*float64(h.fleet.Count())
 	h.recordRestarts(changed)
 	if !doubtful {
 		h.recordRemovals(removed)
 	}
-	h.fleet.SetListRevision(h.followers.runners.Taking())
+	h.fleet.SetListRevision(h.followers.runners.DeliveringRevision())
 	h.fleet.Apply(changed, append(removed, unusable...), doubtful)
 	// One line per batch, as each of hundreds of nodes reports hundreds of runners.
 	if leaving := drainingRunners(changed); len(leaving) > 0 {
@@ -241,7 +241,7 @@
 		h.log.Info("runners gone", "runners", removed, "doubtful", doubtful)
 	}
 	h.afterListChange()
-	if h.fleet.Lacks() {
+	if h.fleet.NeedsFullList() {
 		h.log.Info("kept runners lost, reading the full list again", "kept", h.fleet.Count())
 		h.followers.runners.Reread()
 	}
--- a/internal/node/homes.go
+++ b/internal/node/homes.go
@@ -38,11 +38,11 @@
 
 // hasUnknownRegion reports whether homes name a region without zones, or no region at all.
 func hasUnknownRegion(homes place.Homes, zones place.Map) bool {
-	if !homes.Bound() {
+	if !homes.Restricted() {
 		return false
 	}
 	for _, region := range homes.Regions() {
-		if !zones.Knows(region) {
+		if !zones.HasRegion(region) {
 			return true
 		}
 	}
--- a/internal/node/homes_test.go
+++ b/internal/node/homes_test.go
@@ -13,7 +13,7 @@
 // A route or tenant is listed if a region of its homes has no zone.
 func TestUnknownHomesAreReported(t *testing.T) {
 	zones := place.Map{"a": "north", "b": "south", "c": ""}
-	homes := func(names ...string) place.Homes { return place.HomesOf(names) }
+	homes := func(names ...string) place.Homes { return place.HomesFromNames(names) }
 	directory, err := tenant.NewDirectory([]tenant.Tenant{{Name: "known", Homes: homes("north")}, {Name: "strange", Homes: homes("north", "west")}})
 	assert.NilError(t, err)
 	routes, tenants := unknownHomes(&config.Configuration{
