--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -50,7 +50,7 @@
 
 // follow applies a configuration. The holder of the first engine service, by name, divides limits.
 func (l *limits) follow(configuration *config.Configuration) {
-	first := configuration.FirstEngines()
+	first := configuration.FirstEngineService()
 	limited := limitedTenants(configuration)
 	if len(limited) == 0 {
 		first = ""
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -13,7 +13,7 @@
 func newMetrics(n *Node) *metrics.Metrics {
 	return metrics.New(metrics.Sources{
 		Active:  func() int64 { return n.ingress.Active() },
-		Runners: n.fleet.Count, RunnersByState: n.runnersByState, Partial: func() bool { return !n.fleet.Whole() },
+		Runners: n.fleet.Count, RunnersByState: n.runnersByState, Partial: func() bool { return !n.fleet.Complete() },
 		ListAge: n.listAge, ConfigurationAge: n.configurationAge,
 		Resting:     func() int { return n.statements.CountResting() },
 		Quarantined: func() int { return n.quarantine.CountRefused() },
@@ -36,21 +36,21 @@
 // listAge returns how long ago the list of runners was last confirmed, or false if it was never
 // read.
 func (n *Node) listAge() (time.Duration, bool) {
-	heard := n.followers.runners.Heard()
+	heard := n.followers.runners.LastResponse()
 	return time.Since(heard), !heard.IsZero()
 }
 
 // configurationAge returns how long ago the store last confirmed the configuration, or false if it
 // was never read.
 func (n *Node) configurationAge() (time.Duration, bool) {
-	told := n.followers.configuration.Told()
+	told := n.followers.configuration.AsOf()
 	return time.Since(told), !told.IsZero()
 }
 
 // configurationOrigin returns the current age and source of the configuration.
-func (n *Node) configurationOrigin() dispatch.Knowledge {
+func (n *Node) configurationOrigin() dispatch.ConfigurationOrigin {
 	age, _ := n.configurationAge()
-	return dispatch.Knowledge{Age: age, Source: n.relay.Upstream().String()}
+	return dispatch.ConfigurationOrigin{Age: age, Source: n.relay.Upstream().String()}
 }
 
 // revisionInForce returns the revision of the active configuration, or zero if there is none.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -101,8 +101,8 @@
 	relay         *relay.Relay
 	fleet         *fleet.Fleet
 	pool          *upstream.Pool
-	statements    *statement.Book
-	demand        *demand.Book
+	statements    *statement.Registry
+	demand        *demand.Tracker
 	dispatcher    *dispatch.Dispatcher
 	crashes       *crash.Detector
 	quarantine    *quarantine.Quarantine
@@ -141,7 +141,7 @@
 	}
 	n := &Node{
 		platform: platform, log: log, process: strconv.Itoa(os.Getpid()) + "-" + strconv.FormatInt(time.Now().UnixNano(), 36),
-		pool: platform.Pool, demand: demand.NewBook(), catalog: catalog.New(),
+		pool: platform.Pool, demand: demand.NewTracker(), catalog: catalog.New(),
 		decisions: decision.NewLog(s.Node, maxDecisions), claims: claim.New(platform.Claims), pauses: newPauseDetector(),
 	}
 	n.settings.Store(&s)
@@ -163,9 +163,9 @@
 	n.pool.Wrap = func(runner string, conn net.Conn) net.Conn { return meter.Connection(conn, n.fleet.RegionOf(runner)) }
 	n.dispatcher = &dispatch.Dispatcher{
 		Node: s.Node, Fleet: n.fleet, Pool: n.pool, Demand: n.demand, Names: platform.Headers,
-		Configuration: n.activeConfiguration, Knowledge: n.configurationOrigin, Fresh: n.awaitFresh, AwaitReading: n.pauses.awaitPendingReads, Retries: retryLimits(s.Retries), Report: platform.Control.Report, NewsWithin: s.Configuration.Within, Log: log.Logger, Observe: n.observe, Closing: n.closing,
+		Configuration: n.activeConfiguration, ConfigurationOrigin: n.configurationOrigin, AwaitFresh: n.awaitFresh, AwaitPendingReads: n.pauses.awaitPendingReads, Retries: retryLimits(s.Retries), Report: platform.Control.Report, MaxPropagationDelay: s.Configuration.Within, Log: log.Logger, Observe: n.observe, Closing: n.closing,
 	}
-	n.crashes = crash.NewDetector(crash.Ask{Report: platform.Control.Report, Connect: n.pool.Connect, Leaves: n.isLeaving}, n.recordCrash, log.Logger)
+	n.crashes = crash.NewDetector(crash.Prober{Report: platform.Control.Report, Connect: n.pool.Connect, Leaves: n.isLeaving}, n.recordCrash, log.Logger)
 	n.dispatcher.Crashes = n.crashes
 	n.peers = peer.NewServer(s.Node)
 	n.peers.SetRegion(place.Region(s.Region))
@@ -183,10 +183,10 @@
 	n.controls = newControls(n)
 	n.relay = relay.New(relay.Options{
 		Group: relayGroup(s), Node: s.Node, Leases: platform.Leases, Address: s.Listen.PeerAddress(), Process: n.process,
-		Client: n.client, Reluctance: n.takeoverDelay, FirstStart: s.Relay.FirstStart, Log: log.Logger,
+		Client: n.client, TakeoverDelay: n.takeoverDelay, FirstStart: s.Relay.FirstStart, Log: log.Logger,
 	})
 	peer.Handle(n.peers, wire.MethodFollow, n.relay.Follow)
-	peer.Handle(n.peers, wire.MethodRelay, n.relay.Which)
+	peer.Handle(n.peers, wire.MethodRelay, n.relay.ReportUpstream)
 	n.followers = newFollowers(n)
 	n.registerHandlers()
 	return n, nil
--- a/internal/node/pause.go
+++ b/internal/node/pause.go
@@ -100,7 +100,7 @@
 		return
 	}
 	for time.Since(pauseEnd) < freshTimeout && ctx.Err() == nil {
-		if n.followers.configuration.Heard().After(pauseEnd) && n.followers.objects.Heard().After(pauseEnd) {
+		if n.followers.configuration.LastResponse().After(pauseEnd) && n.followers.objects.LastResponse().After(pauseEnd) {
 			return
 		}
 		time.Sleep(freshPollInterval)
--- a/internal/node/sleeper.go
+++ b/internal/node/sleeper.go
@@ -24,7 +24,7 @@
 	return &sleeper{
 		enabled: s.FixedKeepAlive > 0 || s.IdleSecondsPerColdSecond > 0, zone: zone, last: make(map[string]time.Time),
 		keeper: sleep.NewKeeper(sleep.Settings{
-			Fixed: s.FixedKeepAlive, Exchange: s.IdleSecondsPerColdSecond, TailPower: s.TailPower, Limit: s.Limit,
+			Fixed: s.FixedKeepAlive, IdlePerColdSecond: s.IdleSecondsPerColdSecond, TailPower: s.TailPower, Limit: s.Limit,
 		}),
 	}
 }
@@ -34,7 +34,7 @@
 
 // KeepAlive returns how long an unused model stays loaded.
 func (s *sleeper) KeepAlive(model *config.Model, share float64) time.Duration {
-	return s.keeper.For(sleep.Replica{Name: model.Name, LoadTime: model.LoadTime, Share: share})
+	return s.keeper.KeepAlive(sleep.Replica{Name: model.Name, LoadTime: model.LoadTime, Share: share})
 }
 
 // WakeAhead reports whether a model is usually used around this time.
--- a/internal/node/statements.go
+++ b/internal/node/statements.go
@@ -11,10 +11,10 @@
 
 // initStatements makes the runner connection pool record what runners state about themselves.
 func (n *Node) initStatements() {
-	n.statements = statement.NewBook(statement.Options{
+	n.statements = statement.NewRegistry(statement.Options{
 		Headers: statement.Headers{Leaving: n.platform.Headers.Leaving, Limit: n.platform.Headers.Limit}, Limits: n.statementLimits, Now: clock.Now, Log: n.log.Logger,
-		Observe: func(kind statement.Kind) { n.metrics.CountStatement(kind) },
-		News:    n.onStatement, Widened: func() { n.fleet.Wake() },
+		Observe:  func(kind statement.Kind) { n.metrics.CountStatement(kind) },
+		OnChange: n.onStatement, OnCapacity: func() { n.fleet.Wake() },
 	})
 	n.pool.Statements = n.statements
 }
@@ -78,7 +78,7 @@
 }
 
 // limitReports returns the limits of listed runners, at most maxStatements.
-func (l *statementExchange) limitReports(heard []statement.HeardLimit) []wire.RunnerLimit {
+func (l *statementExchange) limitReports(heard []statement.LimitReport) []wire.RunnerLimit {
 	var told []wire.RunnerLimit
 	for _, limit := range heard {
 		if len(told) == maxStatements {
@@ -93,7 +93,7 @@
 
 // leavingReports returns the leaving runners that the platform's list does not show as draining
 // yet, at most maxStatements.
-func (l *statementExchange) leavingReports(leaving []statement.Heard) []wire.RunnerLeaving {
+func (l *statementExchange) leavingReports(leaving []statement.LeavingReport) []wire.RunnerLeaving {
 	var told []wire.RunnerLeaving
 	for _, heard := range leaving {
 		runner, listed := l.fleet.Find(heard.Runner)
@@ -110,17 +110,17 @@
 
 // Learn takes over statements from another node about listed runners.
 func (l *statementExchange) Learn(node string, leaving []wire.RunnerLeaving, limited []wire.RunnerLimit) {
-	var heard []statement.Heard
+	var heard []statement.LeavingReport
 	for _, told := range leaving[:min(len(leaving), maxStatements)] {
 		if l.fleet.Known(told.Runner) {
-			heard = append(heard, statement.Heard{Runner: told.Runner, Age: decodeAge(told.AgeMs)})
+			heard = append(heard, statement.LeavingReport{Runner: told.Runner, Age: decodeAge(told.AgeMs)})
 		}
 	}
-	l.statements.Learn(node, heard)
-	var limits []statement.HeardLimit
+	l.statements.LearnLeaving(node, heard)
+	var limits []statement.LimitReport
 	for _, told := range limited[:min(len(limited), maxStatements)] {
 		if l.fleet.Known(told.Runner) {
-			limits = append(limits, statement.HeardLimit{Runner: told.Runner, Rate: told.Rate, Age: decodeAge(told.AgeMs)})
+			limits = append(limits, statement.LimitReport{Runner: told.Runner, Rate: told.Rate, Age: decodeAge(told.AgeMs)})
 		}
 	}
 	l.statements.LearnLimits(node, limits)
@@ -132,7 +132,7 @@
 }
 
 // isLeaving reports whether a runner stated in an answer that it is leaving.
-func (n *Node) isLeaving(runner string) bool { return n.statements.Of(runner).Leaving }
+func (n *Node) isLeaving(runner string) bool { return n.statements.State(runner).Leaving }
 
 // restRemaining returns how much longer the named runner wants no requests from this node.
 func (n *Node) restRemaining(name string) time.Duration {
@@ -140,7 +140,7 @@
 	if !listed {
 		return 0
 	}
-	return n.statements.Of(runner.ID).Rest
+	return n.statements.State(runner.ID).Rest
 }
 
 // statementLimits returns the configured bounds on statements.
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -27,14 +27,14 @@
 
 // applySnapshot replaces the set of evacuated zones.
 func (z *zones) applySnapshot(rows []evacuation.Row) {
-	z.replaceTable(z.table.Load().Whole(rows, time.Now()))
+	z.replaceTable(z.table.Load().ApplySnapshot(rows, time.Now()))
 }
 
 // applyChanges applies changed rows. gap is the time since the table was last confirmed.
 func (z *zones) applyChanges(rows []evacuation.Row, gap time.Duration) {
 	s := z.node.settings.Load()
-	bounds := evacuation.Bounds{Within: s.Evacuation.Within, News: s.Configuration.Within}
-	z.replaceTable(z.table.Load().Changed(rows, gap, bounds, time.Now()))
+	bounds := evacuation.Bounds{Within: s.Evacuation.Within, PropagationDelay: s.Configuration.Within}
+	z.replaceTable(z.table.Load().ApplyChanges(rows, gap, bounds, time.Now()))
 }
 
 func (z *zones) replaceTable(table *evacuation.Table) {
@@ -101,7 +101,7 @@
 		}
 		now := time.Now()
 		z.reportChanges(now)
-		if next, ok := z.table.Load().Next(now); ok {
+		if next, ok := z.table.Load().NextChange(now); ok {
 			timer.Reset(time.Until(next))
 		}
 	}
--- a/internal/node/zones_test.go
+++ b/internal/node/zones_test.go
@@ -32,12 +32,12 @@
 	n := zonedNode()
 	handler, rules, staying := (*configurationHandler)(n), (*operatorRules)(n), placementRules{(*operatorRules)(n)}
 	assert.Assert(t, rules.ZoneOut("a") && staying.ZoneOut("a"))
-	handler.Whole([]feed.Row{{Key: "configuration", Revision: 3}, {Key: "a", Revision: 4}}, 0)
+	handler.ApplySnapshot([]feed.Row{{Key: "configuration", Revision: 3}, {Key: "a", Revision: 4}}, 0)
 	assert.Assert(t, rules.ZoneOut("a") && !rules.ZoneOut("b"))
-	handler.Whole([]feed.Row{{Key: "b", Revision: 7}}, time.Second)
+	handler.ApplySnapshot([]feed.Row{{Key: "b", Revision: 7}}, time.Second)
 	assert.Assert(t, !rules.ZoneOut("a") && rules.ZoneOut("b"))
 	assert.Equal(t, n.zones.state("a"), evacuation.Returning)
-	handler.Changed([]feed.Row{{Key: "b", Revision: 9, Deleted: true}})
+	handler.ApplyChanges([]feed.Row{{Key: "b", Revision: 9, Deleted: true}})
 	assert.Assert(t, !rules.ZoneOut("b"))
 }
 
--- a/internal/node/zonestatus.go
+++ b/internal/node/zonestatus.go
@@ -76,7 +76,7 @@
 }
 
 // zoneStates describes each zone with its runners and nodes.
-func (n *Node) zoneStates(runners map[place.Zone]fleet.Standing, nodes map[place.Zone]int) []wire.ZoneStatus {
+func (n *Node) zoneStates(runners map[place.Zone]fleet.StateCounts, nodes map[place.Zone]int) []wire.ZoneStatus {
 	states := []wire.ZoneStatus{}
 	for _, zone := range n.knownZones(runners, nodes) {
 		state, since := n.zoneState(zone)
@@ -93,7 +93,7 @@
 }
 
 // knownZones lists all known zones, sorted.
-func (n *Node) knownZones(runners map[place.Zone]fleet.Standing, nodes map[place.Zone]int) []place.Zone {
+func (n *Node) knownZones(runners map[place.Zone]fleet.StateCounts, nodes map[place.Zone]int) []place.Zone {
 	known := make(map[place.Zone]bool)
 	for zone := range n.settings.Load().Zones {
 		known[zone] = true
--- a/internal/node/zonestatus_test.go
+++ b/internal/node/zonestatus_test.go
@@ -44,7 +44,7 @@
 		{Revision: 4, Time: at.Add(3 * time.Minute), Changes: []wire.Change{{Object: object}}},
 	})
 	since := at.Add(2 * time.Minute)
-	states := n.zoneStates(map[place.Zone]fleet.Standing{"c": {Ready: 3, Cold: 2, Draining: 1}}, map[place.Zone]int{"a": 2})
+	states := n.zoneStates(map[place.Zone]fleet.StateCounts{"c": {Ready: 3, Cold: 2, Draining: 1}}, map[place.Zone]int{"a": 2})
 	assert.DeepEqual(t, states, []wire.ZoneStatus{
 		{Zone: "a", Region: "north", State: wire.ZoneIn, Nodes: 2},
 		{Zone: "b", Region: "south", State: wire.ZoneIn},
--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -92,7 +92,7 @@
 func (s *Server) checkHomes(key api.Key, homes []string) error {
 	zones := s.backend.Regions()
 	for i, region := range homes {
-		if !zones.Knows(place.Region(region)) {
+		if !zones.HasRegion(place.Region(region)) {
 			return fault.New(fault.CodeInvalid, stepCheck, "%s: homes[%d]: no zone lies in a region %q", key, i, region)
 		}
 	}
--- a/internal/orders/capacity.go
+++ b/internal/orders/capacity.go
@@ -6,7 +6,7 @@
 )
 
 // FreeMemory returns the memory in MB that is not used and that no outstanding order may use.
-func (l *Ledger) Free(engine *config.Engine) float64 {
+func (l *Ledger) FreeMemory(engine *config.Engine) float64 {
 	free := engine.ModelMemory
 	for name, model := range l.models {
 		free -= sizeOf(engine, backend.Unit{Model: name})
@@ -53,7 +53,7 @@
 	count := 0
 	for _, model := range l.models {
 		for _, adapter := range model.Adapters {
-			if adapter.Coming {
+			if adapter.Loading {
 				count++
 			}
 		}
--- a/internal/orders/ledger.go
+++ b/internal/orders/ledger.go
@@ -68,18 +68,18 @@
 // Model is a model on a runner.
 type Model struct {
 	// Loading is set while it is loaded, Unloading while it is unloaded.
-	Coming   bool
-	Leaving  bool
-	Due      time.Time
-	Adapters map[string]*Adapter
+	Loading   bool
+	Unloading bool
+	Due       time.Time
+	Adapters  map[string]*Adapter
 }
 
 // Adapter is an adapter of a model on a runner.
 type Adapter struct {
-	Coming bool
+	Loading bool
 	// Unloading is set while an adapter to be unloaded is still used by requests.
-	Leaving bool
-	Due     time.Time
+	Unloading bool
+	Due       time.Time
 }
 
 // NewLedger returns the ledger of a runner in unknown state.
@@ -101,7 +101,7 @@
 		return false
 	}
 	for _, model := range l.models {
-		if model.Coming || model.Leaving {
+		if model.Loading || model.Unloading {
 			return false
 		}
 	}
@@ -135,7 +135,7 @@
 func (l *Ledger) possibleLoads() map[string]bool {
 	models := make(map[string]bool)
 	for name, model := range l.models {
-		if model.Coming {
+		if model.Loading {
 			models[name] = true
 		}
 	}
@@ -183,9 +183,9 @@
 	busy := max(l.pausedUntil.Sub(now), backend.ReportLag)
 	for name, model := range l.models {
 		switch {
-		case model.Coming:
+		case model.Loading:
 			busy = max(busy, model.Due.Sub(now)+backend.ReportLag)
-		case model.Leaving && active(name):
+		case model.Unloading && active(name):
 			busy = max(busy, drainTime)
 		}
 	}
@@ -206,7 +206,7 @@
 // is no such load or the new time is later by no more than the lag of reports.
 func (l *Ledger) Delay(model string, due time.Time) bool {
 	loading := l.models[model]
-	if loading == nil || !loading.Coming || due.Sub(loading.Due) <= backend.ReportLag {
+	if loading == nil || !loading.Loading || due.Sub(loading.Due) <= backend.ReportLag {
 		return false
 	}
 	loading.Due = due
@@ -254,11 +254,11 @@
 		l.nextReport = soon
 	}
 	if order.Action == backend.Load {
-		l.models[unit.Model] = &Model{Coming: true, Due: due, Adapters: make(map[string]*Adapter)}
+		l.models[unit.Model] = &Model{Loading: true, Due: due, Adapters: make(map[string]*Adapter)}
 		return
 	}
 	if model := l.models[unit.Model]; model != nil {
-		model.Leaving = true
+		model.Unloading = true
 		model.Due = due
 	}
 }
@@ -272,7 +272,7 @@
 		l.applyAdapterUnload(model, order, now)
 		return
 	}
-	model.Adapters[order.Unit.Adapter] = &Adapter{Coming: true, Due: now.Add(adapterLoadTime)}
+	model.Adapters[order.Unit.Adapter] = &Adapter{Loading: true, Due: now.Add(adapterLoadTime)}
 	if l.nextReport.IsZero() || l.nextReport.After(now.Add(adapterLoadTime)) {
 		l.nextReport = now.Add(adapterLoadTime + backend.ReportLag)
 	}
@@ -283,7 +283,7 @@
 // again.
 func (l *Ledger) applyAdapterUnload(model *Model, order backend.Order, now time.Time) {
 	if adapter := model.Adapters[order.Unit.Adapter]; adapter != nil {
-		adapter.Leaving = true
+		adapter.Unloading = true
 	}
 	l.needsReport = true
 	l.nextReport = now.Add(backend.ReportLag)
@@ -302,12 +302,12 @@
 
 // CompleteAdapterLoads marks adapters as loaded whose load time has passed. It returns whether
 // there were any.
-func (l *Ledger) Settle(now time.Time) bool {
+func (l *Ledger) CompleteAdapterLoads(now time.Time) bool {
 	settled := false
 	for _, model := range l.models {
 		for _, adapter := range model.Adapters {
-			if adapter.Coming && !now.Before(adapter.Due) {
-				adapter.Coming = false
+			if adapter.Loading && !now.Before(adapter.Due) {
+				adapter.Loading = false
 				settled = true
 			}
 		}
--- a/internal/orders/ledger_test.go
+++ b/internal/orders/ledger_test.go
@@ -37,7 +37,7 @@
 	assert.Equal(t, ledger.FreeAdapterSlots(testEngine()), 0)
 	now = now.Add(time.Second)
 	ledger.Reported(backend.Report{Models: holding, Sequence: 4}, now, now)
-	assert.Assert(t, ledger.Models()["m0"].Adapters["a1"].Leaving)
+	assert.Assert(t, ledger.Models()["m0"].Adapters["a1"].Unloading)
 	assert.Assert(t, ledger.MayOrder(other, now))
 	holding[0].Adapters = []string{"a2"}
 	ledger.Reported(backend.Report{Models: holding, Sequence: 5}, now, now)
@@ -183,14 +183,14 @@
 func giveOrder(t *rapid.T, ledger *Ledger, runner *fakeRunner, engine *config.Engine, unit backend.Unit, now time.Time) {
 	action := rapid.SampledFrom([]backend.Action{backend.Load, backend.Load, backend.Unload}).Draw(t, "action")
 	held := ledger.Models()[unit.Model]
-	if !ledger.MayOrder(unit, now) || (held != nil && held.Coming) {
+	if !ledger.MayOrder(unit, now) || (held != nil && held.Loading) {
 		return
 	}
 	if action == backend.Load {
-		if unit.Adapter == "" && (held != nil || ledger.Free(engine) < 40) {
+		if unit.Adapter == "" && (held != nil || ledger.FreeMemory(engine) < 40) {
 			return
 		}
-		if unit.Adapter != "" && (held == nil || held.Adapters[unit.Adapter] != nil || ledger.FreeAdapterSlots(engine) < 1 || ledger.Free(engine) < 5) {
+		if unit.Adapter != "" && (held == nil || held.Adapters[unit.Adapter] != nil || ledger.FreeAdapterSlots(engine) < 1 || ledger.FreeMemory(engine) < 5) {
 			return
 		}
 	} else if held == nil || (unit.Adapter != "" && held.Adapters[unit.Adapter] == nil) {
@@ -218,18 +218,18 @@
 	ledger.Reported(backend.Report{}, now, now)
 	order := ledger.Begin(backend.Load, backend.Unit{Model: "m0"}, "node", 1)
 	assert.Equal(t, ledger.Sending(), "m0")
-	assert.Equal(t, ledger.Free(engine), 60.0)
+	assert.Equal(t, ledger.FreeMemory(engine), 60.0)
 	ledger.End(order, backend.Lost, now, now)
-	assert.Equal(t, ledger.Free(engine), 60.0)
+	assert.Equal(t, ledger.FreeMemory(engine), 60.0)
 	assert.DeepEqual(t, ledger.Uncertain(), []string{"m0"})
 	assert.Assert(t, !ledger.MayOrder(backend.Unit{Model: "m1"}, now), "an order was allowed before a new report")
 	later := now.Add(time.Second)
 	ledger.Reported(backend.Report{}, later, later)
 	assert.Assert(t, ledger.MayOrder(backend.Unit{Model: "m1"}, later))
-	assert.Equal(t, ledger.Free(engine), 60.0, "the unanswered order may still take effect")
+	assert.Equal(t, ledger.FreeMemory(engine), 60.0, "the unanswered order may still take effect")
 	next := ledger.Begin(backend.Load, backend.Unit{Model: "m1"}, "node", 1)
 	ledger.End(next, backend.Accepted, later, later)
-	assert.Equal(t, ledger.Free(engine), 60.0, "the unanswered order can no longer take effect")
+	assert.Equal(t, ledger.FreeMemory(engine), 60.0, "the unanswered order can no longer take effect")
 	assert.Equal(t, len(ledger.Uncertain()), 0)
 }
 
@@ -245,11 +245,11 @@
 	assert.Assert(t, ledger.Known())
 	assert.Assert(t, ledger.MayOrder(backend.Unit{Model: "m0", Adapter: "a1"}, now), "a listed runner may be planned with")
 	assert.Equal(t, ledger.FreeAdapterSlots(engine), 1)
-	assert.Assert(t, !ledger.Confirm(now))
+	assert.Assert(t, !ledger.EnsureReport(now))
 	assert.Assert(t, ledger.WantsReport(now))
 	report := backend.Report{Sequence: 4, Models: row.Models, Pending: []backend.Unit{{Model: "m0", Adapter: "a1"}}}
 	ledger.Reported(report, now, now)
-	assert.Assert(t, ledger.Confirm(now))
+	assert.Assert(t, ledger.EnsureReport(now))
 	assert.Equal(t, ledger.FreeAdapterSlots(engine), 0)
 	ledger.Listed(row, now.Add(time.Second)) // the list is behind the ledger
 	assert.Equal(t, ledger.FreeAdapterSlots(engine), 0)
--- a/internal/orders/loadcrashes.go
+++ b/internal/orders/loadcrashes.go
@@ -15,7 +15,7 @@
 
 // LoadCrashes counts the runners that crashed while loading a model, so that a model that
 // crashes its runners does not crash all of them. It is not safe for concurrent use.
-type Ends struct {
+type LoadCrashes struct {
 	// loading are the models that each runner loads. ended are the runners that ended and are
 	// still listed.
 	loading map[string]map[string]bool
@@ -29,7 +29,7 @@
 }
 
 // ModelCrashes is the count of one model. The next lease holder continues from it.
-type ModelEnds struct {
+type ModelCrashes struct {
 	Model string
 	// Count is the number of runners that crashed since the last successful load.
 	Count int
@@ -39,8 +39,8 @@
 }
 
 // NewLoadCrashes returns a LoadCrashes that continues from the counts of an earlier one.
-func NewEnds(known []ModelEnds) *Ends {
-	e := &Ends{loading: make(map[string]map[string]bool), ended: make(map[string]bool), models: make(map[string]*crashCount)}
+func NewLoadCrashes(known []ModelCrashes) *LoadCrashes {
+	e := &LoadCrashes{loading: make(map[string]map[string]bool), ended: make(map[string]bool), models: make(map[string]*crashCount)}
 	for _, one := range known {
 		e.models[one.Model] = &crashCount{count: one.Count, until: one.Until}
 	}
@@ -48,17 +48,17 @@
 }
 
 // Known returns the counts for the next lease holder to continue from.
-func (e *Ends) Known() []ModelEnds {
-	known := make([]ModelEnds, 0, len(e.models))
+func (e *LoadCrashes) Known() []ModelCrashes {
+	known := make([]ModelCrashes, 0, len(e.models))
 	for name, crashes := range e.models {
-		known = append(known, ModelEnds{Model: name, Count: crashes.count, Until: crashes.until})
+		known = append(known, ModelCrashes{Model: name, Count: crashes.count, Until: crashes.until})
 	}
 	return known
 }
 
 // Follow updates the models that a runner loads and holds. A completed load resets the count of
 // its model. An unanswered order counts as a possible load.
-func (e *Ends) Follow(ledger *Ledger) {
+func (e *LoadCrashes) Follow(ledger *Ledger) {
 	runner := ledger.Runner.ID
 	if e.ended[runner] {
 		return
@@ -77,7 +77,7 @@
 
 // RunnerEnded records that a runner ended and returns the models that it was loading. planned
 // is set if the runner had announced its departure, so that its end is not counted as a crash.
-func (e *Ends) Ended(runner string, planned bool, now time.Time) []string {
+func (e *LoadCrashes) RunnerEnded(runner string, planned bool, now time.Time) []string {
 	e.ended[runner] = true
 	var ended []string
 	for name := range e.loading[runner] {
@@ -100,7 +100,7 @@
 }
 
 // Forget removes a runner that is no longer listed.
-func (e *Ends) Forget(runner string) {
+func (e *LoadCrashes) Forget(runner string) {
 	delete(e.loading, runner)
 	delete(e.ended, runner)
 }
@@ -117,7 +117,7 @@
 }
 
 // Paused returns the models that must not be loaded now, with the end of their pause.
-func (e *Ends) Paused(now time.Time) map[string]time.Time {
+func (e *LoadCrashes) Paused(now time.Time) map[string]time.Time {
 	paused := make(map[string]time.Time)
 	for name, known := range e.models {
 		if now.Before(known.until) {
--- a/internal/orders/loadcrashes_test.go
+++ b/internal/orders/loadcrashes_test.go
@@ -15,17 +15,17 @@
 func newTestLedger(runner string, models map[string]bool) *Ledger {
 	l := NewLedger(backend.Runner{ID: runner})
 	for name, loading := range models {
-		l.models[name] = &Model{Coming: loading}
+		l.models[name] = &Model{Loading: loading}
 	}
 	return l
 }
 
 // crashWhileLoading lets runners start to load a model and crash, one after the other.
-func crashWhileLoading(e *Ends, first, count int, now time.Time) {
+func crashWhileLoading(e *LoadCrashes, first, count int, now time.Time) {
 	for number := first; number < first+count; number++ {
 		runner := fmt.Sprint("r", number)
 		e.Follow(newTestLedger(runner, map[string]bool{"m": true}))
-		e.Ended(runner, false, now)
+		e.RunnerEnded(runner, false, now)
 	}
 }
 
@@ -33,7 +33,7 @@
 // longer, up to the longest pause.
 func TestLoadsPauseAfterCrashes(t *testing.T) {
 	now := time.Unix(1000, 0)
-	crashes := NewEnds(nil)
+	crashes := NewLoadCrashes(nil)
 	crashWhileLoading(crashes, 0, crashesBeforePause-1, now)
 	assert.Equal(t, len(crashes.Paused(now)), 0)
 	crashWhileLoading(crashes, 10, 1, now)
@@ -49,7 +49,7 @@
 // model.
 func TestCompletedLoadResetsCount(t *testing.T) {
 	now := time.Unix(1000, 0)
-	crashes := NewEnds(nil)
+	crashes := NewLoadCrashes(nil)
 	crashWhileLoading(crashes, 0, crashesBeforePause-1, now)
 	crashes.Follow(newTestLedger("held", map[string]bool{"m": false}))
 	crashWhileLoading(crashes, 10, 1, now)
@@ -58,17 +58,17 @@
 	crashes.Follow(newTestLedger("good", map[string]bool{"m": true, "other": true}))
 	crashes.Follow(newTestLedger("good", map[string]bool{"m": false, "other": true}))
 	assert.Equal(t, len(crashes.Paused(now)), 0)
-	assert.DeepEqual(t, crashes.Ended("good", false, now), []string{"other"})
+	assert.DeepEqual(t, crashes.RunnerEnded("good", false, now), []string{"other"})
 }
 
 // TestCrashCountsOnce checks that a runner that ended counts once, although it stays listed
 // for a while after it refused a connection.
 func TestCrashCountsOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
-	crashes := NewEnds(nil)
+	crashes := NewLoadCrashes(nil)
 	for range 2 * crashesBeforePause {
 		crashes.Follow(newTestLedger("r", map[string]bool{"m": true}))
-		crashes.Ended("r", false, now)
+		crashes.RunnerEnded("r", false, now)
 	}
 	assert.Equal(t, len(crashes.Paused(now)), 0)
 }
@@ -77,16 +77,16 @@
 // nothing, or had given up the load.
 func TestOtherEndsAreNotCrashes(t *testing.T) {
 	now := time.Unix(1000, 0)
-	crashes := NewEnds(nil)
+	crashes := NewLoadCrashes(nil)
 	for number := range 2 * crashesBeforePause {
 		runner := fmt.Sprint("r", number)
 		crashes.Follow(newTestLedger(runner, map[string]bool{"m": true}))
-		crashes.Ended(runner, true, now)
-		crashes.Ended(runner, false, now)
+		crashes.RunnerEnded(runner, true, now)
+		crashes.RunnerEnded(runner, false, now)
 		given := fmt.Sprint("given up", number)
 		crashes.Follow(newTestLedger(given, map[string]bool{"m": true}))
 		crashes.Follow(newTestLedger(given, nil))
-		crashes.Ended(given, false, now)
+		crashes.RunnerEnded(given, false, now)
 	}
 	assert.Equal(t, len(crashes.Paused(now)), 0)
 	for number := range 2 * crashesBeforePause {
@@ -101,7 +101,7 @@
 // whose loads crashed their runners before they answered was ordered on all of them.
 func TestEndsOfRunnersWithUnansweredOrdersCount(t *testing.T) {
 	now := time.Unix(1000, 0)
-	crashes := NewEnds(nil)
+	crashes := NewLoadCrashes(nil)
 	for number := range crashesBeforePause {
 		ledger := newTestLedger(fmt.Sprint("r", number), nil)
 		order := ledger.Begin(backend.Load, backend.Unit{Model: "m"}, "", 0)
@@ -109,7 +109,7 @@
 			ledger.End(order, backend.Lost, now, now)
 		}
 		crashes.Follow(ledger)
-		assert.DeepEqual(t, crashes.Ended(ledger.Runner.ID, false, now), []string{"m"})
+		assert.DeepEqual(t, crashes.RunnerEnded(ledger.Runner.ID, false, now), []string{"m"})
 	}
 	assert.Equal(t, len(crashes.Paused(now)), 1)
 }
@@ -118,10 +118,10 @@
 // began at zero, crashes would begin again with every holder.
 func TestNextHolderContinuesCount(t *testing.T) {
 	now := time.Unix(1000, 0)
-	crashes := NewEnds(nil)
+	crashes := NewLoadCrashes(nil)
 	crashWhileLoading(crashes, 0, crashesBeforePause-1, now)
-	crashes = NewEnds(crashes.Known())
+	crashes = NewLoadCrashes(crashes.Known())
 	crashWhileLoading(crashes, 10, 1, now)
 	assert.Equal(t, crashes.Paused(now)["m"], now.Add(firstLoadPause))
-	assert.DeepEqual(t, NewEnds(crashes.Known()).Paused(now), crashes.Paused(now))
+	assert.DeepEqual(t, NewLoadCrashes(crashes.Known()).Paused(now), crashes.Paused(now))
 }
--- a/internal/orders/reports.go
+++ b/internal/orders/reports.go
@@ -13,7 +13,7 @@
 	due := l.nextReport
 	for _, model := range l.models {
 		for _, adapter := range model.Adapters {
-			if adapter.Coming && (due.IsZero() || adapter.Due.Before(due)) {
+			if adapter.Loading && (due.IsZero() || adapter.Due.Before(due)) {
 				due = adapter.Due
 			}
 		}
@@ -83,7 +83,7 @@
 
 // EnsureReport requests a report from a runner that is about to get an order and has not
 // reported yet. It returns whether the runner has reported.
-func (l *Ledger) Confirm(now time.Time) bool {
+func (l *Ledger) EnsureReport(now time.Time) bool {
 	if !l.reported && l.nextReport.IsZero() {
 		l.nextReport = now
 	}
@@ -128,7 +128,7 @@
 func (m *Model) keepUnloading(was *Model) {
 	for name, adapter := range m.Adapters {
 		if before := was.Adapters[name]; before != nil {
-			adapter.Leaving = before.Leaving
+			adapter.Unloading = before.Unloading
 		}
 	}
 }
@@ -142,21 +142,21 @@
 			model.Adapters[name] = &Adapter{}
 		}
 		if was := before[holding.Model]; was != nil {
-			model.Leaving = was.Leaving && report.Busy
+			model.Unloading = was.Unloading && report.Busy
 			model.keepUnloading(was)
 		}
 		l.models[holding.Model] = model
 	}
 	for _, unit := range report.Pending {
 		if model := l.models[unit.Model]; model != nil {
-			model.Adapters[unit.Adapter] = &Adapter{Coming: true, Due: now.Add(adapterLoadTime)}
+			model.Adapters[unit.Adapter] = &Adapter{Loading: true, Due: now.Add(adapterLoadTime)}
 		}
 	}
 	if !report.Busy {
 		return
 	}
 	for name, was := range before {
-		if was.Coming && l.models[name] == nil {
+		if was.Loading && l.models[name] == nil {
 			l.models[name] = was
 		}
 	}
@@ -167,15 +167,15 @@
 	units := make([]string, 0, len(l.models))
 	for name, model := range l.models {
 		state := "+"
-		if model.Coming {
+		if model.Loading {
 			state = "?"
 		}
-		if model.Leaving {
+		if model.Unloading {
 			state = "-"
 		}
 		units = append(units, name+state)
 		for adapter, held := range model.Adapters {
-			if !held.Coming {
+			if !held.Loading {
 				units = append(units, name+"/"+adapter)
 			}
 		}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -21,7 +21,7 @@
 func (m Map) Region(zone Zone) Region { return m[zone] }
 
 // HasRegion reports whether a zone lies in a region.
-func (m Map) Knows(region Region) bool {
+func (m Map) HasRegion(region Region) bool {
 	for _, of := range m {
 		if of == region {
 			return region != ""
@@ -62,7 +62,7 @@
 }
 
 // Restricted reports whether the homes restrict anything.
-func (h Homes) Bound() bool { return h.bound }
+func (h Homes) Restricted() bool { return h.bound }
 
 // Allows reports whether something may be served in a region. A region that is not known is in
 // no homes.
@@ -109,7 +109,7 @@
 }
 
 // HomesFromNames parses what Names returns.
-func HomesOf(names []string) Homes {
+func HomesFromNames(names []string) Homes {
 	regions := make([]Region, 0, len(names))
 	for _, name := range names {
 		regions = append(regions, Region(name))
@@ -119,7 +119,7 @@
 
 // Intersect returns the homes that both allow. If both are restricted and have no region in
 // common, no region is allowed.
-func (h Homes) And(other Homes) Homes {
+func (h Homes) Intersect(other Homes) Homes {
 	switch {
 	case !h.bound:
 		return other
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -22,10 +22,10 @@
 		{"part of a name", north, "nor", false},
 		{"region not known", north, "", false},
 		{"one of two", both, "south", true},
-		{"both bind", both.And(south), "south", true},
-		{"both bind, other region", both.And(south), "north", false},
-		{"nothing in common", north.And(south), "north", false},
-		{"only one bound", Homes{}.And(south), "north", false},
+		{"both bind", both.Intersect(south), "south", true},
+		{"both bind, other region", both.Intersect(south), "north", false},
+		{"nothing in common", north.Intersect(south), "north", false},
+		{"only one bound", Homes{}.Intersect(south), "north", false},
 		{"only invalid names", NewHomes([]Region{""}), "north", false},
 		{"empty list", NewHomes([]Region{}), "north", true},
 	} {
@@ -35,12 +35,12 @@
 
 func TestHomesAreComparable(t *testing.T) {
 	assert.Equal(t, NewHomes([]Region{"a", "b"}), NewHomes([]Region{"b", "a", "b"}))
-	assert.Equal(t, NewHomes([]Region{"a", "b"}).And(NewHomes([]Region{"b", "c"})), NewHomes([]Region{"b"}))
+	assert.Equal(t, NewHomes([]Region{"a", "b"}).Intersect(NewHomes([]Region{"b", "c"})), NewHomes([]Region{"b"}))
 	assert.Equal(t, NewHomes([]Region{"b", "a"}).String(), "a,b")
 	assert.DeepEqual(t, NewHomes([]Region{"b", "a"}).Regions(), []Region{"a", "b"})
 	assert.Equal(t, NewHomes([]Region{""}).String(), "none")
 	for _, homes := range []Homes{{}, NewHomes([]Region{"b", "a"}), NewHomes([]Region{""})} {
-		assert.Equal(t, HomesOf(homes.Names()), homes)
+		assert.Equal(t, HomesFromNames(homes.Names()), homes)
 	}
 	assert.Equal(t, len(Homes{}.Names()), 0)
 }
--- a/internal/poison/marks.go
+++ b/internal/poison/marks.go
@@ -15,7 +15,7 @@
 	// ProvisionalPeriod is after how long a client whose request is refused is told to retry. If
 	// the request is innocent, attempts running elsewhere succeed well within that time, which
 	// lifts the mark.
-	Provisional = 2 * time.Second
+	ProvisionalPeriod = 2 * time.Second
 	// MaxMarks bounds the marks of all nodes together.
 	MaxMarks = 256
 )
@@ -34,7 +34,7 @@
 func (m Mark) Refused() bool { return len(m.Runners) >= RefuseThreshold }
 
 // Provisional reports whether running attempts may still lift the mark.
-func (m Mark) Provisional(now time.Time) bool { return now.Sub(m.Since) < Provisional }
+func (m Mark) Provisional(now time.Time) bool { return now.Sub(m.Since) < ProvisionalPeriod }
 
 // Expired reports whether the mark has outlived MarkLifetime.
 func (m Mark) Expired(now time.Time) bool { return now.Sub(m.first) > MarkLifetime }
@@ -122,7 +122,7 @@
 
 // Evictable returns the requests whose marks should be dropped: expired ones and, beyond
 // MaxMarks, those with the fewest crashes.
-func (m *Marks) Spare(now time.Time) []Identity {
+func (m *Marks) Evictable(now time.Time) []Identity {
 	var evictable []Identity
 	kept := 0
 	for _, mark := range m.All() {
--- a/internal/poison/marks_test.go
+++ b/internal/poison/marks_test.go
@@ -29,7 +29,7 @@
 	assert.Equal(t, len(marks.Put([]Finding{{Request: testIdentity(0), Runners: []string{"r0", "other"}}}, later)), 1)
 	assert.Equal(t, len(marks.Put([]Finding{finding(0, 3)}, later)), 0, "already known")
 	mark, _ = marks.Find(testIdentity(0))
-	assert.Assert(t, mark.Refused() && mark.Provisional(later) && !mark.Provisional(later.Add(Provisional)))
+	assert.Assert(t, mark.Refused() && mark.Provisional(later) && !mark.Provisional(later.Add(ProvisionalPeriod)))
 	marks.Drop(testIdentity(0))
 	assert.Assert(t, marks.Empty())
 
@@ -49,14 +49,14 @@
 		marks.Put([]Finding{finding(1+number, 2)}, start.Add(time.Second))
 	}
 	marks.Put([]Finding{finding(10_000, 3)}, start.Add(time.Second))
-	assert.Equal(t, len(marks.Spare(start.Add(time.Second))), 4)
-	for _, request := range marks.Spare(start.Add(time.Second)) {
+	assert.Equal(t, len(marks.Evictable(start.Add(time.Second))), 4)
+	for _, request := range marks.Evictable(start.Add(time.Second)) {
 		mark, _ := marks.Find(request)
 		assert.Equal(t, len(mark.Runners), 2)
 	}
-	assert.Equal(t, len(marks.Spare(start.Add(MarkLifetime+time.Millisecond))), 4, "one has expired, three are too many")
-	assert.Equal(t, len(marks.Spare(start.Add(2*MarkLifetime))), MaxMarks+4)
-	for _, request := range marks.Spare(start.Add(2 * MarkLifetime)) {
+	assert.Equal(t, len(marks.Evictable(start.Add(MarkLifetime+time.Millisecond))), 4, "one has expired, three are too many")
+	assert.Equal(t, len(marks.Evictable(start.Add(2*MarkLifetime))), MaxMarks+4)
+	for _, request := range marks.Evictable(start.Add(2 * MarkLifetime)) {
 		marks.Drop(request)
 	}
 	assert.Assert(t, marks.Empty())
--- a/internal/poison/tally.go
+++ b/internal/poison/tally.go
@@ -57,7 +57,7 @@
 // those that are at least suspected, if the crash was not known before. Each crash counts once
 // per request, however many nodes report it and however many attempts of the request were
 // running there.
-func (t *Tally) Crashed(runner string, requests []Identity, now time.Time) []Finding {
+func (t *Tally) RecordCrash(runner string, requests []Identity, now time.Time) []Finding {
 	var findings []Finding
 	for _, request := range requests {
 		if t.add(request, runner, now) && len(t.entries[request].runners) >= SuspectThreshold {
@@ -84,7 +84,7 @@
 }
 
 // Merge adds another tally's finding, and returns it combined with what this tally knew.
-func (t *Tally) Learn(finding Finding, now time.Time) Finding {
+func (t *Tally) Merge(finding Finding, now time.Time) Finding {
 	for _, runner := range finding.Runners {
 		t.add(finding.Request, runner, now)
 	}
--- a/internal/poison/tally_test.go
+++ b/internal/poison/tally_test.go
@@ -20,40 +20,40 @@
 func TestRepeatedCrashesAreFound(t *testing.T) {
 	tally := NewTally()
 	culprit := testIdentity(0)
-	assert.Equal(t, len(tally.Crashed("r1", []Identity{culprit, culprit, testIdentity(1)}, start)), 0)
-	assert.Equal(t, len(tally.Crashed("r1", []Identity{culprit}, start)), 0, "another node reports the same crash")
-	assert.DeepEqual(t, tally.Crashed("r2", []Identity{testIdentity(2), culprit}, start), []Finding{{Request: culprit, Runners: []string{"r1", "r2"}}})
-	assert.Equal(t, len(tally.Crashed("r2", []Identity{culprit}, start)), 0, "already known")
-	found := tally.Crashed("r3", []Identity{culprit}, start)
+	assert.Equal(t, len(tally.RecordCrash("r1", []Identity{culprit, culprit, testIdentity(1)}, start)), 0)
+	assert.Equal(t, len(tally.RecordCrash("r1", []Identity{culprit}, start)), 0, "another node reports the same crash")
+	assert.DeepEqual(t, tally.RecordCrash("r2", []Identity{testIdentity(2), culprit}, start), []Finding{{Request: culprit, Runners: []string{"r1", "r2"}}})
+	assert.Equal(t, len(tally.RecordCrash("r2", []Identity{culprit}, start)), 0, "already known")
+	found := tally.RecordCrash("r3", []Identity{culprit}, start)
 	assert.Equal(t, len(found[0].Runners), RefuseThreshold)
 }
 
 // TestClearedRequestBeginsAnew: an attempt that succeeded clears the earlier count.
 func TestClearedRequestBeginsAnew(t *testing.T) {
 	tally := NewTally()
-	tally.Crashed("r1", []Identity{testIdentity(0)}, start)
-	tally.Crashed("r2", []Identity{testIdentity(0)}, start)
+	tally.RecordCrash("r1", []Identity{testIdentity(0)}, start)
+	tally.RecordCrash("r2", []Identity{testIdentity(0)}, start)
 	assert.Assert(t, tally.Clear(testIdentity(0)))
 	assert.Assert(t, !tally.Clear(testIdentity(0)))
-	assert.Equal(t, len(tally.Crashed("r3", []Identity{testIdentity(0)}, start)), 0)
+	assert.Equal(t, len(tally.RecordCrash("r3", []Identity{testIdentity(0)}, start)), 0)
 }
 
 // TestTallyTransfer: a tally that gets the crashes of another one knows the same.
 func TestTallyTransfer(t *testing.T) {
 	first, next := NewTally(), NewTally()
-	first.Crashed("r1", []Identity{testIdentity(0)}, start)
-	first.Crashed("r2", []Identity{testIdentity(0), testIdentity(1)}, start)
+	first.RecordCrash("r1", []Identity{testIdentity(0)}, start)
+	first.RecordCrash("r2", []Identity{testIdentity(0), testIdentity(1)}, start)
 	for runner, requests := range first.Crashes() {
-		next.Crashed(runner, requests, start)
+		next.RecordCrash(runner, requests, start)
 	}
-	assert.Equal(t, len(next.Crashed("r3", []Identity{testIdentity(0)}, start)[0].Runners), RefuseThreshold)
+	assert.Equal(t, len(next.RecordCrash("r3", []Identity{testIdentity(0)}, start)[0].Runners), RefuseThreshold)
 }
 
 // TestOldCrashesExpire: crashes count for a bounded time.
 func TestOldCrashesExpire(t *testing.T) {
 	tally := NewTally()
-	tally.Crashed("r1", []Identity{testIdentity(0)}, start)
-	assert.Equal(t, len(tally.Crashed("r2", []Identity{testIdentity(0)}, start.Add(evidenceLifetime+1))), 0)
+	tally.RecordCrash("r1", []Identity{testIdentity(0)}, start)
+	assert.Equal(t, len(tally.RecordCrash("r2", []Identity{testIdentity(0)}, start.Add(evidenceLifetime+1))), 0)
 	assert.Equal(t, tally.Expire(start.Add(2*evidenceLifetime)), 1)
 	assert.Equal(t, tally.Expire(start.Add(2*evidenceLifetime+2)), 0)
 }
@@ -62,17 +62,17 @@
 // exhaust memory nor evict a request with two.
 func TestFloodLeavesWhatIsSuspected(t *testing.T) {
 	tally := NewTally()
-	tally.Crashed("r1", []Identity{testIdentity(0)}, start)
-	tally.Crashed("r2", []Identity{testIdentity(0)}, start)
+	tally.RecordCrash("r1", []Identity{testIdentity(0)}, start)
+	tally.RecordCrash("r2", []Identity{testIdentity(0)}, start)
 	for number := range 1_000_000 / 64 {
 		batch := make([]Identity, 64)
 		for index := range batch {
 			batch[index] = testIdentity(1 + number*64 + index)
 		}
-		tally.Crashed(fmt.Sprint("flood", number), batch, start.Add(time.Duration(number)))
+		tally.RecordCrash(fmt.Sprint("flood", number), batch, start.Add(time.Duration(number)))
 		assert.Assert(t, len(tally.entries) <= maxEntries)
 	}
-	assert.Equal(t, len(tally.Crashed("r3", []Identity{testIdentity(0)}, start)[0].Runners), RefuseThreshold)
+	assert.Equal(t, len(tally.RecordCrash("r3", []Identity{testIdentity(0)}, start)[0].Runners), RefuseThreshold)
 }
 
 // TestOnlyWhatWasAtThreeEndsIsRefused: whichever nodes report crashes in whichever order, a
@@ -94,7 +94,7 @@
 				crashes[request] = make(map[string]bool)
 			}
 			crashes[request][runner] = true
-			marks.Put(tally.Crashed(runner, []Identity{request}, start), start)
+			marks.Put(tally.RecordCrash(runner, []Identity{request}, start), start)
 		}
 		for number := range 6 {
 			mark, _ := marks.Find(testIdentity(number))
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -30,9 +30,9 @@
 	// Self returns the address at which other nodes reach this one.
 	Self func() string
 	// SendReport sends the node at an address the report that the holder also gets.
-	Tell func(ctx context.Context, address string, report wire.PoisonReport) error
+	SendReport func(ctx context.Context, address string, report wire.PoisonReport) error
 	// ReportNow causes the demand of a service to be reported to its holder immediately.
-	Nudge func(service string)
+	ReportNow func(service string)
 	// Holds reports whether this node holds the control lease of a service.
 	Holds func(service string) bool
 	// Wake makes requests that wait for a runner check again.
@@ -96,7 +96,7 @@
 
 // SetAggregators sets the nodes that aggregate in addition to the holder. All nodes set the same
 // ones.
-func (q *Quarantine) SetCounters(addresses []string) {
+func (q *Quarantine) SetAggregators(addresses []string) {
 	if len(addresses) > 0 {
 		aggregators := slices.Clone(addresses[:min(maxAggregators, len(addresses))])
 		q.aggregators.Store(&aggregators)
@@ -117,7 +117,7 @@
 		q.calls.Go(func() {
 			ctx, cancel := context.WithTimeout(q.ctx, reportTimeout)
 			defer cancel()
-			if err := q.Tell(ctx, address, report); err != nil {
+			if err := q.SendReport(ctx, address, report); err != nil {
 				q.Log.V(1).Info("crash report not delivered", "peer", address, "error", err.Error())
 			}
 		})
@@ -138,7 +138,7 @@
 
 // Follow applies a configuration, which determines the service whose holder aggregates.
 func (q *Quarantine) Follow(configuration *config.Configuration) {
-	first := configuration.FirstEngines()
+	first := configuration.FirstEngineService()
 	q.service.Store(&first)
 }
 
@@ -177,7 +177,7 @@
 		q.Log.Info("request no longer suspected of ending runners", "content", request.Short(), "reason", "an attempt of it succeeded")
 		q.lift(request)
 	}
-	q.Nudge(*q.service.Load())
+	q.ReportNow(*q.service.Load())
 }
 
 // Crashed records a runner that crashed while running requests of this node.
@@ -188,11 +188,11 @@
 	q.unreported.Crashes = newest(append(q.unreported.Crashes, report))
 	q.add(c.Runner, c.Requests)
 	q.reportToAggregators(wire.PoisonReport{Crashes: []wire.CrashReport{report}})
-	q.Nudge(*q.service.Load())
+	q.ReportNow(*q.service.Load())
 }
 
 // AddReport adds the report of another node.
-func (q *Quarantine) Count(report wire.PoisonReport) {
+func (q *Quarantine) AddReport(report wire.PoisonReport) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	for _, request := range report.Cleared {
@@ -210,10 +210,10 @@
 	q.tracking.Store(true)
 	for _, request := range requests {
 		if mark, known := q.marks.Find(request); known {
-			q.tally.Learn(mark.Finding, now)
+			q.tally.Merge(mark.Finding, now)
 		}
 	}
-	q.publish(q.tally.Crashed(runner, requests, now))
+	q.publish(q.tally.RecordCrash(runner, requests, now))
 }
 
 // publish applies findings and queues them to be written. mutex is held.
@@ -269,7 +269,7 @@
 }
 
 // ReportsFor returns the reports that are sent along with the demand of a service.
-func (q *Quarantine) Of(service string) Reports {
+func (q *Quarantine) ReportsFor(service string) Reports {
 	return Reports{quarantine: q, service: service}
 }
 
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -26,8 +26,8 @@
 // Handler applies the rows of the table of quarantined requests.
 type Handler Quarantine
 
-// Whole applies the whole table. Requests that it no longer contains were lifted.
-func (h *Handler) Whole(rows []feed.Row, _ time.Duration) {
+// ApplySnapshot applies the whole table. Requests that it no longer contains were lifted.
+func (h *Handler) ApplySnapshot(rows []feed.Row, _ time.Duration) {
 	q := (*Quarantine)(h)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -41,8 +41,8 @@
 	}
 }
 
-// Changed applies changed rows.
-func (h *Handler) Changed(rows []feed.Row) {
+// ApplyChanges applies changed rows.
+func (h *Handler) ApplyChanges(rows []feed.Row) {
 	q := (*Quarantine)(h)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -89,7 +89,7 @@
 			continue
 		}
 		before := len(finding.Runners)
-		merged := q.tally.Learn(finding, time.Now())
+		merged := q.tally.Merge(finding, time.Now())
 		if len(merged.Runners) > before {
 			updated = append(updated, merged)
 		}
@@ -140,7 +140,7 @@
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	for _, request := range q.marks.Spare(time.Now()) {
+	for _, request := range q.marks.Evictable(time.Now()) {
 		q.Log.Info("mark of a request expired", "content", request.Short())
 		q.lift(request)
 	}
--- a/internal/relay/health.go
+++ b/internal/relay/health.go
@@ -45,7 +45,7 @@
 
 // UpstreamFound returns a channel that is closed once this node has found an upstream again, so
 // that a follower in backoff can retry at once.
-func (r *Relay) Found() <-chan struct{} {
+func (r *Relay) UpstreamFound() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.found
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -110,7 +110,7 @@
 	Process string
 	Client  Caller
 	// TakeoverDelay returns how much later than others this node becomes the relay.
-	Reluctance func() time.Duration
+	TakeoverDelay func() time.Duration
 	// FirstStart is set when the whole system starts for the first time, so that no requests wait
 	// for this node yet.
 	FirstStart bool
@@ -122,7 +122,7 @@
 // Relay is the member of a group that runs on one node, as a reader or as the relay. It is safe for
 // concurrent use.
 type Relay struct {
-	lessor  *lease.Lessor
+	lessor  *lease.Elector
 	client  Caller
 	address string
 	log     logr.Logger
@@ -179,8 +179,8 @@
 		firstStart: o.FirstStart, processStarted: time.Now(),
 	}
 	r.lessor = lease.New(o.Leases, o.Group.LeaseKey(), o.Node, o.Address, o.Process, lease.Options{
-		Validity: leaseValidity, Interval: leaseInterval, CallTimeout: leaseTimeout, Reluctance: o.Reluctance, Heard: r.skipLeaseCheck,
-		Nodes: r.Nodes, LookFirst: true, LookAtOnce: !o.FirstStart, Regained: r.storeRecovered, Now: o.Now,
+		Validity: leaseValidity, Interval: leaseInterval, CallTimeout: leaseTimeout, TakeoverDelay: o.TakeoverDelay, Heard: r.skipLeaseCheck,
+		Nodes: r.Nodes, ReadStoreOnce: true, ReadAtStart: !o.FirstStart, Regained: r.storeRecovered, Now: o.Now,
 	}, o.Log)
 	return r
 }
@@ -200,7 +200,7 @@
 // Upstream returns what this node currently reads the tables from.
 func (r *Relay) Upstream() Upstream {
 	record, known := r.lessor.Holder()
-	holds, looked := r.lessor.Holds(), r.lessor.Looked()
+	holds, looked := r.lessor.Holds(), r.lessor.RowKnown()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaseRowRead = r.leaseRowRead || looked
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -141,7 +141,7 @@
 		m.followCalls.Add(1)
 		return m.Follow(ctx, request)
 	})
-	peer.Handle(server, wire.MethodRelay, m.Which)
+	peer.Handle(server, wire.MethodRelay, m.ReportUpstream)
 	go func() { _ = server.Serve(m.listener) }()
 	t.Cleanup(func() { _ = server.Close() })
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/relay/search.go
+++ b/internal/relay/search.go
@@ -161,7 +161,7 @@
 // LeaseQueryPeer returns the address of a node that is likely to know the lease holders: the node
 // that this one reads from, or else a standby. It is empty if this node should read the leases
 // itself.
-func (r *Relay) Informant() string {
+func (r *Relay) LeaseQueryPeer() string {
 	if r.FallsBackToStore() {
 		return ""
 	}
--- a/internal/relay/search_test.go
+++ b/internal/relay/search_test.go
@@ -104,7 +104,7 @@
 func TestStoreIsReadWhenNobodyIsFound(t *testing.T) {
 	store := &fakeStore{}
 	store.write("a")
-	alone := startMember(t, store, "alone", firstStart, func(o *Options) { o.Reluctance = func() time.Duration { return time.Hour } })
+	alone := startMember(t, store, "alone", firstStart, func(o *Options) { o.TakeoverDelay = func() time.Duration { return time.Hour } })
 	alone.SetStandbys([]string{"127.0.0.1:1"})
 	alone.SetNodes(storeProbers + 1)
 	soon, cancel := context.WithTimeout(t.Context(), searchTimeout/10)
@@ -224,7 +224,7 @@
 	_, err = relay.source.Read(t.Context())
 	assert.NilError(t, err)
 	reads := store.reads.Load()
-	joined := startMember(t, store, "two", firstStart, func(o *Options) { o.Reluctance = func() time.Duration { return time.Hour } })
+	joined := startMember(t, store, "two", firstStart, func(o *Options) { o.TakeoverDelay = func() time.Duration { return time.Hour } })
 	joined.SetStandbys([]string{silent.Addr().String(), relay.address})
 	joined.SetNodes(300)
 	_, err = joined.source.Read(t.Context())
--- a/internal/relay/seek.go
+++ b/internal/relay/seek.go
@@ -144,7 +144,7 @@
 }
 
 // ReportUpstream handles another node's query for the relay.
-func (r *Relay) Which(context.Context, wire.Empty) (wire.RelayResponse, error) {
+func (r *Relay) ReportUpstream(context.Context, wire.Empty) (wire.RelayResponse, error) {
 	switch up := r.Upstream().(type) {
 	case Peer:
 		return wire.RelayResponse{Address: up.Address, Token: up.Token}, nil
--- a/internal/relay/simulation_test.go
+++ b/internal/relay/simulation_test.go
@@ -171,10 +171,10 @@
 		address := fmt.Sprintf("10.0.0.%d:1", i)
 		n.Relay = New(Options{
 			Group: "group", Node: fmt.Sprint("node-", i), Leases: storeView{simulatedStore: g.store, cut: &n.cut}, Address: address, Process: fmt.Sprint("process-", i),
-			Client: n, Reluctance: func() time.Duration { return takeoverDelay }, Now: time.Now, Log: logr.Discard(),
+			Client: n, TakeoverDelay: func() time.Duration { return takeoverDelay }, Now: time.Now, Log: logr.Discard(),
 		})
 		for name, options := range simulatedTables {
-			options.Name, options.Pace, options.Woken = string(name), n.Pace, n.Found
+			options.Name, options.Pace, options.RetrySignal = string(name), n.Pace, n.UpstreamFound
 			source := n.Source(name, storeView{simulatedStore: g.store, table: name, cut: &n.cut})
 			n.followers[name] = feed.NewFollower(source, discardHandler{}, options, logr.Discard())
 		}
@@ -202,8 +202,8 @@
 // discardHandler discards all rows.
 type discardHandler struct{}
 
-func (discardHandler) Whole([]feed.Row, time.Duration) {}
-func (discardHandler) Changed([]feed.Row)              {}
+func (discardHandler) ApplySnapshot([]feed.Row, time.Duration) {}
+func (discardHandler) ApplyChanges([]feed.Row)                 {}
 
 func (n *simulatedNode) address() string { return n.Relay.address }
 
@@ -224,7 +224,7 @@
 	case *wire.FollowResponse:
 		*answer, err = other.Follow(ctx, request.(wire.FollowRequest))
 	case *wire.RelayResponse:
-		*answer, err = other.Which(ctx, wire.Empty{})
+		*answer, err = other.ReportUpstream(ctx, wire.Empty{})
 	default:
 		return failed(errors.New("no such method"))
 	}
@@ -258,7 +258,7 @@
 func (g *simulatedGroup) allHave(revision uint64) bool {
 	for _, n := range g.nodes {
 		connected := !n.cut.Load() && !n.gone.Load() && !n.mute.Load()
-		if connected && n.followers["configuration"].Taken() < revision {
+		if connected && n.followers["configuration"].AppliedRevision() < revision {
 			return false
 		}
 	}
--- a/internal/relay/stale_test.go
+++ b/internal/relay/stale_test.go
@@ -52,7 +52,7 @@
 	assert.Equal(t, r.Upstream(), relay)
 	r.switchUpstream(relay, relay, "10.0.0.5:1")
 	assert.Equal(t, r.Upstream(), relay)
-	found := r.Found()
+	found := r.UpstreamFound()
 	r.switchUpstream(reader, relay, "10.0.0.5:1")
 	assert.Equal(t, r.Upstream(), reader)
 	<-found
--- a/internal/scheduler/adapters.go
+++ b/internal/scheduler/adapters.go
@@ -47,8 +47,8 @@
 
 // compareHomes orders bound homes before unbound ones.
 func compareHomes(a, b place.Homes) int {
-	if a.Bound() != b.Bound() {
-		if a.Bound() {
+	if a.Restricted() != b.Restricted() {
+		if a.Restricted() {
 			return -1
 		}
 		return 1
@@ -64,10 +64,10 @@
 			continue
 		}
 		held := runner.Models[unit.Model]
-		if held == nil || held.Leaving || runner.Drained || runner.Out {
+		if held == nil || held.Unloading || runner.Drained || runner.Out {
 			continue
 		}
-		if adapter := held.Adapters[unit.Adapter]; adapter != nil && !adapter.Leaving {
+		if adapter := held.Adapters[unit.Adapter]; adapter != nil && !adapter.Unloading {
 			return true
 		}
 	}
@@ -119,7 +119,7 @@
 		// The adapter is still being unloaded from this runner.
 		return 0, false
 	}
-	if !runner.Ready || runner.Drained || runner.Out || p.reserved[runner.ID] || held == nil || held.Coming || held.Leaving || held.Uncertain {
+	if !runner.Ready || runner.Drained || runner.Out || p.reserved[runner.ID] || held == nil || held.Loading || held.Unloading || held.Uncertain {
 		return 0, false
 	}
 	if runner.Free < p.state.Engine.Models[unit.Model].AdapterSize {
@@ -144,7 +144,7 @@
 		for _, name := range slices.Sorted(maps.Keys(runner.Models[model].Adapters)) {
 			unit := backend.Unit{Model: model, Adapter: name}
 			adapter := runner.Models[model].Adapters[name]
-			if unit == wanted || adapter.Coming || adapter.Leaving || adapter.Active > 0 {
+			if unit == wanted || adapter.Loading || adapter.Unloading || adapter.Active > 0 {
 				continue
 			}
 			used := time.Time{}
--- a/internal/scheduler/evict.go
+++ b/internal/scheduler/evict.go
@@ -83,7 +83,7 @@
 	var victims []victim
 	for _, name := range slices.Sorted(maps.Keys(runner.Models)) {
 		held, weights := runner.Models[name], p.state.Engine.Models[name]
-		if p.copies.total[name] <= p.state.Floors[name] || held.Coming || held.Leaving || held.Uncertain || weights == nil || p.isOnlyReady(runner, name) {
+		if p.copies.total[name] <= p.state.Floors[name] || held.Loading || held.Unloading || held.Uncertain || weights == nil || p.isOnlyReady(runner, name) {
 			continue
 		}
 		victims = append(victims, victim{model: name, size: weights.Size, unloadCost: p.unloadCost(runner, name)})
--- a/internal/scheduler/homes.go
+++ b/internal/scheduler/homes.go
@@ -34,7 +34,7 @@
 
 // in returns the number of replicas of a model in the given homes.
 func (r replicas) in(model string, homes place.Homes) int {
-	if !homes.Bound() {
+	if !homes.Restricted() {
 		return r.total[model]
 	}
 	count := 0
@@ -51,7 +51,7 @@
 	if !divided {
 		return []Part{{Demand: p.state.Demand[unit]}}
 	}
-	bound := slices.DeleteFunc(slices.Clone(parts), func(part Part) bool { return !part.Homes.Bound() })
+	bound := slices.DeleteFunc(slices.Clone(parts), func(part Part) bool { return !part.Homes.Restricted() })
 	return append(bound, p.unboundPart(unit, bound, parts))
 }
 
@@ -59,7 +59,7 @@
 // up capacity of the replicas that serve them, so their work is added, up to what those
 // replicas can take. Work beyond that could not run on any other replica.
 func (p *planner) unboundPart(unit backend.Unit, bound, parts []Part) Part {
-	at := slices.IndexFunc(parts, func(part Part) bool { return !part.Homes.Bound() })
+	at := slices.IndexFunc(parts, func(part Part) bool { return !part.Homes.Restricted() })
 	if at < 0 {
 		return Part{}
 	}
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -99,16 +99,16 @@
 		}
 		for model, held := range runner.Models {
 			p.holding[model] = append(p.holding[model], runner)
-			if runner.Out && !runner.Silent && !held.Coming && !held.Leaving {
+			if runner.Out && !runner.Silent && !held.Loading && !held.Unloading {
 				p.out.add(runner, model, 1)
 			}
 			p.present[p.replicaLimitKey(model)]++
-			if !held.Leaving && !held.Uncertain {
+			if !held.Unloading && !held.Uncertain {
 				p.staying[p.replicaLimitKey(model)]++
 			}
-			if !held.Leaving && !held.Uncertain && runner.serves() {
+			if !held.Unloading && !held.Uncertain && runner.serves() {
 				p.countCopy(runner, model, 1)
-				if !held.Coming {
+				if !held.Loading {
 					p.countReady(runner, model, 1)
 				}
 			}
@@ -183,7 +183,7 @@
 		for _, model := range slices.Sorted(maps.Keys(runner.Models)) {
 			held := runner.Models[model]
 			reason := p.unloadReason(runner, model)
-			if reason == "" || held.Coming || held.Leaving || held.Uncertain {
+			if reason == "" || held.Loading || held.Unloading || held.Uncertain {
 				continue
 			}
 			p.reserved[runner.ID] = true
@@ -250,7 +250,7 @@
 // only to the part without homes.
 func (p *planner) desired(model string, part Part) int {
 	floor, demand := 0, part.Demand
-	if !part.Homes.Bound() {
+	if !part.Homes.Restricted() {
 		floor = p.state.Floors[model]
 	}
 	if demand == nil {
@@ -294,7 +294,7 @@
 	}
 	return need{
 		model: model, homes: part.Homes, demand: demand, holders: holders, waiting: holders == 0 && demand.Waiting > 0,
-		floor: !part.Homes.Bound() && holders < p.state.Floors[model], evacuates: p.needsEvacuation(model, part),
+		floor: !part.Homes.Restricted() && holders < p.state.Floors[model], evacuates: p.needsEvacuation(model, part),
 	}, true
 }
 
@@ -302,8 +302,8 @@
 // precedence as such. Among needs with waiting requests for the same model, one with homes
 // comes first, because its replica also serves the requests without homes.
 func compareNeeds(a, b need) int {
-	if a.model == b.model && a.waiting && b.waiting && a.homes.Bound() != b.homes.Bound() {
-		if a.homes.Bound() {
+	if a.model == b.model && a.waiting && b.waiting && a.homes.Restricted() != b.homes.Restricted() {
+		if a.homes.Restricted() {
 			return -1
 		}
 		return 1
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -139,7 +139,7 @@
 	state := testState(2, 4)
 	state.Runners[0].hold("m0")
 	state.Runners[0].hold("m1")
-	state.Runners[1].hold("m0").Coming = true
+	state.Runners[1].hold("m0").Loading = true
 	state.Runners[1].Idle = false
 	state.Runners[1].BusyFor = 5 * time.Second
 	state.Demand[backend.Unit{Model: "m0"}] = &Demand{Rate: 1, Work: 0.02, LastUse: testNow}
@@ -294,7 +294,7 @@
 			if runner.Free >= 70 && rapid.Bool().Draw(t, "holds") {
 				held := runner.hold(fmt.Sprintf("m%d", index))
 				held.Active = rapid.IntRange(0, 2).Draw(t, "active")
-				held.Leaving = rapid.SampledFrom([]bool{false, false, true}).Draw(t, "leaving")
+				held.Unloading = rapid.SampledFrom([]bool{false, false, true}).Draw(t, "leaving")
 			}
 		}
 	}
--- a/internal/scheduler/state.go
+++ b/internal/scheduler/state.go
@@ -82,8 +82,8 @@
 // Held is a model on a runner. It is Loading while it is loaded and Unloading while it is
 // unloaded.
 type Held struct {
-	Coming  bool
-	Leaving bool
+	Loading   bool
+	Unloading bool
 	// Uncertain is set if the model is only there if an unanswered order was carried out.
 	Uncertain bool
 	// Active is the number of active requests for the model.
@@ -93,8 +93,8 @@
 
 // Adapter is an adapter on a runner, with the same states as Held.
 type Adapter struct {
-	Coming  bool
-	Leaving bool
+	Loading   bool
+	Unloading bool
 	// Active is the number of active requests for the adapter.
 	Active int
 }
--- a/internal/scheduler/zones_test.go
+++ b/internal/scheduler/zones_test.go
@@ -106,7 +106,7 @@
 			out[runner.ID] = runner.Out
 			for range rapid.IntRange(0, 2).Draw(t, "held") {
 				held := runner.hold(drawModel(t, state))
-				held.Coming = rapid.Bool().Draw(t, "coming")
+				held.Loading = rapid.Bool().Draw(t, "coming")
 				held.Adapters["a"] = &Adapter{}
 			}
 		}
--- a/internal/sleep/keeper.go
+++ b/internal/sleep/keeper.go
@@ -22,8 +22,8 @@
 	// IdlePerColdSecond is the number of idle seconds that a cold start of one second is
 	// worth. A cold start that is n times as long is worth n to the power of TailPower times
 	// as much, so that the tail of the cold starts counts and not the mean.
-	Exchange  float64
-	TailPower float64
+	IdlePerColdSecond float64
+	TailPower         float64
 	// Limit is the maximum keep-alive time.
 	Limit time.Duration
 }
@@ -31,7 +31,7 @@
 // penalty returns the value of a cold start in idle seconds of the unit itself: a unit that
 // takes a small share of a runner costs little to keep.
 func (s Settings) penalty(r Replica) float64 {
-	return s.Exchange * math.Pow(r.LoadTime.Seconds(), s.TailPower) / max(r.Share, minShare)
+	return s.IdlePerColdSecond * math.Pow(r.LoadTime.Seconds(), s.TailPower) / max(r.Share, minShare)
 }
 
 // minShare limits how cheap it is to keep a small unit.
@@ -54,7 +54,7 @@
 }
 
 // KeepAlive returns how long a replica stays loaded while it is idle.
-func (k *Keeper) For(replica Replica) time.Duration {
+func (k *Keeper) KeepAlive(replica Replica) time.Duration {
 	if k.settings.Fixed > 0 {
 		return k.settings.Fixed
 	}
--- a/internal/sleep/sleep_test.go
+++ b/internal/sleep/sleep_test.go
@@ -43,7 +43,7 @@
 // TestPatternWakesAhead checks that a model used every morning is loaded ahead of that, and
 // not at night.
 func TestPatternWakesAhead(t *testing.T) {
-	keeper := NewKeeper(Settings{Exchange: 60, TailPower: 1, Limit: time.Hour})
+	keeper := NewKeeper(Settings{IdlePerColdSecond: 60, TailPower: 1, Limit: time.Hour})
 	start := time.Date(2026, time.March, 2, 0, 0, 0, 0, time.UTC)
 	for minute := 0; minute < 5*24*60; minute += 5 {
 		at := start.Add(time.Duration(minute) * time.Minute)
--- a/internal/statement/limit.go
+++ b/internal/statement/limit.go
@@ -25,7 +25,7 @@
 }
 
 // lift ends a runner's limit, after an answer to a request that states none.
-func (b *Book) lift(source Source) {
+func (b *Registry) lift(source Source) {
 	if b.recordCount.Load() == 0 {
 		return
 	}
@@ -33,13 +33,13 @@
 		return
 	}
 	b.options.Log.Info("runner names no limit any more", "runner", source.Runner, "request", source.Request)
-	if b.options.Widened != nil {
-		b.options.Widened()
+	if b.options.OnCapacity != nil {
+		b.options.OnCapacity()
 	}
 }
 
 // clearLimit removes a limit, and reports whether there was one.
-func (b *Book) clearLimit(runner string) bool {
+func (b *Registry) clearLimit(runner string) bool {
 	now := b.options.Now()
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -52,7 +52,7 @@
 }
 
 // LimitReport is a runner's limit and how long ago the runner last stated it.
-type HeardLimit struct {
+type LimitReport struct {
 	Runner string
 	// Rate is the limit in requests per second.
 	Rate float64
@@ -60,36 +60,36 @@
 }
 
 // Limits returns the limits in force, the most recently stated first.
-func (b *Book) Limits() []HeardLimit {
+func (b *Registry) Limits() []LimitReport {
 	return b.heardLimits(func(r *record) time.Time { return r.limitedAt })
 }
 
 // HeardLimits returns the limits in force that this node itself read from answers, with the age
 // of its own readings. Nodes pass on only these to others.
-func (b *Book) HeardLimits() []HeardLimit {
+func (b *Registry) HeardLimits() []LimitReport {
 	return b.heardLimits(func(r *record) time.Time { return r.heardLimitAt })
 }
 
 // heardLimits returns the limits in force, with ages by the given time.
-func (b *Book) heardLimits(at func(*record) time.Time) []HeardLimit {
+func (b *Registry) heardLimits(at func(*record) time.Time) []LimitReport {
 	if b == nil || b.recordCount.Load() == 0 {
 		return nil
 	}
 	now, duration := b.options.Now(), b.options.Limits().LimitFor
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
-	var heard []HeardLimit
+	var heard []LimitReport
 	for id, rec := range b.runners {
 		if last := at(rec); rec.limited(now, duration) && within(last, now, duration) {
-			heard = append(heard, HeardLimit{Runner: id, Rate: rec.rate, Age: now.Sub(last)})
+			heard = append(heard, LimitReport{Runner: id, Rate: rec.rate, Age: now.Sub(last)})
 		}
 	}
-	slices.SortFunc(heard, func(x, y HeardLimit) int { return cmp.Or(cmp.Compare(x.Age, y.Age), cmp.Compare(x.Runner, y.Runner)) })
+	slices.SortFunc(heard, func(x, y LimitReport) int { return cmp.Or(cmp.Compare(x.Age, y.Age), cmp.Compare(x.Runner, y.Runner)) })
 	return heard
 }
 
 // LearnLimits records limits that another node passed on.
-func (b *Book) LearnLimits(peer string, heard []HeardLimit) {
+func (b *Registry) LearnLimits(peer string, heard []LimitReport) {
 	for _, report := range heard {
 		if b.learnLimit(report) {
 			b.announce(Source{Runner: report.Runner, Peer: peer}, Limit{Rate: report.Rate})
@@ -99,7 +99,7 @@
 
 // learnLimit records one of them, and reports whether it is a change. A report that is older
 // than what this node knows changes nothing.
-func (b *Book) learnLimit(heard HeardLimit) bool {
+func (b *Registry) learnLimit(heard LimitReport) bool {
 	now, limits := b.options.Now(), b.options.Limits()
 	age := max(heard.Age, 0)
 	if heard.Runner == "" || !(heard.Rate >= limits.LeastRate) || math.IsInf(heard.Rate, 0) || age >= limits.LimitFor {
--- a/internal/statement/registry.go
+++ b/internal/statement/registry.go
@@ -44,15 +44,15 @@
 	// Observe, if set, is called for each statement.
 	Observe func(Kind)
 	// OnChange, if set, is called with each statement that changes what was known of the runner.
-	News func(source Source, statement Statement)
+	OnChange func(source Source, statement Statement)
 	// OnCapacity, if set, is called when a runner that has rested may get more requests at once,
 	// or when a runner's limit ends.
-	Widened func()
+	OnCapacity func()
 }
 
 // Registry holds the current statements of runners. Its methods may be called concurrently; a
 // nil Registry reads and holds nothing.
-type Book struct {
+type Registry struct {
 	options Options
 	// recordCount is the size of runners, so that callers need no lock while it is zero.
 	recordCount atomic.Int64
@@ -92,13 +92,13 @@
 )
 
 // NewRegistry returns an empty registry.
-func NewBook(options Options) *Book {
-	return &Book{options: options, runners: make(map[string]*record)}
+func NewRegistry(options Options) *Registry {
+	return &Registry{options: options, runners: make(map[string]*record)}
 }
 
 // ReadHeader reads the statements in the header of a runner's answer. An answer with status 421
 // is ignored: another runner that now has the address may have sent it.
-func (b *Book) Hear(source Source, status int, header http.Header) {
+func (b *Registry) ReadHeader(source Source, status int, header http.Header) {
 	if b == nil || source.Runner == "" || status == http.StatusMisdirectedRequest {
 		return
 	}
@@ -125,7 +125,7 @@
 const problemLogInterval = time.Second
 
 // reportProblems counts and logs statements that were not accepted as given.
-func (b *Book) reportProblems(source Source, status int, problems []string) {
+func (b *Registry) reportProblems(source Source, status int, problems []string) {
 	b.count(KindDoubtful)
 	now := b.options.Now()
 	b.mutex.Lock()
@@ -141,7 +141,7 @@
 }
 
 // widen enlarges the window of a runner that has rested, after it answered a request.
-func (b *Book) widen(runner string) {
+func (b *Registry) widen(runner string) {
 	if b.recordCount.Load() == 0 {
 		return
 	}
@@ -149,26 +149,26 @@
 	rec := b.runners[runner]
 	widened := rec != nil && rec.widen(b.options.Now())
 	b.mutex.Unlock()
-	if widened && b.options.Widened != nil {
-		b.options.Widened()
+	if widened && b.options.OnCapacity != nil {
+		b.options.OnCapacity()
 	}
 }
 
-func (b *Book) count(kind Kind) {
+func (b *Registry) count(kind Kind) {
 	if b.options.Observe != nil {
 		b.options.Observe(kind)
 	}
 }
 
 // apply records a statement and announces it if it is a change.
-func (b *Book) apply(source Source, statement Statement) {
+func (b *Registry) apply(source Source, statement Statement) {
 	if b.update(source, statement) {
 		b.announce(source, statement)
 	}
 }
 
 // announce logs a change and passes it to Options.OnChange.
-func (b *Book) announce(source Source, statement Statement) {
+func (b *Registry) announce(source Source, statement Statement) {
 	switch statement := statement.(type) {
 	case Leaving:
 		b.options.Log.Info("runner says that it leaves", "runner", source.Runner, "request", source.Request, "peer", source.Peer)
@@ -177,13 +177,13 @@
 	case Limit:
 		b.options.Log.Info("runner names a limit", "runner", source.Runner, "request", source.Request, "peer", source.Peer, "rate", statement.Rate)
 	}
-	if b.options.News != nil {
-		b.options.News(source, statement)
+	if b.options.OnChange != nil {
+		b.options.OnChange(source, statement)
 	}
 }
 
 // update records a statement and reports whether it is a change.
-func (b *Book) update(source Source, statement Statement) bool {
+func (b *Registry) update(source Source, statement Statement) bool {
 	now := b.options.Now()
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -206,7 +206,7 @@
 
 // recordOf returns a runner's record, creating an empty one if needed, and removes expired
 // records. mutex is held.
-func (b *Book) recordOf(runner string, now time.Time) *record {
+func (b *Registry) recordOf(runner string, now time.Time) *record {
 	b.sweep(now)
 	rec := b.runners[runner]
 	if rec == nil {
@@ -233,7 +233,7 @@
 }
 
 // State returns what a runner stated that is still in force.
-func (b *Book) Of(runner string) State {
+func (b *Registry) State(runner string) State {
 	if b == nil || b.recordCount.Load() == 0 {
 		return State{}
 	}
@@ -255,7 +255,7 @@
 }
 
 // CountResting returns the number of runners that want no requests from this node now.
-func (b *Book) CountResting() int {
+func (b *Registry) CountResting() int {
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
 	now, count := b.options.Now(), 0
@@ -303,7 +303,7 @@
 }
 
 // sweep removes records with nothing in force. mutex is held.
-func (b *Book) sweep(now time.Time) {
+func (b *Registry) sweep(now time.Time) {
 	duration := b.options.Limits().LeavingFor
 	for id, rec := range b.runners {
 		if !rec.leaves(now, duration) && !rec.limited(now, b.options.Limits().LimitFor) && !within(rec.liftedAt, now, b.options.Limits().LimitFor) && !now.Before(rec.restsUntil) && !rec.recovering(now) && !within(rec.problemLoggedAt, now, problemLogInterval) {
--- a/internal/statement/registry_test.go
+++ b/internal/statement/registry_test.go
@@ -12,13 +12,13 @@
 )
 
 // testRegistry returns a registry with a clock that the test advances, and the changes it announces.
-func testRegistry() (registry *Book, now *time.Time, changes *[]Statement) {
+func testRegistry() (registry *Registry, now *time.Time, changes *[]Statement) {
 	now, changes = new(time.Time), new([]Statement)
 	*now = time.Unix(1000, 0)
-	registry = NewBook(Options{
+	registry = NewRegistry(Options{
 		Headers: Headers{Leaving: testHeader, Limit: testLimitHeader}, Now: func() time.Time { return *now }, Log: logr.Discard(),
-		Limits: func() Limits { return testLimits },
-		News:   func(_ Source, statement Statement) { *changes = append(*changes, statement) },
+		Limits:   func() Limits { return testLimits },
+		OnChange: func(_ Source, statement Statement) { *changes = append(*changes, statement) },
 	})
 	return registry, now, changes
 }
@@ -37,19 +37,19 @@
 func TestLeavingExpires(t *testing.T) {
 	registry, now, changes := testRegistry()
 	runner := Source{Runner: "r1"}
-	registry.Hear(runner, http.StatusOK, leavingHead)
-	registry.Hear(runner, http.StatusOK, plainHead)
-	assert.Assert(t, registry.Of("r1").Leaving)
-	assert.Assert(t, !registry.Of("r2").Leaving)
+	registry.ReadHeader(runner, http.StatusOK, leavingHead)
+	registry.ReadHeader(runner, http.StatusOK, plainHead)
+	assert.Assert(t, registry.State("r1").Leaving)
+	assert.Assert(t, !registry.State("r2").Leaving)
 	*now = now.Add(testLimits.LeavingFor - time.Second)
-	registry.Hear(runner, http.StatusInternalServerError, leavingHead)
+	registry.ReadHeader(runner, http.StatusInternalServerError, leavingHead)
 	*now = now.Add(testLimits.LeavingFor - time.Second)
-	assert.Assert(t, registry.Of("r1").Leaving)
+	assert.Assert(t, registry.State("r1").Leaving)
 	assert.Equal(t, len(*changes), 1)
 	*now = now.Add(time.Second)
-	assert.Assert(t, !registry.Of("r1").Leaving)
-	registry.Hear(runner, http.StatusOK, leavingHead)
-	assert.Assert(t, registry.Of("r1").Leaving)
+	assert.Assert(t, !registry.State("r1").Leaving)
+	registry.ReadHeader(runner, http.StatusOK, leavingHead)
+	assert.Assert(t, registry.State("r1").Leaving)
 	assert.Equal(t, len(*changes), 2)
 }
 
@@ -58,17 +58,17 @@
 func TestRestLastsUntilItsLatestEnd(t *testing.T) {
 	registry, now, changes := testRegistry()
 	runner := Source{Runner: "r1", Request: "q"}
-	registry.Hear(runner, http.StatusServiceUnavailable, restHead("3"))
+	registry.ReadHeader(runner, http.StatusServiceUnavailable, restHead("3"))
 	*now = now.Add(time.Second)
-	registry.Hear(runner, http.StatusServiceUnavailable, restHead("1"))
-	assert.Equal(t, registry.Of("r1").Rest, 2*time.Second)
-	registry.Hear(runner, http.StatusServiceUnavailable, restHead("2.5"))
-	assert.Equal(t, registry.Of("r1").Rest, 2500*time.Millisecond)
+	registry.ReadHeader(runner, http.StatusServiceUnavailable, restHead("1"))
+	assert.Equal(t, registry.State("r1").Rest, 2*time.Second)
+	registry.ReadHeader(runner, http.StatusServiceUnavailable, restHead("2.5"))
+	assert.Equal(t, registry.State("r1").Rest, 2500*time.Millisecond)
 	assert.Equal(t, registry.CountResting(), 1)
 	assert.Equal(t, len(*changes), 1)
 	*now = now.Add(3 * time.Second)
-	assert.Equal(t, registry.Of("r1").Rest, time.Duration(0))
-	registry.Hear(runner, http.StatusServiceUnavailable, restHead("1"))
+	assert.Equal(t, registry.State("r1").Rest, time.Duration(0))
+	registry.ReadHeader(runner, http.StatusServiceUnavailable, restHead("1"))
 	assert.Equal(t, len(*changes), 2)
 }
 
@@ -78,12 +78,12 @@
 	registry, now, _ := testRegistry()
 	registry.options.Log = funcr.New(func(_, _ string) { lines++ }, funcr.Options{})
 	for range 50 {
-		registry.Hear(Source{Runner: "r1"}, http.StatusOK, http.Header{testHeader: {"maybe"}})
+		registry.ReadHeader(Source{Runner: "r1"}, http.StatusOK, http.Header{testHeader: {"maybe"}})
 	}
 	assert.Equal(t, lines, 1)
-	assert.Equal(t, registry.Of("r1"), State{})
+	assert.Equal(t, registry.State("r1"), State{})
 	*now = now.Add(problemLogInterval)
-	registry.Hear(Source{Runner: "r1"}, http.StatusOK, http.Header{testHeader: {"maybe"}})
+	registry.ReadHeader(Source{Runner: "r1"}, http.StatusOK, http.Header{testHeader: {"maybe"}})
 	assert.Equal(t, lines, 2)
 }
 
@@ -91,48 +91,48 @@
 // unknown one, says nothing about the runner that was meant.
 func TestNotEveryAnswerIsHeard(t *testing.T) {
 	registry, _, _ := testRegistry()
-	registry.Hear(Source{Runner: "r1"}, http.StatusMisdirectedRequest, leavingHead)
-	registry.Hear(Source{}, http.StatusOK, leavingHead)
-	assert.Equal(t, registry.Of("r1"), State{})
-	assert.Equal(t, registry.Of(""), State{})
-	var none *Book
-	none.Hear(Source{Runner: "r1"}, http.StatusOK, leavingHead)
-	assert.Equal(t, none.Of("r1"), State{})
+	registry.ReadHeader(Source{Runner: "r1"}, http.StatusMisdirectedRequest, leavingHead)
+	registry.ReadHeader(Source{}, http.StatusOK, leavingHead)
+	assert.Equal(t, registry.State("r1"), State{})
+	assert.Equal(t, registry.State(""), State{})
+	var none *Registry
+	none.ReadHeader(Source{Runner: "r1"}, http.StatusOK, leavingHead)
+	assert.Equal(t, none.State("r1"), State{})
 }
 
 // TestExpiredRecordsAreRemoved: expired records are removed.
 func TestExpiredRecordsAreRemoved(t *testing.T) {
 	registry, now, _ := testRegistry()
 	for _, id := range []string{"r1", "r2", "r3"} {
-		registry.Hear(Source{Runner: id}, http.StatusServiceUnavailable, restHead("2"))
+		registry.ReadHeader(Source{Runner: id}, http.StatusServiceUnavailable, restHead("2"))
 	}
 	*now = now.Add(testLimits.LeavingFor)
-	registry.Hear(Source{Runner: "r4"}, http.StatusOK, leavingHead)
+	registry.ReadHeader(Source{Runner: "r4"}, http.StatusOK, leavingHead)
 	assert.Equal(t, registry.recordCount.Load(), int64(1))
 }
 
 // TestConcurrentReads reads headers concurrently, for the race detector.
 func TestConcurrentReads(t *testing.T) {
-	registry := NewBook(Options{Headers: Headers{Leaving: testHeader, Limit: testLimitHeader}, Now: time.Now, Log: logr.Discard(), Limits: func() Limits { return testLimits }})
+	registry := NewRegistry(Options{Headers: Headers{Leaving: testHeader, Limit: testLimitHeader}, Now: time.Now, Log: logr.Discard(), Limits: func() Limits { return testLimits }})
 	var readers sync.WaitGroup
 	for range 8 {
 		readers.Go(func() {
 			for range 200 {
-				registry.Hear(Source{Runner: "r1"}, http.StatusServiceUnavailable, restHead("2"))
-				registry.Hear(Source{Runner: "r1"}, http.StatusOK, leavingHead)
-				registry.Of("r1")
+				registry.ReadHeader(Source{Runner: "r1"}, http.StatusServiceUnavailable, restHead("2"))
+				registry.ReadHeader(Source{Runner: "r1"}, http.StatusOK, leavingHead)
+				registry.State("r1")
 			}
 		})
 	}
 	readers.Wait()
-	assert.Assert(t, registry.Of("r1").Leaving && registry.Of("r1").Rest > 0)
+	assert.Assert(t, registry.State("r1").Leaving && registry.State("r1").Rest > 0)
 }
 
 // BenchmarkState measures the lookup of a runner that stated nothing, next to one that did.
 func BenchmarkState(b *testing.B) {
-	registry := NewBook(Options{Headers: Headers{Leaving: testHeader, Limit: testLimitHeader}, Now: time.Now, Log: logr.Discard(), Limits: func() Limits { return testLimits }})
-	registry.Hear(Source{Runner: "r1"}, http.StatusOK, leavingHead)
+	registry := NewRegistry(Options{Headers: Headers{Leaving: testHeader, Limit: testLimitHeader}, Now: time.Now, Log: logr.Discard(), Limits: func() Limits { return testLimits }})
+	registry.ReadHeader(Source{Runner: "r1"}, http.StatusOK, leavingHead)
 	for b.Loop() {
-		registry.Of("r2")
+		registry.State("r2")
 	}
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -109,7 +109,7 @@
 	if !conn.idleSince.IsZero() {
 		p.trust.Answered(conn.idleSince)
 	}
-	p.Statements.Hear(statement.Source{Runner: call.Incarnation, Request: call.RequestID}, response.StatusCode, response.Header)
+	p.Statements.ReadHeader(statement.Source{Runner: call.Incarnation, Request: call.RequestID}, response.StatusCode, response.Header)
 	return &Answer{
 		Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
 		NotRun: response.Header.Get(p.names.NotRun) != "" || response.StatusCode == http.StatusMisdirectedRequest,
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -33,7 +33,7 @@
 	Links *link.Record
 	// Statements receives the heads of all answers; it may be nil, and is set before the pool is
 	// used.
-	Statements *statement.Book
+	Statements *statement.Registry
 	// Wrap wraps each new connection to a runner; nil for none.
 	Wrap func(runner string, conn net.Conn) net.Conn
 
@@ -102,10 +102,10 @@
 		return link.Expired, true
 	case !quiescent(conn.Conn):
 		return link.Ended, true
-	case proved && p.trust.Doubts(conn.idleSince):
+	case proved && p.trust.Suspects(conn.idleSince):
 		return link.Distrusted, true
 	default:
-		return link.Unproved, proved && now.Sub(conn.idleSince) >= link.ProvedFor
+		return link.Unproved, proved && now.Sub(conn.idleSince) >= link.TrustedIdle
 	}
 }
 
--- a/internal/upstream/proved_test.go
+++ b/internal/upstream/proved_test.go
@@ -20,7 +20,7 @@
 	pool := NewPool(testNames)
 	pool.Links = &link.Record{}
 	leaveIdle(t, pool, s, "a", 3)
-	time.Sleep(link.ProvedFor)
+	time.Sleep(link.TrustedIdle)
 	call := s.call("last")
 	call.Runner, call.Proved = "a", true
 	ctx, cancel := context.WithTimeoutCause(t.Context(), minMuteTime, errOver)
--- a/internal/upstream/silent.go
+++ b/internal/upstream/silent.go
@@ -17,9 +17,9 @@
 // arrived, only probes are sent, and some of these may get lost.
 func (c *connection) startSend() {
 	if c.sendTimedOut {
-		link.Send(c.Conn)
+		link.RestoreAckTimeout(c.Conn)
 	}
-	c.sendTimer = time.AfterFunc(link.RunnerSending, func() { link.Wait(c.Conn) })
+	c.sendTimer = time.AfterFunc(link.RunnerSending, func() { link.RelaxAckTimeout(c.Conn) })
 }
 
 // endExchange ends an exchange whose connection may be used again.
@@ -57,7 +57,7 @@
 // the connection last was known to work; zero when it never was. A client that left says nothing
 // about the connection.
 func (p *Pool) checkSilence(ctx context.Context, conn *connection, step, runner string, silentFrom time.Time, cause error) {
-	if link.Lost(cause) {
+	if link.AckTimedOut(cause) {
 		p.handleSilence(conn, link.Unacknowledged, step, runner, cause)
 		return
 	}
--- a/internal/upstream/silent_test.go
+++ b/internal/upstream/silent_test.go
@@ -130,7 +130,7 @@
 	assert.NilError(t, err)
 	// The new one may be used again, also by such a request.
 	assert.Equal(t, len(idleOf(pool, "b")), 1)
-	assert.Assert(t, !pool.trust.Doubts(idleOf(pool, "b")[0].idleSince))
+	assert.Assert(t, !pool.trust.Suspects(idleOf(pool, "b")[0].idleSince))
 }
 
 // TestRestDuringASilenceIsNotTrusted checks that a connection that became idle while a request
--- a/internal/weightstore/weightstore.go
+++ b/internal/weightstore/weightstore.go
@@ -126,7 +126,7 @@
 // tracked. If a load is already late, the store carries fewer loads than estimated: the
 // expected time is then the next one that results from a smaller whole number of loads at full
 // speed.
-func (e *Estimator) Left(runner string, now time.Time) time.Duration {
+func (e *Estimator) Remaining(runner string, now time.Time) time.Duration {
 	l := e.loads[runner]
 	if l == nil {
 		return 0
--- a/internal/weightstore/weightstore_test.go
+++ b/internal/weightstore/weightstore_test.go
@@ -195,8 +195,8 @@
 	for _, test := range []struct{ passed, left time.Duration }{
 		{0, 10 * time.Second}, {9 * time.Second, time.Second}, {11 * time.Second, 2333 * time.Millisecond}, {14 * time.Second, 6 * time.Second}, {21 * time.Second, 19 * time.Second}, {50 * time.Second, 0},
 	} {
-		left := e.Left("d", at.Add(test.passed))
+		left := e.Remaining("d", at.Add(test.passed))
 		assert.Assert(t, (left-test.left).Abs() < time.Millisecond, "%s: %s", test.passed, left)
 	}
-	assert.Equal(t, e.Left("nobody", at), time.Duration(0))
+	assert.Equal(t, e.Remaining("nobody", at), time.Duration(0))
 }
--- a/internal/wire/numbers_test.go
+++ b/internal/wire/numbers_test.go
@@ -14,7 +14,7 @@
 	for _, message := range []any{
 		SyncRequest{}, SyncResponse{}, FleetResponse{}, ExplainResponse{}, Entry{}, Decision{}, Obstacle{}, Member{},
 		RunnerStatus{}, ReplicaStatus{}, StoreStatus{}, PermitsWanted{}, PermitsLent{}, UnitWaiting{}, UnitUsage{},
-		RunnerUsage{}, RunnerView{}, UnitHeld{}, UnitComing{}, ZoneStatus{}, LimitReport{},
+		RunnerUsage{}, RunnerView{}, UnitHeld{}, PendingUnit{}, ZoneStatus{}, LimitReport{},
 	} {
 		assertUnique(t, reflect.TypeOf(message))
 	}
--- a/internal/wire/sync.go
+++ b/internal/wire/sync.go
@@ -124,7 +124,7 @@
 	ListRevision uint64 `cbor:"19,keyasint,omitempty"`
 	// Planned are the models that the node waits for and that are not being loaded yet, with the
 	// time until they are expected.
-	Planned []UnitComing `cbor:"9,keyasint,omitempty"`
+	Planned []PendingUnit `cbor:"9,keyasint,omitempty"`
 	// Nodes is the number of nodes that reported recently.
 	Nodes int `cbor:"5,keyasint"`
 	// BestSpare is the largest Spare among the nodes that reported recently, excluding the holder.
@@ -148,7 +148,7 @@
 	StoreCapacity float64 `cbor:"8,keyasint,omitempty"`
 	// LoadCrashes are the crashes of runners while they loaded models, from which the next holder
 	// continues. Sent in answer to reports.
-	LoadEnds []LoadEnds `cbor:"21,keyasint,omitempty"`
+	LoadCrashes []ModelCrashes `cbor:"21,keyasint,omitempty"`
 	// Limits answers the Limits of the request.
 	Limits *limit.Grant `cbor:"16,keyasint,omitempty"`
 	// Permits answers the Permits of the request.
@@ -159,7 +159,7 @@
 }
 
 // ModelCrashes is the number of runners that crashed, one after the other, while loading a model.
-type LoadEnds struct {
+type ModelCrashes struct {
 	Model string `cbor:"1,keyasint"`
 	Count int    `cbor:"2,keyasint"`
 	// PauseMs is the time until the model may be loaded again, in milliseconds.
@@ -168,9 +168,9 @@
 
 // RunnerView is what a runner holds and what is being loaded there.
 type RunnerView struct {
-	Runner string       `cbor:"1,keyasint"`
-	Ready  []UnitHeld   `cbor:"2,keyasint,omitempty"`
-	Coming []UnitComing `cbor:"3,keyasint,omitempty"`
+	Runner  string        `cbor:"1,keyasint"`
+	Ready   []UnitHeld    `cbor:"2,keyasint,omitempty"`
+	Pending []PendingUnit `cbor:"3,keyasint,omitempty"`
 	// Silent is set while the runner does not answer the holder.
 	Silent bool `cbor:"4,keyasint,omitempty"`
 	// Listed is sent to a node that knows only some runners and waits for a model on this one.
@@ -198,7 +198,7 @@
 }
 
 // PendingUnit is a unit being loaded.
-type UnitComing struct {
+type PendingUnit struct {
 	Model   string `cbor:"1,keyasint"`
 	Adapter string `cbor:"2,keyasint,omitempty"`
 	// InMs is the time until the load is expected to complete, in milliseconds.
--- a/test/command_test.go
+++ b/test/command_test.go
@@ -162,7 +162,7 @@
 
 	output := expect(commandline.ExitOK, "RUNNER", "get", "runners", "--cold")
 	assert.Assert(t, !strings.Contains(output, "runner-"), output)
-	assert.NilError(t, w.ChillRunner("runner-2", 5*time.Minute))
+	assert.NilError(t, w.MakeRunnerCold("runner-2", 5*time.Minute))
 	waitUntil(t, "a cold runner is listed", func() error {
 		if shown := zone("zone-b"); shown.Cold != 1 || shown.Ready != 0 {
 			return fault.New(fault.CodeNotFound, "list zones", "%+v", shown)
--- a/test/history_test.go
+++ b/test/history_test.go
@@ -60,7 +60,7 @@
 		switch record.Event {
 		case journal.EventLoad:
 			loaded[record.Incarnation+" "+record.Unit] = struct{}{}
-		case journal.EventGone:
+		case journal.EventUnloaded:
 			delete(loaded, record.Incarnation+" "+record.Unit)
 		}
 		if record.Time.After(after) {
--- a/test/invariants_test.go
+++ b/test/invariants_test.go
@@ -63,7 +63,7 @@
 // a second.
 func (h history) checkColdBound(most int) error {
 	for _, record := range h.records {
-		if record.Event != journal.EventCrowd {
+		if record.Event != journal.EventColdPeak {
 			continue
 		}
 		if count, err := strconv.Atoi(record.Detail); err != nil || count > most {
@@ -113,7 +113,7 @@
 	} {
 		assert.Equal(t, test.h.checkOutage(o, zones) == nil, test.passes, name)
 	}
-	crowd := record(0, func(r *journal.Record) { r.Event, r.Detail = journal.EventCrowd, "7" })
+	crowd := record(0, func(r *journal.Record) { r.Event, r.Detail = journal.EventColdPeak, "7" })
 	assert.NilError(t, crowd.checkColdBound(7))
 	assert.Assert(t, crowd.checkColdBound(6) != nil)
 	south := func(string) place.Region { return "south" }
--- a/test/parts_soak_test.go
+++ b/test/parts_soak_test.go
@@ -55,11 +55,11 @@
 
 func (s *soak) takeOutCheckedZone() func() {
 	return s.takeOutRandomZone(settings.Default().Evacuation.Within,
-		func(zone place.Zone) { assert.NilError(s.t, s.w.TakeOutZone(zone)) }, func(zone place.Zone) { assert.NilError(s.t, s.w.TakeBackZone(zone)) })
+		func(zone place.Zone) { assert.NilError(s.t, s.w.EvacuateZone(zone)) }, func(zone place.Zone) { assert.NilError(s.t, s.w.RestoreZone(zone)) })
 }
 
 func (s *soak) chillRunner() func() {
-	assert.NilError(s.t, s.w.ChillRunner(s.pickRunner(), coldDuration))
+	assert.NilError(s.t, s.w.MakeRunnerCold(s.pickRunner(), coldDuration))
 	return func() {}
 }
 
--- a/test/poison_test.go
+++ b/test/poison_test.go
@@ -163,16 +163,16 @@
 	p := &poisonWorld{world: w, poisonTest: test, harmlessAnswers: make(map[string]int)}
 	p.harmlessPause = cmp.Or(p.harmlessPause, harmlessPause)
 	p.poisonPause = cmp.Or(p.poisonPause, poisonPause)
-	returns := world.Return{After: cmp.Or(test.downtime, time.Second), Renamed: test.renamed}
+	returns := world.RestartPolicy{After: cmp.Or(test.downtime, time.Second), Renamed: test.renamed}
 	for index := range runners {
 		options := engineOptions(w, fmt.Sprintf("runner-%d", index+1), zones[index%len(zones)])
-		options.CrashBy, options.Returns = poisonText, returns
+		options.CrashBy, options.Restart = poisonText, returns
 		_, err := w.StartRunner(options)
 		assert.NilError(t, err)
 	}
 	for index := range cmp.Or(test.mailers, runners) {
 		options := mailerOptions(fmt.Sprintf("mailer-%d", index+1), zones[index%len(zones)])
-		options.CrashBy, options.Returns = poisonText, returns
+		options.CrashBy, options.Restart = poisonText, returns
 		_, err := w.StartRunner(options)
 		assert.NilError(t, err)
 	}
@@ -436,7 +436,7 @@
 		_, err := w.StartRunner(world.RunnerOptions{
 			Name: fmt.Sprintf("runner-%d", index+1), Zone: zones[index%len(zones)], MemoryMB: w.Engine.SizeMB, ModelMB: modelMiB * megabytesPerMiB,
 			Slots: w.Engine.Slots, TokenTime: 10 * time.Millisecond, LoadTime: 150 * time.Millisecond,
-			CrashBy: poisonText, Returns: world.Return{After: 500 * time.Millisecond, Renamed: true},
+			CrashBy: poisonText, Restart: world.RestartPolicy{After: 500 * time.Millisecond, Renamed: true},
 		})
 		assert.NilError(t, err)
 	}
--- a/test/relay_test.go
+++ b/test/relay_test.go
@@ -112,10 +112,10 @@
 		"killed":                   func(_ *testing.T, node *world.Node) { node.Kill() },
 		"stopped":                  func(t *testing.T, node *world.Node) { assert.NilError(t, node.Terminate()) },
 		"cut off from peers":       func(_ *testing.T, node *world.Node) { node.Proxy.Set(faultproxy.Silence) },
-		"answers to peers lost":    func(_ *testing.T, node *world.Node) { node.Proxy.Set(faultproxy.Deaf) },
+		"answers to peers lost":    func(_ *testing.T, node *world.Node) { node.Proxy.Set(faultproxy.SilenceResponses) },
 		"cut off from the store":   func(_ *testing.T, node *world.Node) { node.StoreProxy.Set(faultproxy.Silence) },
 		"refused by the store":     func(_ *testing.T, node *world.Node) { node.StoreProxy.Block() },
-		"the store's answers lost": func(_ *testing.T, node *world.Node) { node.StoreProxy.Set(faultproxy.Deaf) },
+		"the store's answers lost": func(_ *testing.T, node *world.Node) { node.StoreProxy.Set(faultproxy.SilenceResponses) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -180,7 +180,7 @@
 	w := newWorld(t, nil)
 	nodes := startNodes(t, w, 4)
 	number := 0
-	for _, down := range []storestub.Down{storestub.Busy, storestub.Many, storestub.Reset, storestub.Silent} {
+	for _, down := range []storestub.Down{storestub.Busy, storestub.TooManyRequests, storestub.Reset, storestub.Silent} {
 		relay := waitSingleRelay(t, nodes)
 		assert.NilError(t, w.SetStoreFaults(storestub.Faults{Down: down, Only: []string{relay.StoreHost()}}))
 		number++
--- a/test/requests_test.go
+++ b/test/requests_test.go
@@ -195,7 +195,7 @@
 	time.Sleep(300 * time.Millisecond)
 	assert.NilError(t, w.Runners["runner-2"].Freeze())
 	time.Sleep(2 * time.Second)
-	w.Runners["runner-1"].Proxy.Set(faultproxy.Deaf)
+	w.Runners["runner-1"].Proxy.Set(faultproxy.SilenceResponses)
 	time.Sleep(time.Second)
 	w.Runners["runner-1"].Proxy.Heal()
 	assert.NilError(t, w.Runners["runner-2"].Thaw())
--- a/test/statements_test.go
+++ b/test/statements_test.go
@@ -125,18 +125,18 @@
 
 func startStatementWorld(t *testing.T, test statementTest) *statementWorld {
 	t.Helper()
-	return startStatementWorldWith(t, test, world.Return{})
+	return startStatementWorldWith(t, test, world.RestartPolicy{})
 }
 
 // startStatementWorldWith starts such a world; returns sets whether and how its runners are
 // restarted.
-func startStatementWorldWith(t *testing.T, test statementTest, returns world.Return) *statementWorld {
+func startStatementWorldWith(t *testing.T, test statementTest, returns world.RestartPolicy) *statementWorld {
 	t.Helper()
 	w := newWorld(t, nil)
 	for index := range runnersPerService {
 		zone := zones[index%len(zones)]
 		engine, mailer := engineOptions(w, fmt.Sprintf("runner-%d", index+1), zone), mailerOptions(fmt.Sprintf("mailer-%d", index+1), zone)
-		engine.Returns, mailer.Returns = returns, returns
+		engine.Restart, mailer.Restart = returns, returns
 		for _, options := range []world.RunnerOptions{engine, mailer} {
 			_, err := w.StartRunner(options)
 			assert.NilError(t, err)
--- a/test/tenants_test.go
+++ b/test/tenants_test.go
@@ -175,7 +175,7 @@
 	assert.Assert(t, float64(served) > 0.7*hotRate*5, "%d of %d served", served, asked)
 	assert.Equal(t, lost, 0, "%v", calm)
 
-	nodes[1].Proxy.Set(faultproxy.Deaf)
+	nodes[1].Proxy.Set(faultproxy.SilenceResponses)
 	time.Sleep(2 * time.Second)
 	nodes[1].Proxy.Heal()
 	nodes[3].Kill()
--- a/test/zones_test.go
+++ b/test/zones_test.go
@@ -45,7 +45,7 @@
 			continue
 		}
 		switch record.Event {
-		case journal.EventRun, journal.EventLoad, journal.EventGone:
+		case journal.EventRun, journal.EventLoad, journal.EventUnloaded:
 			t.Errorf("in %s, which is out: %+v", zone, record)
 		}
 	}
