--- a/internal/lab/runnerstub/cold.go
+++ b/internal/lab/runnerstub/cold.go
@@ -54,8 +54,8 @@
 	r.Announce()
 }
 
-// remainingMs returns for how much longer the runner is cold, in milliseconds.
-func (c *coldPeriod) remainingMs() float64 {
+// remaining returns for how much longer the runner is cold, in milliseconds.
+func (c *coldPeriod) remaining() float64 {
 	return max(float64(time.Until(c.until))/float64(time.Millisecond), 0)
 }
 
--- a/internal/lab/runnerstub/runner.go
+++ b/internal/lab/runnerstub/runner.go
@@ -163,7 +163,7 @@
 	row := protocol.ListedRunner{
 		Born: r.settings.Born, Service: r.settings.Service, Zone: r.settings.Zone, Slots: r.settings.Slots, State: protocol.StateReady,
 		Models: r.readyModels(), Available: r.available(), Sequence: r.sequence,
-		ColdLeftMs: r.cold.remainingMs(),
+		ColdLeftMs: r.cold.remaining(),
 	}
 	if r.draining {
 		row.State = protocol.StateDraining
