--- a/internal/crash/detector.go
+++ b/internal/crash/detector.go
@@ -138,10 +138,10 @@
 	d.wg.Wait()
 }
 
-// Broke records that the answer to a request from a runner broke off, or never came, and by
+// Interrupted records that the answer to a request from a runner broke off, or never came, and by
 // which method to find out whether the runner ended. The end of a runner that leaves is planned
 // and is not a crash.
-func (d *Detector) Broke(runner backend.Runner, request poison.Identity, method ProbeMethod) {
+func (d *Detector) Interrupted(runner backend.Runner, request poison.Identity, method ProbeMethod) {
 	if d.prober.leaves(runner) {
 		return
 	}
--- a/internal/dispatch/admission_test.go
+++ b/internal/dispatch/admission_test.go
@@ -18,31 +18,31 @@
 		expected time.Duration
 		elapsed  time.Duration
 		unknown  bool
-		returned bool
-		verdict  waitDecision
+		retried  bool
+		decision waitDecision
 	}{
-		"load within the objective":    {wait: patient, expected: 2000 * ms, verdict: keepWaiting},
-		"load that nobody began":       {wait: patient, expected: 3300 * ms, elapsed: 880 * ms, verdict: retryLater},
-		"load just within objective":   {wait: patient, expected: 3600 * ms, elapsed: 20 * ms, verdict: keepWaiting},
-		"load after the objective":     {wait: hurried, expected: 2000 * ms, verdict: retryLater},
-		"adapter within the objective": {wait: hurried, expected: 40 * ms, verdict: keepWaiting},
-		"nothing known yet":            {wait: hurried, unknown: true, verdict: keepWaiting},
-		"came back already":            {wait: hurried, expected: 900 * ms, returned: true, verdict: keepWaiting},
-		"too late to be sent back":     {wait: hurried, expected: 900 * ms, elapsed: 300 * ms, verdict: keepWaiting},
-		"came back for nothing":        {wait: hurried, expected: 2000 * ms, elapsed: 200 * ms, returned: true, verdict: giveUp},
-		"came back, nothing known":     {wait: hurried, unknown: true, returned: true, verdict: keepWaiting},
-		"its time is over":             {wait: hurried, expected: 900 * ms, elapsed: 2100 * ms, verdict: giveUp},
+		"load within the objective":    {wait: patient, expected: 2000 * ms, decision: keepWaiting},
+		"load that has not begun":      {wait: patient, expected: 3300 * ms, elapsed: 880 * ms, decision: retryLater},
+		"load just within objective":   {wait: patient, expected: 3600 * ms, elapsed: 20 * ms, decision: keepWaiting},
+		"load after the objective":     {wait: hurried, expected: 2000 * ms, decision: retryLater},
+		"adapter within the objective": {wait: hurried, expected: 40 * ms, decision: keepWaiting},
+		"nothing known yet":            {wait: hurried, unknown: true, decision: keepWaiting},
+		"retried already":              {wait: hurried, expected: 900 * ms, retried: true, decision: keepWaiting},
+		"too late for a refusal":       {wait: hurried, expected: 900 * ms, elapsed: 300 * ms, decision: keepWaiting},
+		"retried, but hopeless":        {wait: hurried, expected: 2000 * ms, elapsed: 200 * ms, retried: true, decision: giveUp},
+		"retried, nothing known":       {wait: hurried, unknown: true, retried: true, decision: keepWaiting},
+		"deadline passed":              {wait: hurried, expected: 900 * ms, elapsed: 2100 * ms, decision: giveUp},
 	} {
 		w := test.wait
-		w.expected, w.known, w.elapsed, w.retried = test.expected, !test.unknown, test.elapsed, test.returned
+		w.expected, w.known, w.elapsed, w.retried = test.expected, !test.unknown, test.elapsed, test.retried
 		w.earliest = min(test.expected, 2*time.Second)
-		decision, retryAfter, again := w.decide()
-		assert.Equal(t, decision, test.verdict, name)
+		decision, retryAfter, recheck := w.decide()
+		assert.Equal(t, decision, test.decision, name)
 		switch decision {
 		case retryLater:
 			assert.Equal(t, retryAfter, test.expected, name)
 		case keepWaiting:
-			assert.Assert(t, again > 0 && again <= w.maxWait, name)
+			assert.Assert(t, recheck > 0 && recheck <= w.maxWait, name)
 		}
 	}
 }
--- a/internal/dispatch/answer.go
+++ b/internal/dispatch/answer.go
@@ -111,6 +111,7 @@
 	return buffered.status >= http.StatusMultipleChoices || buffered.header.Get(j.dispatcher.Names.Signature) != ""
 }
 
+// copyHeader copies a runner's headers to the client's answer, except those of a single connection.
 func (j *job) copyHeader(header http.Header) {
 	StripConnectionHeaders(header)
 	target := j.writer.Header()
@@ -128,6 +129,7 @@
 	}
 }
 
+// writeBuffered sends a runner's complete answer to the client.
 func (j *job) writeBuffered(buffered *bufferedAnswer, result string) {
 	j.copyHeader(buffered.header)
 	j.writer.Header().Set("Content-Length", strconv.Itoa(len(buffered.body)))
@@ -177,6 +179,7 @@
 	j.writeProblem(status, problem, ResultFailed)
 }
 
+// writeProblem answers the request with an error of this node.
 func (j *job) writeProblem(status int, problem *fault.Error, result string) {
 	j.outcome.Result, j.outcome.Status = result, status
 	j.outcome.Step, j.outcome.Reason = problem.Step, problem.Error()
--- a/internal/dispatch/answer_test.go
+++ b/internal/dispatch/answer_test.go
@@ -10,17 +10,17 @@
 	"lilacvane/internal/fleet"
 )
 
-// TestKeptFailures checks that only a failure that may reach the client is held back while another
+// TestHeldFailures checks that only a failure that may reach the client is held back while another
 // runner is tried: the deadline may pass before that runner answers.
-func TestKeptFailures(t *testing.T) {
+func TestHeldFailures(t *testing.T) {
 	for name, test := range map[string]struct {
 		status    int
 		ownErrors bool
-		kept      bool
+		held      bool
 	}{
-		"a failure":                      {status: http.StatusInternalServerError, kept: true},
+		"a failure":                      {status: http.StatusInternalServerError, held: true},
 		"a failure that promises no run": {status: http.StatusServiceUnavailable},
-		"the node states errors itself":  {status: http.StatusInternalServerError, ownErrors: true},
+		"errors of the node":             {status: http.StatusInternalServerError, ownErrors: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			j := &job{
@@ -29,7 +29,7 @@
 			}
 			_, err := j.runnerFailed(fleet.Choice{}, &bufferedAnswer{status: test.status})
 			assert.Assert(t, err != nil, "another runner is tried")
-			assert.Equal(t, j.heldFailure != nil, test.kept)
+			assert.Equal(t, j.heldFailure != nil, test.held)
 		})
 	}
 }
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -16,13 +16,13 @@
 	"lilacvane/internal/upstream"
 )
 
-// timeoutError says that a request's deadline has passed. It is context.DeadlineExceeded.
+// timeoutError says that a request's deadline has passed. It matches context.DeadlineExceeded.
 type timeoutError struct{}
 
 // Error describes the timeout.
 func (timeoutError) Error() string { return "the request's time is over" }
 
-// Is reports that a deadline has passed.
+// Is reports whether target is context.DeadlineExceeded.
 func (timeoutError) Is(target error) bool { return target == context.DeadlineExceeded }
 
 var (
@@ -263,10 +263,10 @@
 	j.log.V(1).Info("request sent", "runner", choice.Runner.ID, "unit", j.query.Unit.String(), "costMs", int(choice.Cost),
 		"keptTokens", choice.KeptTokens, "unreadTokens", choice.UnreadTokens, "inFlight", choice.InFlight,
 		"candidates", choice.Candidates, "attempt", j.sent)
-	suspicion := j.suspectLater(choice)
-	defer suspicion.Stop()
+	suspectTimer := j.suspectLater(choice)
+	defer suspectTimer.Stop()
 	call := j.call(choice, j.query, j.lastEventID())
-	// No other runner is asked when nothing comes back on a connection that had been idle.
+	// If a connection that had been idle turns out to be silent, no other runner is tried.
 	call.Proved = j.silenceLimit() == 0 || choice.Candidates == 1
 	return j.dispatcher.Pool.Do(ctx, call)
 }
@@ -282,7 +282,7 @@
 // statusError is the error of a runner that answered with an unusable status.
 func statusError(status int) error { return fmt.Errorf("runner answered %d", status) }
 
-// failureResult tells whether the runner failed or the attempt was canceled.
+// failureResult distinguishes an attempt whose runner failed from one that was canceled.
 func (j *job) failureResult(ctx context.Context) fleet.Result {
 	if ctx.Err() != nil && !errors.Is(context.Cause(ctx), errSilent) {
 		return fleet.Canceled
@@ -304,6 +304,7 @@
 // refusalLimit bounds, in bytes, what is read of the body of a refusal.
 const refusalLimit = 64 << 10
 
+// streams reports whether an answer is forwarded event by event.
 func (j *job) streams(answer *upstream.Answer) bool {
 	return j.route.Kind == config.Stream && answer.Status == http.StatusOK
 }
@@ -313,8 +314,8 @@
 var errNotAdmitted = errors.New("the runner may get nothing any more")
 
 // call builds the request as it is sent to a runner that was chosen by a query; a stream resumes
-// after the given event. It is checked again before it is sent: connecting may take seconds, in
-// which the runner may have announced that it leaves.
+// after the given event. Whether the runner is eligible is checked again right before the request
+// is sent: connecting may take seconds, in which the runner may have announced that it leaves.
 func (j *job) call(choice fleet.Choice, query fleet.Query, after string) upstream.Call {
 	header := j.request.Header.Clone()
 	names := j.dispatcher.Names
@@ -346,9 +347,10 @@
 	}
 }
 
+// lowestUrgency is the last of the ten urgencies of engines.
 const lowestUrgency = 9
 
-// clientTimeLeft is how long the client will still wait.
+// clientTimeLeft returns how long the client will still wait.
 func (j *job) clientTimeLeft() time.Duration {
 	if j.request.Patience == 0 {
 		return time.Until(j.deadline)
@@ -356,6 +358,7 @@
 	return j.request.Patience - time.Since(j.request.Arrived)
 }
 
+// recordLoad records the workload that a runner's answer reports, if any.
 func (j *job) recordLoad(runner string, header http.Header) {
 	if load, ok := backend.ParseWorkload(header.Get(j.dispatcher.Names.Load)); ok {
 		j.dispatcher.Fleet.ObserveWorkload(runner, load)
--- a/internal/dispatch/caller.go
+++ b/internal/dispatch/caller.go
@@ -21,14 +21,14 @@
 	OverLimit
 	// TooLarge means that the request costs more than the limit ever allows at once.
 	TooLarge
-	// LimitUnknown means that no node can be asked now.
+	// LimitUnknown means that no node that can decide is reachable now.
 	LimitUnknown
 )
 
 // Admission is the decision on a request.
 type Admission struct {
 	Verdict Verdict
-	// RetryAfter is when a request that is OverLimit may be sent again.
+	// RetryAfter is the time after which a request that is OverLimit may be sent again.
 	RetryAfter time.Duration
 	// By is the node whose share of the limit decided, or its address.
 	By string
@@ -76,8 +76,8 @@
 	// tooLargeRetryAfter is the retry time of a request that is larger than its tenant's limit: the
 	// limit may have been changed by then.
 	tooLargeRetryAfter = 10 * time.Second
-	// limitPollInterval is how long a request waits until it looks again for a node to ask: a node
-	// hears of a new holder and of lenders within a few of these.
+	// limitPollInterval is how long a request waits until it looks again for a node that decides on
+	// its tenant's limit: a node learns of a new holder and of lenders within a few of these.
 	limitPollInterval = 50 * time.Millisecond
 )
 
@@ -117,13 +117,13 @@
 // what is left is enough for a runner to begin its answer in time.
 const limitWaitShare = 0.5
 
-// limitPatience is how long the request may still wait for its tenant's limit.
+// limitPatience returns how long the request may still wait for its tenant's limit.
 func (j *job) limitPatience() time.Duration {
 	return time.Duration(limitWaitShare*float64(j.route.Objective)) - time.Since(j.request.Arrived)
 }
 
-// waits reports whether holding the request for a moment is better than refusing it, and for how
-// long.
+// waits reports whether holding the request for a moment is better than refusing it, and after how
+// long to ask again.
 func (a Admission) waits(patience time.Duration) (again time.Duration, ok bool) {
 	switch a.Verdict {
 	case OverLimit:
@@ -150,8 +150,8 @@
 	}
 }
 
-// priority is the rank of the request, 0 first: the priority of its tenant takes precedence over
-// that of its route.
+// priority returns the rank of the request, 0 first: the priority of its tenant takes precedence
+// over that of its route.
 func (j *job) priority() int {
 	route := max(j.route.Priority, 0)
 	if j.tenant == nil {
--- a/internal/dispatch/caller_test.go
+++ b/internal/dispatch/caller_test.go
@@ -15,6 +15,7 @@
 	"lilacvane/internal/upstream"
 )
 
+// caller returns a job whose request has the given key, and the error of identify.
 func caller(t *testing.T, key string, public bool) (*job, *fault.Error) {
 	t.Helper()
 	directory, err := tenant.NewDirectory([]tenant.Tenant{
@@ -79,11 +80,11 @@
 // limiter returns its admissions one after the other.
 type limiter struct {
 	admissions []Admission
-	asked      float64
+	demand     float64
 	cost       float64
 }
 
-func (l *limiter) RecordDemand(_ *tenant.Tenant, cost float64) { l.asked += cost }
+func (l *limiter) RecordDemand(_ *tenant.Tenant, cost float64) { l.demand += cost }
 
 func (l *limiter) Admit(_ context.Context, _ *tenant.Tenant, cost float64, _ int) Admission {
 	l.cost = cost
@@ -107,7 +108,7 @@
 func TestLimitIsCharged(t *testing.T) {
 	l := &limiter{admissions: []Admission{{Verdict: LimitUnknown}, {Verdict: WithinLimit}}}
 	assert.NilError(t, limitedJob(l, &Request{TokensIn: 5, TokensOut: 2, Counts: CountsGiven}).admit(t.Context()))
-	assert.Equal(t, l.asked, 7.0)
+	assert.Equal(t, l.demand, 7.0)
 	assert.Equal(t, l.cost, 7.0)
 	assert.NilError(t, limitedJob(l, &Request{}).admit(t.Context()))
 	assert.Equal(t, l.cost, 3.0)
--- a/internal/dispatch/cold_test.go
+++ b/internal/dispatch/cold_test.go
@@ -16,36 +16,36 @@
 // coldJob is a request for a model that is held by one runner, which stays cold for the given time.
 func coldJob(coldFor time.Duration) (*job, *fleet.Fleet, *demand.Tracker) {
 	unit := backend.Unit{Model: "alpha"}
-	known := fleet.New("zone", time.Now, noRules{})
+	runnerFleet := fleet.New("zone", time.Now, noRules{})
 	terms := coldstart.NewTerms(6.9, 1.5, 5, 3*time.Second, coldstart.Lent{})
-	known.SetColdStarts(fleet.ColdStarts{Terms: func(string) coldstart.Terms { return terms }})
-	known.Replace([]backend.Runner{{ID: "r1", Service: "s", Models: []backend.Holding{{Model: unit.Model}}, ColdFor: coldFor}}, false)
-	j := waitingFor(known, time.Hour)
+	runnerFleet.SetColdStarts(fleet.ColdStarts{Terms: func(string) coldstart.Terms { return terms }})
+	runnerFleet.Replace([]backend.Runner{{ID: "r1", Service: "s", Models: []backend.Holding{{Model: unit.Model}}, ColdFor: coldFor}}, false)
+	j := waitingFor(runnerFleet, time.Hour)
 	j.route.Objective = time.Second
-	return j, known, j.dispatcher.Demand
+	return j, runnerFleet, j.dispatcher.Demand
 }
 
 // TestRequestWaitsForAPermit checks that a request that only a cold runner could serve asks for a
 // permit at once, is woken when one arrives, and spends it.
 func TestRequestWaitsForAPermit(t *testing.T) {
-	j, known, book := coldJob(time.Hour)
-	urgent := book.Urgent("s")
+	j, runnerFleet, tracker := coldJob(time.Hour)
+	urgent := tracker.Urgent("s")
 	go func() {
 		<-urgent
-		known.ApplyPermits([]fleet.PermitsLent{{Runner: "r1", Count: 1}}, time.Now())
+		runnerFleet.ApplyPermits([]fleet.PermitsLent{{Runner: "r1", Count: 1}}, time.Now())
 	}()
 	choice, err := j.selectRunner(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, choice.Runner.ID, "r1")
-	assert.Equal(t, known.ColdFigures().Spent, uint64(1))
-	assert.Assert(t, !book.Waits("s"))
+	assert.Equal(t, runnerFleet.ColdFigures().Spent, uint64(1))
+	assert.Assert(t, !tracker.Waits("s"))
 }
 
 // TestRequestWithoutAPermitIsRefused checks that the request is refused at once, with the time at
 // which the runner is warm, if no permit is lent before that.
 func TestRequestWithoutAPermitIsRefused(t *testing.T) {
-	j, known, _ := coldJob(9 * time.Second)
-	known.SetOrdersIn("s", time.Minute)
+	j, runnerFleet, _ := coldJob(9 * time.Second)
+	runnerFleet.SetOrdersIn("s", time.Minute)
 	_, err := j.selectRunner(t.Context())
 	assert.Assert(t, fault.IsCode(err, fault.CodeDeadline), "%v", err)
 	retryAfter := fault.From(err, "").RetryAfter
@@ -65,13 +65,13 @@
 	assert.Equal(t, again, minRecheck)
 }
 
-// TestColdRunnerDoesNotHideALoad checks that a request that a cold runner could serve late is told
-// of the load under way that serves it sooner.
+// TestColdRunnerDoesNotHideALoad checks that a request that a cold runner could serve late expects
+// the load in progress that serves it sooner.
 func TestColdRunnerDoesNotHideALoad(t *testing.T) {
-	j, known, _ := coldJob(time.Minute)
-	known.Apply([]backend.Runner{{ID: "r2", Service: "s"}}, nil, false)
-	known.ApplyViews([]fleet.View{{Runner: "r2", Pending: []fleet.PendingUnit{{Unit: j.query.Unit, In: 2 * time.Second}}}}, 0)
-	known.SetOrdersIn("s", time.Minute)
+	j, runnerFleet, _ := coldJob(time.Minute)
+	runnerFleet.Apply([]backend.Runner{{ID: "r2", Service: "s"}}, nil, false)
+	runnerFleet.ApplyViews([]fleet.View{{Runner: "r2", Pending: []fleet.PendingUnit{{Unit: j.query.Unit, In: 2 * time.Second}}}}, 0)
+	runnerFleet.SetOrdersIn("s", time.Minute)
 	w := j.currentWait()
 	assert.Assert(t, w.known && w.expected <= 2*time.Second, w.expected)
 	assert.Assert(t, w.earliest <= w.expected)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -50,11 +50,12 @@
 	// MaxPropagationDelay is how long it takes at most until this node learns of operators'
 	// decisions.
 	MaxPropagationDelay time.Duration
-	// Limits decides on requests of tenants; nil where no tenant has a limit.
+	// Limits decides whether requests are within their tenants' limits; nil where no tenant has
+	// one.
 	Limits Limiter
 	// Report reads a runner's report; nil where runners cannot be asked.
 	Report func(ctx context.Context, runner backend.Runner) (backend.Report, error)
-	// Quarantine knows which requests are not run; nil where all are.
+	// Quarantine decides which requests must not run; nil where all may.
 	Quarantine Quarantine
 	// Crashes receives possible signs of a runner's crash; nil for none.
 	Crashes Crashes
@@ -73,26 +74,26 @@
 	spooled spoolUsage
 }
 
-// Quarantine knows the requests that crashed runners.
+// Quarantine tracks the requests that crashed runners.
 type Quarantine interface {
 	// Idle reports that no such request is known, so that no content identity needs to be computed.
 	Idle() bool
 	// Refused returns the mark of a request that is not to be run.
 	Refused(request poison.Identity) (poison.Mark, bool)
-	// Ran reports a request that succeeded.
-	Ran(request poison.Identity)
+	// Succeeded reports a request that succeeded.
+	Succeeded(request poison.Identity)
 }
 
 // Crashes receives possible signs of a runner's crash.
 type Crashes interface {
-	// Broke reports a request whose answer broke off or never came, and how to find out whether its
-	// runner crashed.
-	Broke(runner backend.Runner, request poison.Identity, way crash.ProbeMethod)
+	// Interrupted reports a request whose answer broke off or never came, and how to find out
+	// whether its runner crashed.
+	Interrupted(runner backend.Runner, request poison.Identity, method crash.ProbeMethod)
 	// Refused reports a runner whose address refused a connection.
 	Refused(runner string)
 }
 
-// assumedNodes is how many nodes are taken to share a retry budget until the number is known.
+// assumedNodes is how many nodes are assumed to share a retry budget until the number is known.
 const assumedNodes = 16
 
 // SetNodes sets how many nodes share the retry budgets.
@@ -105,7 +106,7 @@
 	}
 }
 
-// nodeCount is the number of nodes, as far as is known.
+// nodeCount returns the number of nodes, or assumedNodes until it is known.
 func (d *Dispatcher) nodeCount() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -130,6 +131,7 @@
 	}
 }
 
+// retryBudget returns this node's retry budget of a service, which it creates on first use.
 func (d *Dispatcher) retryBudget(service string) *retry.Budget {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -176,6 +178,7 @@
 	return j.outcome
 }
 
+// logOutcome writes the log line of a request that ended.
 func (d *Dispatcher) logOutcome(o *Outcome, request *Request) {
 	log := d.Log
 	if o.Unplaced != nil {
@@ -229,12 +232,13 @@
 	leaveQueue  func()
 	// stream is set once the head of a stream was sent.
 	stream *clientStream
-	// identity is the request's identity as sent for identityUnit, nil before its first use; see
-	// contentIdentity.
+	// identity is the request's content identity for the unit identityUnit, which is nil until
+	// contentIdentity has computed it.
 	identity     poison.Identity
 	identityUnit *backend.Unit
 }
 
+// run serves the request until its final answer.
 func (j *job) run(ctx context.Context) {
 	j.dispatcher.AwaitFresh(ctx)
 	configuration := j.dispatcher.Configuration()
@@ -316,7 +320,7 @@
 	return j.dispatcher.pickService(j.route), true
 }
 
-// answerDeadline is when the request must have its final answer.
+// answerDeadline returns when the request must have its final answer.
 func (j *job) answerDeadline() time.Time {
 	limit := j.request.Patience
 	if limit == 0 {
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -114,8 +114,8 @@
 		return
 	}
 	j.log.V(1).Info("request sent", "runner", runner, "unit", h.query.Unit.String(), "hedge", true, "resumeAfter", after)
-	suspicion := j.suspectLater(attempt.choice)
-	defer suspicion.Stop()
+	suspectTimer := j.suspectLater(attempt.choice)
+	defer suspectTimer.Stop()
 	call := j.call(attempt.choice, h.query, after)
 	// The attempt beside it may be waiting on a connection that is already silent.
 	call.Proved = true
@@ -152,11 +152,11 @@
 	case resumes && !j.streams(answer):
 		return failed, nil, fault.At(fault.CodeInterrupted, "resume stream", choice.Runner.ID, fault.Done, statusError(answer.Status))
 	case answer.Status >= http.StatusInternalServerError:
-		whole, err := readBuffered(choice, answer)
+		buffered, err := readBuffered(choice, answer)
 		if err != nil || j.request.OwnErrors || promisesNotRun(answer.Status) {
-			whole = nil
+			buffered = nil
 		}
-		return failed, whole, fault.At(fault.CodeInterrupted, "send request", choice.Runner.ID, fault.Done, statusError(answer.Status))
+		return failed, buffered, fault.At(fault.CodeInterrupted, "send request", choice.Runner.ID, fault.Done, statusError(answer.Status))
 	default:
 		return attemptResult{}, nil, nil
 	}
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -43,10 +43,10 @@
 		t.Cleanup(server.Close)
 		runners = append(runners, backend.Runner{ID: id, Service: "s", Slots: 1, Address: strings.TrimPrefix(server.URL, "http://")})
 	}
-	known := fleet.New("zone", time.Now, noRules{})
-	known.Replace(runners, false)
+	runnerFleet := fleet.New("zone", time.Now, noRules{})
+	runnerFleet.Replace(runners, false)
 	names := upstream.Names{RequestID: "X-Id", Deadline: "X-Deadline", ExpectRunner: "X-Runner", Signature: "X-Signature", NotRun: "X-Not-Run"}
-	j := waitingFor(known, 10*time.Second)
+	j := waitingFor(runnerFleet, 10*time.Second)
 	j.dispatcher.Pool, j.dispatcher.Names = upstream.NewPool(names), names
 	j.dispatcher.Retries = retry.Limits{Ratio: 1, Slack: 100, Window: time.Second}
 	written := httptest.NewRecorder()
@@ -80,8 +80,9 @@
 
 func fails(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
 
-// onceEach answers the first request of each connection and is silent on it from then on.
-func onceEach(text string) http.HandlerFunc {
+// answersOncePerConnection answers the first request of each connection and is silent on it from
+// then on.
+func answersOncePerConnection(text string) http.HandlerFunc {
 	var answered sync.Map
 	return func(w http.ResponseWriter, r *http.Request) {
 		if _, before := answered.LoadOrStore(r.RemoteAddr, true); before {
@@ -170,7 +171,7 @@
 // TestRequestWaitsOnOneSilentConnectionAtMost: a request that may be repeated and its hedge were
 // both sent on connections that had gone silent while idle, and waited there until the deadline.
 func TestRequestWaitsOnOneSilentConnectionAtMost(t *testing.T) {
-	answered := onceEach("answer")
+	answered := answersOncePerConnection("answer")
 	j, written := hedgedJob(t, answered, answered)
 	attemptOnIdle(t, j)
 	assert.Equal(t, written.Body.String(), "answer")
@@ -181,7 +182,7 @@
 // while idle. As there was no other runner, it was not sent anywhere else and waited there until
 // the deadline.
 func TestOnlyRunnerIsAskedOnProvedConnection(t *testing.T) {
-	answered := onceEach("answer")
+	answered := answersOncePerConnection("answer")
 	j, written := hedgedJob(t, answered, answered)
 	j.dispatcher.Fleet.Apply(nil, []string{"r2"}, false)
 	attemptOnIdle(t, j)
--- a/internal/dispatch/homes.go
+++ b/internal/dispatch/homes.go
@@ -11,8 +11,8 @@
 // that leave: it is unknown when another one is listed, and starting a runner takes seconds.
 const unlistedRetryAfter = 2 * time.Second
 
-// homes are the only regions in which the request may be served: both those of its route and those
-// of its tenant apply.
+// homes returns the only regions in which the request may be served, and records them in its
+// outcome: both those of its route and those of its tenant apply.
 func (j *job) homes() place.Homes {
 	homes := j.route.Homes
 	if j.tenant != nil {
--- a/internal/dispatch/homes_test.go
+++ b/internal/dispatch/homes_test.go
@@ -41,9 +41,9 @@
 // TestHomesWithoutRunnerAreRefused checks that a request that no listed runner may ever take is
 // refused as not run, with its reason and a retry time, and that one that a runner may take waits.
 func TestHomesWithoutRunnerAreRefused(t *testing.T) {
-	known := fleet.New("z", time.Now, noRules{})
-	known.Replace([]backend.Runner{{ID: "r", Service: "s", Zone: "z", Region: "south", Draining: true}}, false)
-	j := &job{dispatcher: &Dispatcher{Fleet: known}, query: fleet.Query{Service: "s"}}
+	runnerFleet := fleet.New("z", time.Now, noRules{})
+	runnerFleet.Replace([]backend.Runner{{ID: "r", Service: "s", Zone: "z", Region: "south", Draining: true}}, false)
+	j := &job{dispatcher: &Dispatcher{Fleet: runnerFleet}, query: fleet.Query{Service: "s"}}
 	assert.Assert(t, j.checkHomes() == nil)
 	j.query.Homes = place.NewHomes([]place.Region{"south"})
 	assert.Assert(t, j.checkHomes() == nil)
@@ -59,12 +59,12 @@
 // TestWaitEndsWhenHomesEmpty checks that a request that waits for its model is refused as soon as
 // the last runner in its homes is unlisted, even if a runner in another region holds the model.
 func TestWaitEndsWhenHomesEmpty(t *testing.T) {
-	known := fleet.New("z", time.Now, noRules{})
+	runnerFleet := fleet.New("z", time.Now, noRules{})
 	holding := []backend.Holding{{Model: "m"}}
-	known.Replace([]backend.Runner{{ID: "home", Service: "s", Region: "north"}, {ID: "away", Service: "s", Region: "south", Models: holding}}, false)
-	book := demand.NewTracker()
+	runnerFleet.Replace([]backend.Runner{{ID: "home", Service: "s", Region: "north"}, {ID: "away", Service: "s", Region: "south", Models: holding}}, false)
+	tracker := demand.NewTracker()
 	j := &job{
-		dispatcher: &Dispatcher{Fleet: known, Demand: book, Configuration: func() *config.Configuration { return &config.Configuration{} }},
+		dispatcher: &Dispatcher{Fleet: runnerFleet, Demand: tracker, Configuration: func() *config.Configuration { return &config.Configuration{} }},
 		request:    &Request{Arrived: time.Now(), StartWithin: time.Minute}, route: &config.Route{}, log: logr.Discard(), engine: true,
 		query: fleet.Query{Service: "s", Unit: backend.Unit{Model: "m"}, Homes: place.NewHomes([]place.Region{"north"})},
 	}
@@ -73,12 +73,12 @@
 		_, err := j.selectRunner(t.Context())
 		ended <- err
 	}()
-	for !book.Waits("s") {
+	for !tracker.Waits("s") {
 		time.Sleep(time.Millisecond)
 	}
-	assert.Equal(t, book.Waiting()[0].Homes.String(), "north")
-	known.Apply(nil, []string{"home"}, false)
+	assert.Equal(t, tracker.Waiting()[0].Homes.String(), "north")
+	runnerFleet.Apply(nil, []string{"home"}, false)
 	err := <-ended
 	assert.Assert(t, fault.IsCode(err, fault.CodeOutsideHomes), "%v", err)
-	assert.Assert(t, !book.Waits("s"))
+	assert.Assert(t, !tracker.Waits("s"))
 }
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -13,8 +13,8 @@
 	"lilacvane/internal/poison"
 )
 
-// contentIdentity returns what all attempts of the request have in common. It is computed on first
-// use: only requests that failed, or that may match one that did, need it.
+// contentIdentity returns the digest of what all attempts of the request have in common. It is
+// computed on first use: only requests that failed, or that may match one that did, need it.
 func (j *job) contentIdentity() poison.Identity {
 	unit := backend.Unit{}
 	if j.request.Resolve != nil {
@@ -32,8 +32,8 @@
 }
 
 // callerID identifies the caller: by its tenant, as that keeps its name when it gets another key,
-// or else by the key that it sent. The prefixes keep them apart, as a key may equal a tenant's
-// name.
+// or else by the key that it sent. The prefixes keep the two kinds apart, as a key may equal a
+// tenant's name.
 func (j *job) callerID() string {
 	if j.tenant != nil {
 		return "tenant " + string(j.tenant.Name)
@@ -66,14 +66,14 @@
 	default:
 		return false
 	}
-	j.dispatcher.Crashes.Broke(runner, j.contentIdentity(), j.crashCheck(result.ending))
+	j.dispatcher.Crashes.Interrupted(runner, j.contentIdentity(), j.probeMethod(result.ending))
 	return true
 }
 
-// crashCheck is how to find out whether a runner crashed: runners of engine services are asked for
-// a report. Of the others, only one that broke off the connection itself is worth a new connection,
-// as many are just slow.
-func (j *job) crashCheck(ending Ending) crash.ProbeMethod {
+// probeMethod returns how to find out whether a runner crashed: runners of engine services are
+// asked for a report. Of the others, only one that broke off the connection itself is worth a new
+// connection, as many are just slow.
+func (j *job) probeMethod(ending Ending) crash.ProbeMethod {
 	switch {
 	case j.engine:
 		return crash.ProbeReport
@@ -112,9 +112,9 @@
 	return j.dispatcher.Quarantine != nil && !j.dispatcher.Quarantine.Idle()
 }
 
-// reportSuccess tells the quarantine of a request that succeeded.
+// reportSuccess reports a request that succeeded to the quarantine.
 func (j *job) reportSuccess() {
 	if j.quarantineActive() && j.outcome.Result == ResultServed && j.outcome.Status < http.StatusMultipleChoices {
-		j.dispatcher.Quarantine.Ran(j.contentIdentity())
+		j.dispatcher.Quarantine.Succeeded(j.contentIdentity())
 	}
 }
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -31,8 +31,8 @@
 	Arrived time.Time
 	// Patience is how long the client waits, counted from Arrived; zero when it did not say.
 	Patience time.Duration
-	// Route and Service are set when something other than host and path decides where the request
-	// goes.
+	// Route and Service are set if the caller of Serve has chosen them; otherwise the route is
+	// found by Host and Path.
 	Route   *config.Route
 	Service string
 	// Resolve returns the unit that serves the request now; it is called before a runner is
--- a/internal/dispatch/rest_test.go
+++ b/internal/dispatch/rest_test.go
@@ -16,24 +16,24 @@
 
 // restingFleet is a fleet whose only runner of model alpha asked for a rest (Retry-After).
 func restingFleet(seconds string) *fleet.Fleet {
-	known := fleet.New("zone", time.Now, noRules{})
-	book := statement.NewRegistry(statement.Options{
+	runnerFleet := fleet.New("zone", time.Now, noRules{})
+	registry := statement.NewRegistry(statement.Options{
 		Headers: statement.Headers{Leaving: "X-Leaves"}, Now: time.Now, Log: logr.Discard(),
 		Limits: func() statement.Limits {
 			return statement.Limits{LongestRest: time.Minute, UnreadableRest: time.Second, LeavingFor: time.Minute}
 		},
 	})
-	known.SetStatements(book)
-	known.Replace([]backend.Runner{{ID: "r1", Service: "s", Slots: 4, Models: []backend.Holding{{Model: "alpha"}}}}, false)
-	book.ReadHeader(statement.Source{Runner: "r1"}, http.StatusServiceUnavailable, http.Header{"Retry-After": {seconds}})
-	return known
+	runnerFleet.SetStatements(registry)
+	runnerFleet.Replace([]backend.Runner{{ID: "r1", Service: "s", Slots: 4, Models: []backend.Holding{{Model: "alpha"}}}}, false)
+	registry.ReadHeader(statement.Source{Runner: "r1"}, http.StatusServiceUnavailable, http.Header{"Retry-After": {seconds}})
+	return runnerFleet
 }
 
 // TestRequestWaitsForTheEndOfARest checks that a request is sent once the rest has ended if that
 // lies before its deadline, and else is refused at once with that time.
 func TestRequestWaitsForTheEndOfARest(t *testing.T) {
-	known := restingFleet("0.2")
-	j := waitingFor(known, 2*time.Second)
+	runnerFleet := restingFleet("0.2")
+	j := waitingFor(runnerFleet, 2*time.Second)
 	choice, err := j.selectRunner(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, choice.Runner.ID, "r1")
@@ -49,12 +49,12 @@
 // TestRestQueueIsBounded checks that requests beyond what the runner took before are refused at
 // once.
 func TestRestQueueIsBounded(t *testing.T) {
-	known := restingFleet("1")
+	runnerFleet := restingFleet("1")
 	for range 2 {
-		_, end := known.AwaitRest(fleet.Query{Service: "s", Unit: backend.Unit{Model: "alpha"}})
+		_, end := runnerFleet.AwaitRest(fleet.Query{Service: "s", Unit: backend.Unit{Model: "alpha"}})
 		defer end()
 	}
-	j := waitingFor(known, 20*time.Second)
+	j := waitingFor(runnerFleet, 20*time.Second)
 	_, err := j.selectRunner(t.Context())
 	assert.Assert(t, fault.IsCode(err, fault.CodeDeadline))
 	assert.Assert(t, fault.From(err, "").RetryAfter > 500*time.Millisecond)
--- a/internal/dispatch/retry_test.go
+++ b/internal/dispatch/retry_test.go
@@ -46,11 +46,11 @@
 				_, _ = w.Write([]byte("whole"))
 			}))
 			defer runner.Close()
-			known := fleet.New("zone", time.Now, noRules{})
-			known.Replace([]backend.Runner{{ID: "r1", Service: "s", Slots: 1, Address: strings.TrimPrefix(runner.URL, "http://"), Models: []backend.Holding{{Model: "alpha"}}}}, false)
+			runnerFleet := fleet.New("zone", time.Now, noRules{})
+			runnerFleet.Replace([]backend.Runner{{ID: "r1", Service: "s", Slots: 1, Address: strings.TrimPrefix(runner.URL, "http://"), Models: []backend.Holding{{Model: "alpha"}}}}, false)
 			names := upstream.Names{RequestID: "X-Id", Deadline: "X-Deadline", ExpectRunner: "X-Runner", Signature: "X-Signature", NotRun: "X-Not-Run", Urgency: "X-Urgency"}
 			written := httptest.NewRecorder()
-			j := waitingFor(known, 10*time.Second)
+			j := waitingFor(runnerFleet, 10*time.Second)
 			j.dispatcher.Pool, j.dispatcher.Names = upstream.NewPool(names), names
 			j.dispatcher.Retries = retry.Limits{Ratio: 1, Slack: 100, Window: time.Second}
 			j.writer = written
--- a/internal/dispatch/route_test.go
+++ b/internal/dispatch/route_test.go
@@ -14,11 +14,11 @@
 )
 
 // serveUnknownRoute serves a request that no route matches.
-func serveUnknownRoute(t *testing.T, known ConfigurationOrigin) (Outcome, *httptest.ResponseRecorder) {
+func serveUnknownRoute(t *testing.T, origin ConfigurationOrigin) (Outcome, *httptest.ResponseRecorder) {
 	t.Helper()
 	d := &Dispatcher{
 		Configuration:       func() *config.Configuration { return &config.Configuration{Revision: 7} },
-		ConfigurationOrigin: func() ConfigurationOrigin { return known },
+		ConfigurationOrigin: func() ConfigurationOrigin { return origin },
 		MaxPropagationDelay: 3 * time.Second,
 		AwaitFresh:          func(context.Context) {},
 		Log:                 logr.Discard(),
@@ -27,14 +27,14 @@
 	return d.Serve(t.Context(), answer, &Request{Host: "a.example", Path: "/b", Arrived: time.Now()}), answer
 }
 
-// TestUnknownRouteTellsWhatIsKnown checks that the outcome of a request that no route matches says
-// which configuration decided, how old it is, and where it came from.
-func TestUnknownRouteTellsWhatIsKnown(t *testing.T) {
-	known := ConfigurationOrigin{Age: 3 * time.Second, Source: "10.0.0.2:7200"}
-	outcome, _ := serveUnknownRoute(t, known)
+// TestUnknownRouteReportsConfigurationOrigin checks that the outcome of a request that no route
+// matches says which configuration decided, how old it is, and where it came from.
+func TestUnknownRouteReportsConfigurationOrigin(t *testing.T) {
+	origin := ConfigurationOrigin{Age: 3 * time.Second, Source: "10.0.0.2:7200"}
+	outcome, _ := serveUnknownRoute(t, origin)
 	assert.Equal(t, outcome.Status, http.StatusNotFound)
 	assert.Equal(t, outcome.Revision, uint64(7))
-	assert.Equal(t, *outcome.ConfigurationOrigin, known)
+	assert.Equal(t, *outcome.ConfigurationOrigin, origin)
 }
 
 // TestOldConfigurationDeniedARoute: a node whose configuration is older than MaxPropagationDelay
--- a/internal/dispatch/selection.go
+++ b/internal/dispatch/selection.go
@@ -19,8 +19,8 @@
 	// patienceMargin is the time between the latest start of a request and the moment at which its
 	// client leaves, so that the answer does not come too late.
 	patienceMargin = 250 * time.Millisecond
-	// retriedShare: a request has been refused before if its client's remaining time is less than
-	// this part of the route's timeout.
+	// retriedShare is the part of the route's timeout below which the time that the client still
+	// has shows that it was refused before.
 	retriedShare = 0.93
 	// demandRetention is how much longer than its retry time a refused request counts as waiting.
 	demandRetention = time.Second
@@ -210,9 +210,9 @@
 	return w
 }
 
-// earliestAvailable is the time until a runner that is ineligible only because it is cold or in a
-// rest may take the request, or until a load that is in progress elsewhere is done. If it is the
-// end of a rest alone, capacity is how many requests the runners took before; else it is zero.
+// earliestAvailable returns the time until a runner that is ineligible only because it is cold or
+// in a rest may take the request, or until a load that is in progress elsewhere is done. If it is
+// the end of a rest alone, capacity is how many requests the runners took before; else it is zero.
 func (j *job) earliestAvailable() (in time.Duration, capacity int, known bool) {
 	in, known = j.dispatcher.Fleet.PermitIn(j.query)
 	after, took, rests := j.dispatcher.Fleet.RestEndsIn(j.query)
@@ -224,14 +224,15 @@
 	case rests:
 		in = min(in, after)
 	}
-	if at, coming := j.dispatcher.Fleet.Expected(j.query.Service, j.query.Unit, j.query.Homes); coming && j.engine && at < in {
-		in, capacity = at, 0
+	if loaded, loading := j.dispatcher.Fleet.Expected(j.query.Service, j.query.Unit, j.query.Homes); loading && j.engine && loaded < in {
+		in, capacity = loaded, 0
 	}
 	return in, capacity, true
 }
 
-// limitedDelay is the time until a runner whose own limit alone excludes it may take the request:
-// those that wait before it go first. It is false where the request does not wait for that alone.
+// limitedDelay returns the time until a runner that is excluded only by its own rate limit may take
+// the request: requests that wait already go first. limited is false if the request waits for
+// anything else.
 func (j *job) limitedDelay() (in time.Duration, limited bool) {
 	rate, limited := j.dispatcher.Fleet.LimitedRate(j.query, j.dispatcher.nodeCount())
 	if !limited {
@@ -242,8 +243,8 @@
 	}
 	in, known := j.dispatcher.Fleet.PermitIn(j.query)
 	in += time.Duration(float64(j.joinRestQueue()) / rate * float64(time.Second))
-	if at, coming := j.dispatcher.Fleet.Expected(j.query.Service, j.query.Unit, j.query.Homes); coming && j.engine {
-		in = min(in, at)
+	if loaded, loading := j.dispatcher.Fleet.Expected(j.query.Service, j.query.Unit, j.query.Homes); loading && j.engine {
+		in = min(in, loaded)
 	}
 	return in, known
 }
@@ -265,8 +266,8 @@
 	}
 }
 
-// expectedLoadTime is how long it takes at least until the model is loaded when no load has begun:
-// until the next orders are given, plus the load itself.
+// expectedLoadTime returns the least time until the model is loaded when no load has begun: until
+// the next orders are given, plus the load itself. It is false if that is not known.
 func (j *job) expectedLoadTime() (time.Duration, bool) {
 	load, known := j.loadTime()
 	if !known || load == 0 {
@@ -275,8 +276,8 @@
 	return j.dispatcher.Fleet.OrdersIn(j.query.Service) + load, true
 }
 
-// loadTime is how long loading the model takes at least; zero when a runner holds it, as then only
-// an adapter may be missing.
+// loadTime returns the least time that loading the model takes; zero when a runner holds it, as
+// then only an adapter may be missing. It is false if the model is not in the configuration.
 func (j *job) loadTime() (time.Duration, bool) {
 	service := j.dispatcher.Configuration().Services[j.query.Service]
 	if service == nil || service.Engine == nil || service.Engine.Models[j.query.Unit.Model] == nil {
@@ -297,7 +298,7 @@
 	return j.request.Patience > 0 && float64(j.request.Patience) < retriedShare*float64(j.route.Timeout)
 }
 
-// latestStart is when a waiting request is given up: before its deadline and before its client
+// latestStart returns when a waiting request is given up: before its deadline and before its client
 // leaves.
 func (j *job) latestStart() time.Time {
 	if j.request.StartWithin > 0 {
@@ -310,6 +311,8 @@
 	return j.request.Arrived.Add(limit)
 }
 
+// markPossiblyRun returns the error with an outcome that does not claim that the request did not
+// run.
 func markPossiblyRun(problem *fault.Error) *fault.Error {
 	if problem.Ran != fault.NotDone {
 		return problem
--- a/internal/dispatch/selection_test.go
+++ b/internal/dispatch/selection_test.go
@@ -19,14 +19,14 @@
 // is served by the new one.
 func TestWaitFollowsVersion(t *testing.T) {
 	old, current := backend.Unit{Model: "alpha"}, backend.Unit{Model: "alpha-2"}
-	known := fleet.New("zone", time.Now, noRules{})
-	known.Replace([]backend.Runner{{ID: "r1", Service: "s", Models: []backend.Holding{{Model: current.Model}}}}, false)
+	runnerFleet := fleet.New("zone", time.Now, noRules{})
+	runnerFleet.Replace([]backend.Runner{{ID: "r1", Service: "s", Models: []backend.Holding{{Model: current.Model}}}}, false)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	asked := 0
 	j := &job{
 		dispatcher: &Dispatcher{
-			Fleet: known, Demand: demand.NewTracker(), Configuration: func() *config.Configuration { return &config.Configuration{} },
+			Fleet: runnerFleet, Demand: demand.NewTracker(), Configuration: func() *config.Configuration { return &config.Configuration{} },
 		},
 		log:      logr.Discard(),
 		route:    &config.Route{Kind: config.Safe, Attempts: 1},
@@ -49,10 +49,10 @@
 
 // waitingFor is a request for model alpha of service s that arrived just now and may wait for the
 // given time.
-func waitingFor(known *fleet.Fleet, within time.Duration) *job {
+func waitingFor(runnerFleet *fleet.Fleet, within time.Duration) *job {
 	return &job{
 		dispatcher: &Dispatcher{
-			Fleet: known, Demand: demand.NewTracker(), Configuration: func() *config.Configuration { return &config.Configuration{} },
+			Fleet: runnerFleet, Demand: demand.NewTracker(), Configuration: func() *config.Configuration { return &config.Configuration{} },
 		},
 		log: logr.Discard(), route: &config.Route{Kind: config.Safe, Attempts: 1}, engine: true,
 		query:    fleet.Query{Service: "s", Unit: backend.Unit{Model: "alpha"}},
@@ -64,19 +64,19 @@
 // also when the reason changed while it waited, and that of a request that was sent at once does
 // not.
 func TestWaitRecordsObstacles(t *testing.T) {
-	known := fleet.New("zone", time.Now, noRules{})
-	known.Replace([]backend.Runner{{ID: "r1", Service: "s"}}, false)
-	j := waitingFor(known, 2*time.Second)
+	runnerFleet := fleet.New("zone", time.Now, noRules{})
+	runnerFleet.Replace([]backend.Runner{{ID: "r1", Service: "s"}}, false)
+	j := waitingFor(runnerFleet, 2*time.Second)
 	leaving := time.AfterFunc(20*time.Millisecond, func() {
-		known.Apply([]backend.Runner{{ID: "r1", Service: "s", Draining: true, Models: []backend.Holding{{Model: "alpha"}}}}, nil, false)
+		runnerFleet.Apply([]backend.Runner{{ID: "r1", Service: "s", Draining: true, Models: []backend.Holding{{Model: "alpha"}}}}, nil, false)
 	})
 	defer leaving.Stop()
 	_, err := j.selectRunner(t.Context())
 	assert.Assert(t, fault.IsCode(err, fault.CodeDraining))
 	assert.Equal(t, j.outcome.Unplaced.Obstacles.MainReason().String(), "draining")
 
-	known.Replace([]backend.Runner{{ID: "r2", Service: "s", Models: []backend.Holding{{Model: "alpha"}}}}, false)
-	j = waitingFor(known, 2*time.Second)
+	runnerFleet.Replace([]backend.Runner{{ID: "r2", Service: "s", Models: []backend.Holding{{Model: "alpha"}}}}, false)
+	j = waitingFor(runnerFleet, 2*time.Second)
 	_, err = j.selectRunner(t.Context())
 	assert.NilError(t, err)
 	assert.Assert(t, j.outcome.Unplaced == nil)
--- a/internal/dispatch/silence.go
+++ b/internal/dispatch/silence.go
@@ -10,7 +10,7 @@
 
 const (
 	// silenceFactor is how many objectives a runner of an idempotent request may be silent before
-	// another one is asked as well.
+	// another one is tried as well.
 	silenceFactor = 1.5
 	// streamSilenceFactor is the same for the first event of a resumable stream.
 	streamSilenceFactor = 0.5
@@ -26,8 +26,8 @@
 	stallThreshold = 100 * time.Millisecond
 )
 
-// silenceLimit is how long a runner may be silent before another one is asked as well; zero when it
-// must be waited for, as the request may have run.
+// silenceLimit returns how long a runner may be silent before another one is tried as well; zero
+// when the runner must be waited for, as the request may have run.
 func (j *job) silenceLimit() time.Duration {
 	if !j.route.Idempotent() || j.ran+1 >= j.route.Attempts || j.route.Objective == 0 {
 		return 0
@@ -39,8 +39,8 @@
 	return max(time.Duration(factor*float64(j.route.Objective)), minSilence)
 }
 
-// pauseLimit is how long a stream may go without an event before another runner is asked to resume
-// it; zero when it may not be resumed, as there is no event identifier to resume from.
+// pauseLimit returns how long a stream may go without an event before another runner is asked to
+// resume it; zero when it may not be resumed, or when there is no event identifier to resume from.
 func (j *job) pauseLimit() time.Duration {
 	if !j.route.Resumable || j.ran+1 >= j.route.Attempts || j.route.PauseObjective == 0 || j.stream.lastEventID == "" {
 		return 0
@@ -56,8 +56,9 @@
 	maxSuspectDelay = 600 * time.Millisecond
 )
 
-// suspectLater lets the control holder ask a runner that has sent nothing for a while. The attempt
-// goes on: the runner may only be slow.
+// suspectLater returns a timer that, unless it is stopped, reports a runner that has sent nothing
+// for a while as suspected to the holder of the service's control lease, which probes it. The
+// attempt goes on: the runner may only be slow.
 func (j *job) suspectLater(choice fleet.Choice) *time.Timer {
 	if !j.engine {
 		return time.AfterFunc(noLimit, func() {})
@@ -77,8 +78,8 @@
 // ended.
 const maxStreamPause = time.Minute
 
-// beginLimit is how long the answer may still take to begin if the caller limited that, else the
-// time left, at least maxStreamPause.
+// beginLimit returns how long the answer may still take to begin if the caller limited that, else
+// the time left, at least maxStreamPause.
 func (j *job) beginLimit() time.Duration {
 	if j.request.StartWithin == 0 || j.stream != nil {
 		return max(time.Until(j.deadline), maxStreamPause)
@@ -101,18 +102,18 @@
 	ended      bool
 	// resumeAfter is the last event that was forwarded, after which a hedge resumes.
 	resumeAfter string
-	// lastHeard is when the runner last sent something or was sent the request; hedgeAt is when it
-	// counts as silent, timerDelay how much later the timer fired.
-	lastHeard  time.Time
-	hedgeAt    time.Time
-	timerDelay time.Duration
+	// lastActivity is when the runner last sent something or was sent the request; hedgeAt is when
+	// it counts as silent, timerDelay how much later the timer fired.
+	lastActivity time.Time
+	hedgeAt      time.Time
+	timerDelay   time.Duration
 	// stallExcused is set once a node that was stalled has checked again.
 	stallExcused bool
 }
 
 // newSilenceWatch starts a watch. A limit of zero is none.
 func newSilenceWatch(cancel context.CancelCauseFunc, h *hedges, resumeAfter string, hedgeAfter, deadlineAfter time.Duration) *silenceWatch {
-	w := &silenceWatch{cancel: cancel, hedges: h, resumeAfter: resumeAfter, lastHeard: time.Now()}
+	w := &silenceWatch{cancel: cancel, hedges: h, resumeAfter: resumeAfter, lastActivity: time.Now()}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.deadlineTimer = time.AfterFunc(deadlineAfter, w.expire)
@@ -121,8 +122,10 @@
 	return w
 }
 
+// noLimit is the time set on a timer that is not to fire during an attempt.
 const noLimit = 24 * time.Hour
 
+// orNoLimit returns the limit, or noLimit for zero.
 func orNoLimit(limit time.Duration) time.Duration {
 	if limit == 0 {
 		return noLimit
@@ -191,7 +194,7 @@
 		return false
 	}
 	w.dropHedge(errAnswered)
-	w.lastHeard, w.timerDelay, w.stallExcused = time.Now(), 0, false
+	w.lastActivity, w.timerDelay, w.stallExcused = time.Now(), 0, false
 	w.schedule(noLimit)
 	w.deadlineTimer.Reset(maxStreamPause)
 	return true
@@ -216,7 +219,7 @@
 func (w *silenceWatch) silence() (silent, timerDelay time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return time.Since(w.lastHeard), w.timerDelay
+	return time.Since(w.lastActivity), w.timerDelay
 }
 
 // dropHedge cancels the pending hedge. mutex is held.
--- a/internal/dispatch/split.go
+++ b/internal/dispatch/split.go
@@ -12,6 +12,7 @@
 	credit map[string]int
 }
 
+// pick returns the service that gets the next request. At least one weight must be above zero.
 func (s *splitter) pick(backends []config.Backend) string {
 	total := 0
 	for _, backend := range backends {
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -13,6 +13,7 @@
 )
 
 const (
+	// readSize is the initial size of a stream's read buffer, in bytes.
 	readSize = 4 << 10
 	// maxEventSize bounds one event of a stream, in bytes.
 	maxEventSize = 1 << 20
@@ -25,7 +26,8 @@
 	spool *spool
 	// lastEventID identifies the last complete event that was forwarded.
 	lastEventID string
-	forwarded   int
+	// forwarded counts how many times events were forwarded.
+	forwarded int
 	// forwardedAt is when events were last forwarded.
 	forwardedAt time.Time
 }
@@ -94,7 +96,7 @@
 	j.stream.spool.write(ctx, events)
 }
 
-// lastEventID identifies the last forwarded event that has an identifier; empty for none.
+// lastEventID returns the identifier of the last forwarded event that has one; empty for none.
 func (j *job) lastEventID() string {
 	if j.stream == nil {
 		return ""
@@ -102,7 +104,7 @@
 	return j.stream.lastEventID
 }
 
-// forwarded is how many times events were forwarded.
+// forwarded returns how many times events were forwarded.
 func (j *job) forwarded() int {
 	if j.stream == nil {
 		return 0
--- a/internal/dispatch/zones_test.go
+++ b/internal/dispatch/zones_test.go
@@ -24,13 +24,13 @@
 
 // zonedJob is a request for a model that one runner in each of two zones holds.
 func zonedJob(out eligible.Rules) *job {
-	known := fleet.New("a", time.Now, out)
+	runnerFleet := fleet.New("a", time.Now, out)
 	unit := backend.Unit{Model: "alpha"}
 	held := []backend.Holding{{Model: unit.Model}}
-	known.Replace([]backend.Runner{
+	runnerFleet.Replace([]backend.Runner{
 		{ID: "r1", Service: "s", Zone: "a", Models: held}, {ID: "r2", Service: "s", Zone: "b", Models: held},
 	}, false)
-	j := waitingFor(known, time.Hour)
+	j := waitingFor(runnerFleet, time.Hour)
 	j.dispatcher.MaxPropagationDelay = 3 * time.Second
 	return j
 }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -162,9 +162,9 @@
 	return count
 }
 
-// Ran records that an attempt of a request succeeded, which shows that it does not crash
+// Succeeded records that an attempt of a request succeeded, which shows that it does not crash
 // runners.
-func (q *Quarantine) Ran(request poison.Identity) {
+func (q *Quarantine) Succeeded(request poison.Identity) {
 	_, marked := q.marks.Find(request)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
