--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -24,7 +24,7 @@
 	mismatchedBodyLimit = 1 << 20
 	// maxMismatched bounds how many answers to other requests are skipped.
 	maxMismatched = 2
-	// idleMargin ends an idle connection before the runner's own limit does.
+	// idleMargin is how long before the runner's own limit an idle connection is no longer used.
 	idleMargin = time.Second
 )
 
@@ -46,10 +46,10 @@
 	// Fresh requires a new connection.
 	Fresh bool
 	// Proved requires a connection that is known to work, for a request that cannot be sent again
-	// if nothing comes back: a new one, or one whose last answer ended within link.ProvedFor.
+	// if nothing comes back: a new one, or one whose last answer ended within link.TrustedIdle.
 	Proved bool
-	// Admit is called once there is a connection, right before the request is written: an error
-	// ends the call. Nil if the request is sent in any case.
+	// Admit is called once there is a connection, right before the request is written; an error
+	// ends the call. It may be nil, then the request is sent in any case.
 	Admit func() error
 }
 
@@ -118,7 +118,7 @@
 	}, nil
 }
 
-// failed discards a connection that gave no answer.
+// failed discards a connection that gave no answer, and returns the call's error.
 func (p *Pool) failed(ctx context.Context, conn *connection, stop func() bool, step string, call Call, cause error) error {
 	stop()
 	conn.discard()
@@ -129,6 +129,7 @@
 	return unknown(ctx, step, call.Address, cause)
 }
 
+// unknown returns an error whose outcome is unknown, as the request may have run.
 func unknown(ctx context.Context, step, address string, cause error) error {
 	code := fault.CodeInterrupted
 	if ctx.Err() != nil {
@@ -164,6 +165,7 @@
 	return written, nil
 }
 
+// write writes a request to a connection.
 func write(conn *connection, request *http.Request) error {
 	writer := bufio.NewWriterSize(conn, bufferSize)
 	if err := request.Write(writer); err != nil {
@@ -172,7 +174,8 @@
 	return writer.Flush()
 }
 
-// readMatching reads answers until the one that carries the request's identifier.
+// readMatching reads answers until the one that carries the request's identifier. A new connection
+// must begin with that one.
 func (p *Pool) readMatching(conn *connection, call Call) (*http.Response, error) {
 	for range maxMismatched + 1 {
 		response, err := readFinal(conn.reader, call.Method)
@@ -206,7 +209,8 @@
 	}
 }
 
-// AwaitBody waits until the first byte of the body has arrived, if there is a body.
+// AwaitBody waits until the first byte of the body has arrived, if there is a body. It returns an
+// error if the connection ends before that.
 func (a *Answer) AwaitBody() error {
 	if a.Length == 0 {
 		return nil
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -29,6 +29,8 @@
 	requests atomic.Int32
 }
 
+// serveScript starts a runner that handles each connection by the script; number counts them from
+// 1.
 func serveScript(t *testing.T, script func(s *scriptedRunner, number int, conn net.Conn)) *scriptedRunner {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,6 +74,7 @@
 	return request.Header.Get(testNames.RequestID), err
 }
 
+// answerText returns an answer to the request with the identifier.
 func answerText(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
@@ -119,9 +122,9 @@
 	assert.Equal(t, s.accepted.Load(), int32(1))
 }
 
-// TestClosedRestingConnectionIsNotUsed checks that a connection that the runner closed while it was
+// TestClosedIdleConnectionIsNotUsed checks that a connection that the runner closed while it was
 // idle is replaced before anything is sent.
-func TestClosedRestingConnectionIsNotUsed(t *testing.T) {
+func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{})
 	s := serveScript(t, func(s *scriptedRunner, number int, conn net.Conn) {
 		id, err := s.next(bufio.NewReader(conn))
@@ -153,9 +156,9 @@
 	}
 }
 
-// TestExtraAnswerOnRestingConnection checks that a connection on which bytes arrived while it was
+// TestExtraAnswerOnIdleConnection checks that a connection on which bytes arrived while it was
 // idle is not used again, as they belong to no request.
-func TestExtraAnswerOnRestingConnection(t *testing.T) {
+func TestExtraAnswerOnIdleConnection(t *testing.T) {
 	s := serveScript(t, func(s *scriptedRunner, number int, conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		for {
@@ -199,9 +202,9 @@
 	}
 }
 
-// TestLateExtraAnswerIsPassedOver checks that an extra answer that arrives in place of the next
+// TestLateExtraAnswerIsSkipped checks that an extra answer that arrives in place of the next
 // request's own is recognized by its identifier.
-func TestLateExtraAnswerIsPassedOver(t *testing.T) {
+func TestLateExtraAnswerIsSkipped(t *testing.T) {
 	s := serveScript(t, lateExtra(func(second string) string { return answerText(second, "second") }))
 	pool := NewPool(testNames)
 	_, err := exchange(pool, s.call("1"))
@@ -241,7 +244,7 @@
 	assert.Equal(t, content, "part")
 	assert.Equal(t, len(pool.idle["r"]), 0)
 	_, err = exchange(pool, s.call("2"))
-	assert.Assert(t, err != nil, "a reset answer looked whole")
+	assert.Assert(t, err != nil, "a reset answer counted as complete")
 }
 
 // TestEarlyAnswerEndsItsConnection checks that the connection of a runner that answers before it
@@ -264,9 +267,9 @@
 	assert.Equal(t, len(pool.idle["r"]), 0)
 }
 
-// TestBrokenOffAnswerIsNotWhole checks that an answer that ends before its length, or before its
+// TestInterruptedAnswerIsAnError checks that an answer that ends before its length, or before its
 // last chunk, is an error.
-func TestBrokenOffAnswerIsNotWhole(t *testing.T) {
+func TestInterruptedAnswerIsAnError(t *testing.T) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 10\r\n\r\npart",
 		"HTTP/1.1 200 OK\r\nX-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n",
@@ -276,7 +279,7 @@
 			_, _ = io.WriteString(conn, text)
 		})
 		content, err := exchange(NewPool(testNames), s.call("1"))
-		assert.Assert(t, err != nil, "%q looked whole", content)
+		assert.Assert(t, err != nil, "%q counted as complete", content)
 		assert.Assert(t, !errors.Is(err, io.EOF))
 	}
 }
@@ -342,7 +345,7 @@
 		conn := &connection{Conn: near, reader: bufio.NewReader(strings.NewReader(string(content)))}
 		response, err := pool.readMatching(conn, Call{Method: http.MethodGet, RequestID: "1"})
 		if err == nil && response.Header.Get(testNames.RequestID) != "1" {
-			t.Fatal("an answer to another request was taken")
+			t.Fatal("an answer to another request was accepted")
 		}
 	})
 }
--- a/internal/upstream/names.go
+++ b/internal/upstream/names.go
@@ -18,9 +18,10 @@
 	Limit string
 	// Load is the load that a runner reports: running, waiting, slots.
 	Load string
-	// Urgency is 0 (first) to 9.
+	// Urgency is the request's priority at the runner, from 0 (first) to 9.
 	Urgency string
-	// Model, Tokens, Prompt and LengthHint describe a model request.
+	// Model, Tokens, Prompt and LengthHint describe a request to a model. Model names it, Tokens holds
+	// the token counts of prompt and answer, Prompt the parts of the prompt.
 	Model      string
 	Tokens     string
 	Prompt     string
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -24,7 +24,8 @@
 	// connections.
 	maxIdlePerRunner = 8
 	maxIdle          = 96
-	bufferSize       = 4 << 10
+	// bufferSize is the size of a connection's read buffer and of its write buffer, in bytes.
+	bufferSize = 4 << 10
 )
 
 // Pool keeps idle connections by runner. Its methods may be called concurrently.
@@ -88,7 +89,7 @@
 		_ = conn.Close()
 		p.Links.Drop(link.Runner, reason, 1)
 		if reason == link.Unproved {
-			// The others have been idle for longer. They serve calls that may be sent again.
+			// The others have been idle for longer. They are kept for calls that may be sent again.
 			return p.dial(ctx, call.Runner, call.Address)
 		}
 	}
@@ -109,6 +110,7 @@
 	}
 }
 
+// popIdle takes the connection to a runner that became idle last; nil for none.
 func (p *Pool) popIdle(runner string) *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -190,6 +192,7 @@
 	}
 }
 
+// dial opens a connection to a runner.
 func (p *Pool) dial(ctx context.Context, runner, address string) (*connection, error) {
 	conn, err := link.Runner.Dialer().DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -203,7 +206,7 @@
 }
 
 // Connect opens a connection to an address and closes it, to find out whether anything listens
-// there.
+// there. Its error is that of the dialer.
 func (p *Pool) Connect(ctx context.Context, address string) error {
 	conn, err := p.dial(ctx, "", address)
 	if err != nil {
--- a/internal/upstream/proved_test.go
+++ b/internal/upstream/proved_test.go
@@ -23,7 +23,7 @@
 	time.Sleep(link.TrustedIdle)
 	call := s.call("last")
 	call.Runner, call.Proved = "a", true
-	ctx, cancel := context.WithTimeoutCause(t.Context(), minMuteTime, errOver)
+	ctx, cancel := context.WithTimeoutCause(t.Context(), minMuteTime, errDeadline)
 	defer cancel()
 	answer, err := pool.Do(ctx, call)
 	assert.NilError(t, err)
--- a/internal/upstream/roundtrip.go
+++ b/internal/upstream/roundtrip.go
@@ -32,6 +32,7 @@
 	return context.WithValue(ctx, incarnationKey{}, id)
 }
 
+// incarnationOf returns the incarnation that WithIncarnation named; empty for none.
 func incarnationOf(ctx context.Context) string {
 	id, _ := ctx.Value(incarnationKey{}).(string)
 	return id
--- a/internal/upstream/roundtrip_test.go
+++ b/internal/upstream/roundtrip_test.go
@@ -73,20 +73,20 @@
 	}
 }
 
-// TestQuestionsShareConnectionsWithRequests checks that an internal request and the client request
+// TestInternalRequestsShareConnections checks that an internal request and the client request
 // that follows need one connection, also when the answer to the internal one is not read to its
 // end.
-func TestQuestionsShareConnectionsWithRequests(t *testing.T) {
+func TestInternalRequestsShareConnections(t *testing.T) {
 	s := serveAll(t, `{"queued":3}  `)
 	pool := NewPool(internalNames)
 	client := &http.Client{Transport: pool}
 	for range 3 {
 		response := post(t, client, s)
-		var told struct{ Queued int }
+		var report struct{ Queued int }
 		assert.Equal(t, response.StatusCode, http.StatusOK)
-		assert.NilError(t, json.NewDecoder(response.Body).Decode(&told))
+		assert.NilError(t, json.NewDecoder(response.Body).Decode(&report))
 		assert.NilError(t, response.Body.Close())
-		assert.Equal(t, told.Queued, 3)
+		assert.Equal(t, report.Queued, 3)
 		unread := post(t, client, s)
 		assert.NilError(t, unread.Body.Close())
 		_, err := exchange(pool, s.call("1"))
--- a/internal/upstream/silent.go
+++ b/internal/upstream/silent.go
@@ -8,13 +8,15 @@
 	"lilacvane/internal/link"
 )
 
-// minMuteTime is the least time without a byte after which a connection that had been idle, or had
-// begun its answer, counts as silent when its request's deadline has passed, or the time in which
-// no other runner is tried: shorter ones end for many reasons.
+// minMuteTime is the least time without a byte after which a connection counts as silent if its
+// request then ended other than by cancellation, such as by its deadline or by the answer of
+// another runner. Requests end after shorter times for many reasons. Connections count only if they
+// had been idle before the request, or had begun their answer.
 const minMuteTime = 200 * time.Millisecond
 
-// startSend bounds how long the bytes of a request may stay unacknowledged. Once they must have
-// arrived, only probes are sent, and some of these may get lost.
+// startSend bounds how long the bytes of a request may stay unacknowledged. The bound is relaxed
+// after link.RunnerSending, when the request must have arrived: from then on only probes are sent,
+// and some of these may get lost.
 func (c *connection) startSend() {
 	if c.sendTimedOut {
 		link.RestoreAckTimeout(c.Conn)
@@ -44,7 +46,7 @@
 	_ = c.Close()
 }
 
-// reusedSince is when a connection that had been idle was acquired; zero for a new one, whose
+// reusedSince returns when a connection that had been idle was acquired; zero for a new one, whose
 // runner may only be slow.
 func (c *connection) reusedSince() time.Time {
 	if c.idleSince.IsZero() {
@@ -61,8 +63,8 @@
 		p.handleSilence(conn, link.Unacknowledged, step, runner, cause)
 		return
 	}
-	outlived := ctx.Err() != nil && !errors.Is(context.Cause(ctx), context.Canceled)
-	if outlived && !silentFrom.IsZero() && time.Since(silentFrom) >= minMuteTime {
+	abandoned := ctx.Err() != nil && !errors.Is(context.Cause(ctx), context.Canceled)
+	if abandoned && !silentFrom.IsZero() && time.Since(silentFrom) >= minMuteTime {
 		p.handleSilence(conn, link.Mute, step, runner, context.Cause(ctx))
 	}
 }
--- a/internal/upstream/silent_test.go
+++ b/internal/upstream/silent_test.go
@@ -16,8 +16,8 @@
 	"lilacvane/internal/link"
 )
 
-// errOver ends requests whose deadline passed.
-var errOver = errors.New("the request's time is over")
+// errDeadline ends requests whose deadline passed.
+var errDeadline = errors.New("the request's time is over")
 
 // serveOnce serves a runner that answers one request on each connection and is silent from then on.
 func serveOnce(t *testing.T) *scriptedRunner {
@@ -55,7 +55,7 @@
 // timeOut sends a request that gets no answer before its deadline.
 func timeOut(t *testing.T, pool *Pool, s *scriptedRunner, runner string) error {
 	t.Helper()
-	ctx, cancel := context.WithTimeoutCause(t.Context(), minMuteTime+50*time.Millisecond, errOver)
+	ctx, cancel := context.WithTimeoutCause(t.Context(), minMuteTime+50*time.Millisecond, errDeadline)
 	defer cancel()
 	call := s.call("lost")
 	call.Runner = runner
@@ -111,10 +111,10 @@
 	assert.Equal(t, len(pool.idle["c"]), 0)
 }
 
-// TestRequestThatMayNotBeRepeatedAvoidsDoubtfulRest: after one runner's connection was silent, a
-// request that may not be repeated uses a new connection to another runner, as one silent runner
+// TestRequestThatMayNotBeRepeatedAvoidsSuspectConnection: after one runner's connection was silent,
+// a request that may not be repeated uses a new connection to another runner, as one silent runner
 // does not show whether all connections are silent; one that may be repeated tries an idle one.
-func TestRequestThatMayNotBeRepeatedAvoidsDoubtfulRest(t *testing.T) {
+func TestRequestThatMayNotBeRepeatedAvoidsSuspectConnection(t *testing.T) {
 	s := serveOnce(t)
 	pool := NewPool(testNames)
 	leaveIdle(t, pool, s, "a", 1)
@@ -122,7 +122,7 @@
 	_ = timeOut(t, pool, s, "a")
 	call := s.call("once")
 	call.Runner, call.Proved = "b", true
-	ctx, cancel := context.WithTimeoutCause(t.Context(), minMuteTime, errOver)
+	ctx, cancel := context.WithTimeoutCause(t.Context(), minMuteTime, errDeadline)
 	defer cancel()
 	answer, err := pool.Do(ctx, call)
 	assert.NilError(t, err)
@@ -133,10 +133,10 @@
 	assert.Assert(t, !pool.trust.Suspects(idleOf(pool, "b")[0].idleSince))
 }
 
-// TestRestDuringASilenceIsNotTrusted checks that a connection that became idle while a request
-// waited on a silent one is dropped, as it may have gone silent with it, and that one made since
-// then stays, however many of the silent ones are noticed later.
-func TestRestDuringASilenceIsNotTrusted(t *testing.T) {
+// TestConnectionIdleDuringSilenceIsNotTrusted checks that a connection that became idle while a
+// request waited on a silent one is dropped, as it may have gone silent with it, and that one made
+// since then stays, however many of the silent ones are noticed later.
+func TestConnectionIdleDuringSilenceIsNotTrusted(t *testing.T) {
 	s := serveOnce(t)
 	pool := NewPool(testNames)
 	leaveIdle(t, pool, s, "a", 2)
@@ -149,7 +149,7 @@
 	silent.Wait()
 	assert.Equal(t, len(pool.idle["a"]), 0)
 	leaveIdle(t, pool, s, "a", 1)
-	pool.handleSilence(late, link.Mute, "read answer", "a", errOver)
+	pool.handleSilence(late, link.Mute, "read answer", "a", errDeadline)
 	assert.Equal(t, len(pool.idle["a"]), 1)
 }
 
@@ -222,9 +222,9 @@
 	assert.Assert(t, errors.Is(err, context.Canceled), "%v", err)
 }
 
-// TestSecondExchangeSendsWithTheShortBound checks that a connection whose first answer took long
-// sends its next request with the bound for sending.
-func TestSecondExchangeSendsWithTheShortBound(t *testing.T) {
+// TestNextRequestHasShortAckTimeout checks that a connection whose first answer took long
+// sends its next request with the short acknowledgement timeout again.
+func TestNextRequestHasShortAckTimeout(t *testing.T) {
 	s := serveScript(t, func(s *scriptedRunner, _ int, conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		for {
@@ -248,9 +248,9 @@
 	assert.Equal(t, s.accepted.Load(), int32(1))
 }
 
-// TestAnswerThatStopsTellsOfSilence checks that an answer that began and stopped is a sign of
+// TestStoppedAnswerIsSignOfSilence checks that an answer that began and stopped is a sign of
 // silence, also on a new connection.
-func TestAnswerThatStopsTellsOfSilence(t *testing.T) {
+func TestStoppedAnswerIsSignOfSilence(t *testing.T) {
 	stopping := serveScript(t, func(s *scriptedRunner, _ int, conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		_, err := s.next(reader)
@@ -262,7 +262,7 @@
 	s := serveOnce(t)
 	pool := NewPool(testNames)
 	leaveIdle(t, pool, s, "a", 2)
-	ctx, cancel := context.WithTimeoutCause(t.Context(), minMuteTime+100*time.Millisecond, errOver)
+	ctx, cancel := context.WithTimeoutCause(t.Context(), minMuteTime+100*time.Millisecond, errDeadline)
 	defer cancel()
 	call := stopping.call("part")
 	call.Runner = "a"
