--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,5 +1,6 @@
-// Package retry bounds how many requests are sent a second time. All nodes share one budget for
-// each service; a node spends its part of it.
+// Package retry bounds how many requests are sent a second time. All nodes share one budget of
+// retries for each service, of which a node spends its part without asking the others: it only
+// needs to know how many nodes there are.
 package retry
 
 import (
@@ -8,30 +9,32 @@
 	"time"
 )
 
-// Limits bound a service's budget over all nodes: within Window, at most Ratio of the requests are
-// retried, and Slack more.
+// Limits bound a service's budget over all nodes: in any Window, at most Ratio times the number of
+// requests may be retried, and Slack requests more.
 type Limits struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// safety keeps a node's part below the bound, as windows slide and the nodes' shares of the traffic
-// differ.
+// safety is the part of the bound that nodes use, as windows slide and the nodes' shares of the
+// traffic differ.
 const safety = 0.5
 
 // Budget is this node's part of one service's budget. Its methods may be called concurrently.
 type Budget struct {
 	limits Limits
 	now    func() time.Time
-	// random returns a number from 0 to 1.
+	// random returns a number in [0, 1).
 	random func() float64
 
-	mutex      sync.Mutex
-	nodes      int
+	mutex sync.Mutex
+	nodes int
+	// tokens is the number of retries that may be sent now, refilledAt when it was last computed.
 	tokens     float64
 	refilledAt time.Time
-	// drawnAt is when the node last drew whether it has a retry, if its part is less than one.
+	// drawnAt is when the node last drew at random whether it has a retry, if its part is less than
+	// one.
 	drawnAt time.Time
 }
 
@@ -42,7 +45,7 @@
 
 func newBudget(limits Limits, nodes int, now func() time.Time, random func() float64) *Budget {
 	b := &Budget{limits: limits, nodes: max(nodes, 1), now: now, random: random, refilledAt: now()}
-	if b.drawsLots() {
+	if b.randomized() {
 		b.draw(b.refilledAt)
 		return b
 	}
@@ -50,21 +53,23 @@
 	return b
 }
 
-// capacity is the part of the slack that may be spent at once. The slack is refilled over a window,
-// so half of it is held in reserve.
+// capacity returns this node's part of the slack, which may be spent at once. It is refilled over a
+// window, so half of the slack is held in reserve.
 func (b *Budget) capacity() float64 {
 	return b.limits.Slack * safety / float64(b.nodes)
 }
 
-// drawSafety keeps the nodes that draw below the bound: a window may contain the retries of two
-// draws.
+// drawSafety is the part of the bound that nodes that draw use: a window may contain the retries of
+// two draws.
 const drawSafety = 0.5
 
-// drawsLots reports whether the nodes are so many that the part of each is less than one retry.
-// Such parts must not be saved up, or all nodes could spend theirs at once; so each node draws once
-// per window whether it has one, and a retry that it did not spend is lost at the next draw.
-func (b *Budget) drawsLots() bool { return b.capacity() < 1 }
+// randomized reports whether the nodes are so many that the part of each is less than one retry.
+// Such parts must not be saved up, or all nodes could spend theirs at once; so each node draws at
+// random once per window whether it has one, and a retry that it did not spend is lost at the next
+// draw.
+func (b *Budget) randomized() bool { return b.capacity() < 1 }
 
+// draw decides at random whether the node has a retry until the next draw.
 func (b *Budget) draw(now time.Time) {
 	b.drawnAt = now
 	b.tokens = 0
@@ -73,9 +78,9 @@
 	}
 }
 
-// maxTokens is the most that a node may have at once.
+// maxTokens returns the most retries that a node may have at once.
 func (b *Budget) maxTokens() float64 {
-	if b.drawsLots() {
+	if b.randomized() {
 		return 1
 	}
 	return b.capacity()
@@ -109,9 +114,11 @@
 	return true
 }
 
+// refill adds the retries that the time since the last refill earned, or draws again. mutex is
+// held.
 func (b *Budget) refill() {
 	now := b.now()
-	if b.drawsLots() {
+	if b.randomized() {
 		if now.Sub(b.drawnAt) >= b.limits.Window {
 			b.draw(now)
 		}
