--- a/internal/crash/detector.go
+++ b/internal/crash/detector.go
@@ -1,5 +1,6 @@
-// Package crash distinguishes runners that crashed while running requests from mere connection
-// failures: when an answer breaks off, it probes whether the runner is still the same process.
+// Package crash distinguishes crashes of runners from mere connection failures: when an answer
+// breaks off, it probes whether the runner is still the same process, and reports the requests that
+// a crashed runner was running.
 package crash
 
 import (
@@ -49,14 +50,14 @@
 	Report func(ctx context.Context, runner backend.Runner) (backend.Report, error)
 	// Connect opens a connection to an address and closes it.
 	Connect func(ctx context.Context, address string) error
-	// Leaves, if set, reports whether a runner said in an answer that it leaves. Otherwise only
-	// the platform's list is used.
+	// Leaves, if set, reports whether a runner announced in an answer that it leaves. Otherwise
+	// only the platform's list tells.
 	Leaves func(runner string) bool
 }
 
 // leaves reports whether a runner announced that it leaves, so that its end is planned.
-func (a Prober) leaves(runner backend.Runner) bool {
-	return runner.Draining || (a.Leaves != nil && a.Leaves(runner.ID))
+func (p Prober) leaves(runner backend.Runner) bool {
+	return runner.Draining || (p.Leaves != nil && p.Leaves(runner.ID))
 }
 
 // Detector determines which runners crashed. Its methods may be called concurrently.
@@ -91,34 +92,35 @@
 // inquiry is about a runner of which it is unknown whether it ended. Detector.mutex guards it.
 type inquiry struct {
 	runner   backend.Runner
-	requests []brokenRequest
+	requests []interruption
 	method   ProbeMethod
 	// due is set if the runner is to be probed; wake is signalled when due is set.
 	due  bool
 	wake chan struct{}
 }
 
-// brokenRequest is a request whose answer broke off.
-type brokenRequest struct {
+// interruption is a request whose answer broke off, or never came.
+type interruption struct {
 	request poison.Identity
 	at      time.Time
 }
 
-// lastBroken is when the last answer broke off.
-func (i *inquiry) lastBroken() time.Time { return i.requests[len(i.requests)-1].at }
+// lastInterruption returns when the last answer broke off.
+func (i *inquiry) lastInterruption() time.Time { return i.requests[len(i.requests)-1].at }
 
-// recentRequests returns the requests whose answers broke off within inquiryTimeout. Earlier
-// ones are not connected with an end now.
+// recentRequests returns the requests whose answers broke off within the last inquiryTimeout.
+// Earlier ones are not connected with an end of the runner now.
 func (i *inquiry) recentRequests() []poison.Identity {
 	var requests []poison.Identity
-	for _, broken := range i.requests {
-		if time.Since(broken.at) <= inquiryTimeout {
-			requests = append(requests, broken.request)
+	for _, interrupted := range i.requests {
+		if time.Since(interrupted.at) <= inquiryTimeout {
+			requests = append(requests, interrupted.request)
 		}
 	}
 	return requests
 }
 
+// endedRunner records how and when the end of a runner was detected.
 type endedRunner struct {
 	how string
 	at  time.Time
@@ -165,7 +167,7 @@
 	if len(inq.requests) == maxPendingRequests {
 		inq.requests = inq.requests[1:]
 	}
-	inq.requests = append(inq.requests, brokenRequest{request: request, at: time.Now()})
+	inq.requests = append(inq.requests, interruption{request: request, at: time.Now()})
 	inq.method = max(inq.method, method)
 	if method != ProbeNone {
 		inq.due = true
@@ -215,7 +217,7 @@
 	if d.pending[inq.runner.ID] != inq {
 		return ProbeNone, false, false
 	}
-	if time.Since(inq.lastBroken()) > inquiryTimeout {
+	if time.Since(inq.lastInterruption()) > inquiryTimeout {
 		delete(d.pending, inq.runner.ID)
 		d.log.V(1).Info("cannot determine whether a runner ended", "runner", inq.runner.ID, "requests", len(inq.requests))
 		return ProbeNone, false, false
@@ -225,6 +227,7 @@
 	return inq.method, due, true
 }
 
+// markDue requests another probe of an inquiry.
 func (d *Detector) markDue(inq *inquiry) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -260,8 +263,8 @@
 	verdictUnclear verdict = iota
 	verdictEnded
 	verdictAlive
-	// verdictAccepts means that a runner that gives no reports accepted a connection. It either
-	// lives or has already restarted, which only the platform's list shows.
+	// verdictAccepts means that a runner that gives no reports accepted a connection. It is either
+	// alive or has already restarted, which only the platform's list shows.
 	verdictAccepts
 )
 
@@ -294,7 +297,7 @@
 func (d *Detector) confirmAlive(inq *inquiry, probedAt time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if inq.lastBroken().After(probedAt) {
+	if inq.lastInterruption().After(probedAt) {
 		return false
 	}
 	delete(d.pending, inq.runner.ID)
--- a/internal/crash/detector_test.go
+++ b/internal/crash/detector_test.go
@@ -130,9 +130,9 @@
 	}
 }
 
-// TestLaterAnswerThatBreaksOffIsAskedFor: a runner that was only slow, or accepted a connection,
+// TestLaterInterruptionIsProbed: a runner that was only slow, or accepted a connection,
 // is probed again immediately when another of its answers breaks off.
-func TestLaterAnswerThatBreaksOffIsAskedFor(t *testing.T) {
+func TestLaterInterruptionIsProbed(t *testing.T) {
 	for _, first := range []ProbeMethod{ProbeNone, ProbeConnect} {
 		var crashes []Crash
 		gone := false
