--- a/internal/poison/identity_test.go
+++ b/internal/poison/identity_test.go
@@ -33,8 +33,8 @@
 		assert.Assert(t, first.Identity() != other.Identity(), name)
 	}
 
-	plain, asked := Content{Method: "GET", Path: "/p", Query: "page=1"}, Content{Method: "GET", Path: "/p", Query: "page=2"}
-	assert.Assert(t, plain.Identity() != asked.Identity(), "without a body the query is the content")
+	firstPage, secondPage := Content{Method: "GET", Path: "/p", Query: "page=1"}, Content{Method: "GET", Path: "/p", Query: "page=2"}
+	assert.Assert(t, firstPage.Identity() != secondPage.Identity(), "without a body the query is the content")
 }
 
 func TestIdentityRoundTrip(t *testing.T) {
--- a/internal/poison/marks.go
+++ b/internal/poison/marks.go
@@ -12,9 +12,9 @@
 	// MarkLifetime is how long a mark lasts. After that, a request that was marked falsely, or
 	// that a repaired runner would handle, may run again.
 	MarkLifetime = 30 * time.Minute
-	// ProvisionalPeriod is after how long a client whose request is refused is told to retry. If
-	// the request is innocent, attempts running elsewhere succeed well within that time, which
-	// lifts the mark.
+	// ProvisionalPeriod is how long a new refusal is provisional: clients are told to retry when
+	// the period ends. If the request is innocent, attempts running elsewhere succeed well within
+	// that time, which lifts the mark.
 	ProvisionalPeriod = 2 * time.Second
 	// MaxMarks bounds the marks of all nodes together.
 	MaxMarks = 256
@@ -40,7 +40,7 @@
 func (m Mark) Expired(now time.Time) bool { return now.Sub(m.first) > MarkLifetime }
 
 // Marks holds the requests that a node watches or refuses. Its methods may be called
-// concurrently. Reads take no lock, because every request reads it.
+// concurrently. Reads take no lock, because every request reads the marks.
 type Marks struct {
 	mutex   sync.Mutex
 	current atomic.Pointer[map[Identity]Mark]
@@ -98,6 +98,7 @@
 	return updated
 }
 
+// merge adds a finding's runners to a mark, or makes a new mark of it.
 func merge(before Mark, finding Finding, known bool, now time.Time) Mark {
 	if !known {
 		return Mark{Finding: finding, first: now}
--- a/internal/poison/tally.go
+++ b/internal/poison/tally.go
@@ -18,7 +18,7 @@
 	// RefuseThreshold is how many runners must end while running a request before it is refused:
 	// the third is the last one that may be lost to it.
 	RefuseThreshold = 3
-	// evidenceLifetime is how long crashes count if no further one follows.
+	// evidenceLifetime is how long the crashes of a request count if no further one follows.
 	evidenceLifetime = 30 * time.Minute
 	// maxRunners bounds the runners kept per request.
 	maxRunners = 16
@@ -45,6 +45,7 @@
 	entries map[Identity]*entry
 }
 
+// entry is what a tally records of one request: the runners that ended, and when the last one did.
 type entry struct {
 	runners   []string
 	lastCrash time.Time
@@ -103,7 +104,7 @@
 	return known
 }
 
-// Knows reports whether a crash is recorded for the request.
+// Knows reports whether a crash is recorded for a request.
 func (t *Tally) Knows(request Identity) bool { return t.entries[request] != nil }
 
 // Crashes returns all recorded crashes by runner, for transfer to another tally.
--- a/internal/poison/tally_test.go
+++ b/internal/poison/tally_test.go
@@ -58,9 +58,9 @@
 	assert.Equal(t, tally.Expire(start.Add(2*evidenceLifetime+2)), 0)
 }
 
-// TestFloodLeavesWhatIsSuspected: a million different requests with one crash each neither
+// TestFloodDoesNotEvictSuspects: a million different requests with one crash each neither
 // exhaust memory nor evict a request with two.
-func TestFloodLeavesWhatIsSuspected(t *testing.T) {
+func TestFloodDoesNotEvictSuspects(t *testing.T) {
 	tally := NewTally()
 	tally.RecordCrash("r1", []Identity{testIdentity(0)}, start)
 	tally.RecordCrash("r2", []Identity{testIdentity(0)}, start)
@@ -75,9 +75,9 @@
 	assert.Equal(t, len(tally.RecordCrash("r3", []Identity{testIdentity(0)}, start)[0].Runners), RefuseThreshold)
 }
 
-// TestOnlyWhatWasAtThreeEndsIsRefused: whichever nodes report crashes in whichever order, a
+// TestThreeCrashesAreRefused: whichever nodes report crashes in whichever order, a
 // request is refused exactly if it was involved in three crashes since it was last cleared.
-func TestOnlyWhatWasAtThreeEndsIsRefused(t *testing.T) {
+func TestThreeCrashesAreRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tally, marks := NewTally(), NewMarks()
 		crashes := make(map[Identity]map[string]bool)
