--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,9 +1,9 @@
-// Package quarantine implements a node's part in protecting runners from requests that crash
-// them. Each node records the crashes under its own requests and reports them to a few other
-// nodes, among them the holder of one service's control lease. These aggregate the reports of
-// all nodes. Whichever node finds a request involved in several crashes writes it to a table
-// that all nodes follow, so that the entry outlives holders, restarts and power failures, and
-// reaches nodes that the holder does not.
+// Package quarantine implements a node's part in protecting runners from requests that crash them.
+// Each node records the crashes of runners during its own requests and reports them to a few other
+// nodes, among them the holder of one service's control lease. These aggregate the reports of all
+// nodes. Whichever node finds a request involved in several crashes writes it to a table that all
+// nodes follow, so that the entry outlives holders, restarts and power failures, and reaches nodes
+// that the holder does not.
 package quarantine
 
 import (
@@ -29,15 +29,16 @@
 	Rows table.Table
 	// Self returns the address at which other nodes reach this one.
 	Self func() string
-	// SendReport sends the node at an address the report that the holder also gets.
+	// SendReport sends a report, which the holder also gets, to the node at an address.
 	SendReport func(ctx context.Context, address string, report wire.PoisonReport) error
-	// ReportNow causes the demand of a service to be reported to its holder immediately.
+	// ReportNow causes the demand for a service, and the reports sent along with it, to be sent to
+	// the service's holder immediately.
 	ReportNow func(service string)
 	// Holds reports whether this node holds the control lease of a service.
 	Holds func(service string) bool
 	// Wake makes requests that wait for a runner check again.
 	Wake func()
-	// Decide records a decision about a subject, for operators' queries.
+	// RecordDecision records a decision about a subject for operators to query.
 	Decide func(subject, step, reason string)
 	Log    logr.Logger
 }
@@ -60,8 +61,8 @@
 	mutex sync.Mutex
 	// tally counts the crashes known to this node: those of all nodes if it aggregates.
 	tally *poison.Tally
-	// unreported is what the holder was not told yet. reportedToken is the token of the holder
-	// that got a full report.
+	// unreported is what was not reported to the holder yet. reportedToken is the lease token of
+	// the holder that got a full report.
 	unreported    wire.PoisonReport
 	reportedToken uint64
 	// pendingWrites are the rows to write, with nil for those to remove. written are the rows in
@@ -261,6 +262,7 @@
 	delete(q.pendingWrites, request)
 }
 
+// signal wakes Run to write pending rows.
 func (q *Quarantine) signal() {
 	select {
 	case q.due <- struct{}{}:
@@ -268,7 +270,7 @@
 	}
 }
 
-// ReportsFor returns the reports that are sent along with the demand of a service.
+// ReportsFor returns the reports that are sent along with the demand for a service.
 func (q *Quarantine) ReportsFor(service string) Reports {
 	return Reports{quarantine: q, service: service}
 }
@@ -280,8 +282,8 @@
 }
 
 // Report returns the report to send to the holder; nil if there is nothing to report or if
-// another service's holder aggregates. A holder that has not been sent a full report yet, as
-// told by its token, gets all that is known.
+// another service's holder aggregates. A holder whose lease token shows that it has not been sent a
+// full report yet gets all that is known.
 func (s Reports) Report(token uint64) *wire.PoisonReport {
 	q := s.quarantine
 	if *q.service.Load() != s.service || q.Idle() {
@@ -317,6 +319,7 @@
 // newest returns the last maxUnreported elements of a list.
 func newest[T any](list []T) []T { return list[max(len(list)-maxUnreported, 0):] }
 
+// allCrashes returns all crashes in a tally, ordered by runner.
 func allCrashes(tally *poison.Tally) []wire.CrashReport {
 	crashes := tally.Crashes()
 	reports := make([]wire.CrashReport, 0, len(crashes))
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -14,7 +14,8 @@
 
 const (
 	// writeTimeout bounds a write to the table. writeRetry is the pause after a failed write. It
-	// is short enough that a store that is back is updated within the platform's bound on news.
+	// is short enough that a store that is back is updated within the platform's maximum
+	// propagation delay.
 	writeTimeout = 800 * time.Millisecond
 	writeRetry   = 300 * time.Millisecond
 	// sweepInterval is how often the holder looks for expired marks.
@@ -53,7 +54,7 @@
 // mutex is held.
 func (q *Quarantine) applyRows(rows []feed.Row) []poison.Identity {
 	var findings []poison.Finding
-	var named []poison.Identity
+	var requests []poison.Identity
 	for _, row := range rows {
 		request, err := poison.ParseIdentity(row.Key)
 		if err == nil && row.Deleted {
@@ -69,14 +70,14 @@
 			continue
 		}
 		q.written[request] = true
-		named = append(named, request)
+		requests = append(requests, request)
 		findings = append(findings, poison.Finding{Request: request, Runners: record.Runners})
 	}
 	if len(findings) > 0 {
 		q.apply(findings)
 		q.publish(q.merge(findings))
 	}
-	return named
+	return requests
 }
 
 // merge combines findings from rows with what this node knows of these requests, and returns the
@@ -180,6 +181,7 @@
 	return true, nil
 }
 
+// takeWrites removes at most batchSize pending writes from the queue and returns them.
 func (q *Quarantine) takeWrites() map[poison.Identity][]string {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -218,7 +220,8 @@
 	return requests
 }
 
-// Lift lets a request run again.
+// Lift lets a request run again, as an operator asked for it. It returns an error with CodeNotFound
+// if the request is neither suspected nor refused, or that of the write to the table.
 func (q *Quarantine) Lift(ctx context.Context, request poison.Identity) error {
 	const step = "lift quarantine"
 	if _, known := q.marks.Find(request); !known {
