--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -64,7 +64,7 @@
 	Unit Unit
 	// Rate is in units per second; zero means no limit.
 	Rate float64
-	// Burst is what may be used at once in addition.
+	// Burst is what may be used at once in addition, in units.
 	Burst float64
 	// PlainCost is the cost of a request without token counts if Unit is Tokens.
 	PlainCost float64
@@ -180,7 +180,8 @@
 	return &Directory{byKey: maps.Clone(d.byKey), byName: maps.Clone(d.byName)}
 }
 
-// Add adds a tenant. If it is invalid, the directory is left unchanged.
+// Add adds a tenant. If it is invalid, the error names the field at fault and the directory is left
+// unchanged.
 func (d *Directory) Add(t Tenant) error {
 	if problem := t.validate(); problem != "" {
 		return invalid(t.Name, problem)
@@ -203,6 +204,7 @@
 	return nil
 }
 
+// invalid returns the error of an invalid tenant.
 func invalid(name Name, problem string) error {
 	return fault.New(fault.CodeInvalid, stepRead, "tenant %q: %s", name, problem)
 }
@@ -210,6 +212,7 @@
 // MaximumName is the maximum length of a tenant's name in bytes, as it is sent in a header.
 const MaximumName = 128
 
+// validate returns what is wrong with the tenant; empty if nothing is.
 func (t *Tenant) validate() string {
 	switch {
 	case t.Name == "" || len(t.Name) > MaximumName:
@@ -240,13 +243,13 @@
 
 func isFiniteNonNegative(value float64) bool { return value >= 0 && !math.IsInf(value, 0) }
 
-// Resolve returns the tenant that holds a key.
+// Resolve returns the tenant that holds a key; false if there is none.
 func (d *Directory) Resolve(key string) (*Tenant, bool) {
 	found := d.byKey[DigestOf(key)]
 	return found, found != nil
 }
 
-// Find returns a tenant by its name.
+// Find returns a tenant by its name; false if there is none.
 func (d *Directory) Find(name Name) (*Tenant, bool) {
 	if d == nil {
 		return nil, false
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -19,9 +19,9 @@
 	return digests
 }
 
-// TestKeysFindTheirTenant: each of a tenant's keys resolves to that tenant; other keys resolve
+// TestKeysResolveToTheirTenant: each of a tenant's keys resolves to that tenant; other keys resolve
 // to none.
-func TestKeysFindTheirTenant(t *testing.T) {
+func TestKeysResolveToTheirTenant(t *testing.T) {
 	directory, err := NewDirectory([]Tenant{{Name: "a", Keys: keys("one", "two")}, {Name: "b", Keys: keys("\x00\xff", "three")}})
 	assert.NilError(t, err)
 	for key, name := range map[string]Name{"one": "a", "two": "a", "\x00\xff": "b", "three": "b", "": "", "One": "", "one ": ""} {
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestBadTenantsAreNamed: the error for an invalid tenant names the tenant and the field.
-func TestBadTenantsAreNamed(t *testing.T) {
+// TestInvalidTenantsAreNamed: the error for an invalid tenant names the tenant and the field.
+func TestInvalidTenantsAreNamed(t *testing.T) {
 	for text, tenants := range map[string][]Tenant{
 		`tenant "a": name: used twice`:                            {{Name: "a"}, {Name: "a"}},
 		`tenant "b": keys[1]: also a key of tenant "a"`:           {{Name: "a", Keys: keys("k")}, {Name: "b", Keys: keys("l", "k")}},
