--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// recordFailure logs a failed attempt. The delay of the node's own timer tells a silent runner from
-// a node that was stalled itself.
+// recordFailure logs a failed attempt. The delay of the node's own timer distinguishes a silent
+// runner from a node that was stalled itself.
 func (j *job) recordFailure(choice fleet.Choice, result attemptResult, err error, elapsed time.Duration) {
 	log := j.log
 	if j.reportPossibleCrash(choice.Runner, result, err) {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -53,7 +53,7 @@
 	// Limits decides whether requests are within their tenants' limits; nil where no tenant has
 	// one.
 	Limits Limiter
-	// Report reads a runner's report; nil where runners cannot be asked.
+	// Report reads a runner's report; nil where runners give none.
 	Report func(ctx context.Context, runner backend.Runner) (backend.Report, error)
 	// Quarantine decides which requests must not run; nil where all may.
 	Quarantine Quarantine
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -28,13 +28,13 @@
 // behaves as first, the other one as second.
 func hedgedJob(t *testing.T, first, second http.HandlerFunc) (*job, *httptest.ResponseRecorder) {
 	t.Helper()
-	var asked atomic.Int64
+	var received atomic.Int64
 	var runners []backend.Runner
 	for _, id := range []string{"r1", "r2"} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("X-Id", r.Header.Get("X-Id"))
 			w.Header().Set("X-Signature", "s")
-			if asked.Add(1) == 1 {
+			if received.Add(1) == 1 {
 				first(w, r)
 				return
 			}
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -109,7 +109,7 @@
 	// Homes are the only regions in which it may be served.
 	Homes place.Homes
 	// Cost is what the request costs, in the unit of its tenant's limit; Charged is set once that
-	// was charged. AdmittedBy is the node whose share was asked, or its address.
+	// was charged. AdmittedBy is the node whose share of the limit decided, or its address.
 	Cost       float64
 	Charged    bool
 	AdmittedBy string
--- a/internal/dispatch/retry_test.go
+++ b/internal/dispatch/retry_test.go
@@ -35,10 +35,10 @@
 		{"broken off", func(http.ResponseWriter) { panic(http.ErrAbortHandler) }, http.StatusBadGateway},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			var asked atomic.Int64
+			var received atomic.Int64
 			runner := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				w.Header().Set("X-Id", r.Header.Get("X-Id"))
-				if asked.Add(1) == 1 {
+				if received.Add(1) == 1 {
 					test.refuse(w)
 					return
 				}
--- a/internal/dispatch/selection_test.go
+++ b/internal/dispatch/selection_test.go
@@ -23,7 +23,7 @@
 	runnerFleet.Replace([]backend.Runner{{ID: "r1", Service: "s", Models: []backend.Holding{{Model: current.Model}}}}, false)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	asked := 0
+	calls := 0
 	j := &job{
 		dispatcher: &Dispatcher{
 			Fleet: runnerFleet, Demand: demand.NewTracker(), Configuration: func() *config.Configuration { return &config.Configuration{} },
@@ -34,8 +34,8 @@
 		query:    fleet.Query{Service: "s", Unit: old},
 		deadline: time.Now().Add(time.Hour),
 		request: &Request{Arrived: time.Now(), Resolve: func() (backend.Unit, error) {
-			asked++
-			if asked == 1 {
+			calls++
+			if calls == 1 {
 				return old, nil
 			}
 			return current, nil
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -144,10 +144,10 @@
 
 // finishStream ends a stream that its runner completed. What follows its last event belongs to the
 // answer as well.
-func (j *job) finishStream(ctx context.Context, answer *upstream.Answer, rest []byte) {
+func (j *job) finishStream(ctx context.Context, answer *upstream.Answer, remainder []byte) {
 	j.openStream(answer)
-	if len(rest) > 0 {
-		j.stream.spool.write(ctx, rest)
+	if len(remainder) > 0 {
+		j.stream.spool.write(ctx, remainder)
 	}
 	j.outcome.Result = ResultServed
 	j.outcome.Resumes = j.sent - 1
