--- a/internal/poison/tally.go
+++ b/internal/poison/tally.go
@@ -104,8 +104,8 @@
 	return known
 }
 
-// Knows reports whether a crash is recorded for a request.
-func (t *Tally) Knows(request Identity) bool { return t.entries[request] != nil }
+// Contains reports whether a crash is recorded for a request.
+func (t *Tally) Contains(request Identity) bool { return t.entries[request] != nil }
 
 // Crashes returns all recorded crashes by runner, for transfer to another tally.
 func (t *Tally) Crashes() map[string][]Identity {
--- a/internal/poison/tally_test.go
+++ b/internal/poison/tally_test.go
@@ -38,7 +38,7 @@
 	assert.Equal(t, len(tally.RecordCrash("r3", []Identity{testIdentity(0)}, start)), 0)
 }
 
-// TestTallyTransfer: a tally that gets the crashes of another one knows the same.
+// TestTallyTransfer: a tally that gets the crashes of another one has the same counts.
 func TestTallyTransfer(t *testing.T) {
 	first, next := NewTally(), NewTally()
 	first.RecordCrash("r1", []Identity{testIdentity(0)}, start)
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -86,7 +86,7 @@
 func (q *Quarantine) merge(findings []poison.Finding) []poison.Finding {
 	var updated []poison.Finding
 	for _, finding := range findings {
-		if !q.tally.Knows(finding.Request) {
+		if !q.tally.Contains(finding.Request) {
 			continue
 		}
 		before := len(finding.Runners)
