--- a/internal/crash/detector.go
+++ b/internal/crash/detector.go
@@ -51,7 +51,7 @@
 	// Connect opens a connection to an address and closes it.
 	Connect func(ctx context.Context, address string) error
 	// Leaves, if set, reports whether a runner announced in an answer that it leaves. Otherwise
-	// only the platform's list tells.
+	// only the platform's list shows it.
 	Leaves func(runner string) bool
 }
 
--- a/internal/crash/detector_test.go
+++ b/internal/crash/detector_test.go
@@ -28,8 +28,8 @@
 // answers simulates a runner that answers probes with the listed answers in turn, repeating the
 // last one.
 type answers struct {
-	list  []answer
-	asked int
+	list   []answer
+	probes int
 }
 
 type answer struct {
@@ -38,8 +38,8 @@
 }
 
 func (a *answers) report(context.Context, backend.Runner) (backend.Report, error) {
-	given := a.list[min(a.asked, len(a.list)-1)]
-	a.asked++
+	given := a.list[min(a.probes, len(a.list)-1)]
+	a.probes++
 	return given.report, given.err
 }
 
@@ -211,10 +211,10 @@
 	var crashes []Crash
 	synctest.Test(t, func(t *testing.T) {
 		var d *Detector
-		asked := 0
+		probes := 0
 		report := func(context.Context, backend.Runner) (backend.Report, error) {
-			asked++
-			if asked > 1 {
+			probes++
+			if probes > 1 {
 				return backend.Report{}, errGone
 			}
 			time.Sleep(time.Millisecond)
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -132,10 +132,10 @@
 func (l Limit) Budget(t Tolerance) Budget {
 	window := t.Window.Seconds()
 	total := (l.Rate*window+l.Burst)*(1+t.Share) + t.Slack
-	rest := (1 - reserveShare - startupShare) * total
-	capacity := max(rest-bucketRateShare*l.Rate*window, minBurstShare*rest)
+	remaining := (1 - reserveShare - startupShare) * total
+	capacity := max(remaining-bucketRateShare*l.Rate*window, minBurstShare*remaining)
 	return Budget{
-		Bucket: Bucket{Rate: (rest - capacity) / window, Capacity: capacity}, Reserve: reserveShare * total, Start: startupShare * total,
+		Bucket: Bucket{Rate: (remaining - capacity) / window, Capacity: capacity}, Reserve: reserveShare * total, Start: startupShare * total,
 	}
 }
 
--- a/internal/upstream/late_test.go
+++ b/internal/upstream/late_test.go
@@ -29,7 +29,7 @@
 }
 
 // TestAnswerThatHasArrivedIsReadAfterTheDeadline: a node that was stalled past the deadline of a
-// request closed the connection before it read the answer, and lost what it said.
+// request closed the connection before it read the answer, and so lost it.
 func TestAnswerThatHasArrivedIsReadAfterTheDeadline(t *testing.T) {
 	s := serveScript(t, func(s *scriptedRunner, _ int, conn net.Conn) {
 		reader := bufio.NewReader(conn)
