--- a/internal/dispatch/retry_test.go
+++ b/internal/dispatch/retry_test.go
@@ -35,10 +35,10 @@
 		{"broken off", func(http.ResponseWriter) { panic(http.ErrAbortHandler) }, http.StatusBadGateway},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			var asked atomic.Int64
+			var received atomic.Int64
 			runner := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				w.Header().Set("X-Id", r.Header.Get("X-Id"))
-				if asked.Add(1) == 1 {
+				if received.Add(1) == 1 {
 					test.refuse(w)
 					return
 				}
@@ -46,11 +46,11 @@
 				_, _ = w.Write([]byte("whole"))
 			}))
 			defer runner.Close()
-			known := fleet.New("zone", time.Now, noRules{})
-			known.Replace([]backend.Runner{{ID: "r1", Service: "s", Slots: 1, Address: strings.TrimPrefix(runner.URL, "http://"), Models: []backend.Holding{{Model: "alpha"}}}}, false)
+			runnerFleet := fleet.New("zone", time.Now, noRules{})
+			runnerFleet.Replace([]backend.Runner{{ID: "r1", Service: "s", Slots: 1, Address: strings.TrimPrefix(runner.URL, "http://"), Models: []backend.Holding{{Model: "alpha"}}}}, false)
 			names := upstream.Names{RequestID: "X-Id", Deadline: "X-Deadline", ExpectRunner: "X-Runner", Signature: "X-Signature", NotRun: "X-Not-Run", Urgency: "X-Urgency"}
 			written := httptest.NewRecorder()
-			j := waitingFor(known, 10*time.Second)
+			j := waitingFor(runnerFleet, 10*time.Second)
 			j.dispatcher.Pool, j.dispatcher.Names = upstream.NewPool(names), names
 			j.dispatcher.Retries = retry.Limits{Ratio: 1, Slack: 100, Window: time.Second}
 			j.writer = written
