--- a/internal/fleet/choose.go
+++ b/internal/fleet/choose.go
@@ -15,10 +15,15 @@
 const (
 	// prefillTokensPerMillisecond is the expected speed at which a runner reads a prompt.
 	prefillTokensPerMillisecond = 35.0
-	costPerRequest              = 4.0
-	costWhenFull                = 400.0
-	costOtherZone               = 2.0
-	costMissing                 = 20_000.0
+	// costPerRequest is the cost of each request that the runner already has.
+	costPerRequest = 4.0
+	// costWhenFull is the cost of each request beyond the runner's slots.
+	costWhenFull = 400.0
+	// costOtherZone is the cost of a runner outside this node's zone.
+	costOtherZone = 2.0
+	// costMissing is the cost of a runner that vanished from the list without notice, or whose
+	// zone gets no share of the requests.
+	costMissing = 20_000.0
 	// tieJitter is the random part of a cost, so that nodes with the same information do not
 	// all choose the same runner.
 	tieJitter = 1.0
@@ -246,7 +251,8 @@
 	known.prompts.add(query.Unit, query.Prompt, f.now())
 }
 
-// Started records that a runner began to answer a request: it has read the prompt.
+// Started records that a runner began to answer a request, which it does once it has read the
+// prompt.
 func (f *Fleet) Started(choice Choice) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/fleet/cold.go
+++ b/internal/fleet/cold.go
@@ -24,7 +24,7 @@
 	// Terms returns the terms of a service; the zero Terms if its runners are never cold.
 	Terms func(service string) coldstart.Terms
 	// Limit returns the terms of a runner that accepts rate requests a second, above zero;
-	// lent is set if a control holder lends permits. It is nil if runners state no limits.
+	// lent is set if a lease holder lends permits. It is nil if runners state no limits.
 	Limit func(rate float64, lent bool) coldstart.Terms
 	// Returned returns when a zone that was taken out was last put back; zero for never. It is
 	// nil if zones are never taken out.
@@ -62,17 +62,17 @@
 	f.coldStarts = starts
 }
 
-// recordColdState applies the cold state in a runner's row; known.listed still holds the row
-// before it. A row that was applied already adds nothing. A runner counts as new, and so as
-// cold, only if its identifier, which is that of one incarnation, was not listed before and if
-// it cannot have been skipped. mutex must be held.
+// recordColdState applies the cold state in a runner's row; known.listed still holds the
+// previous row. A row that was applied already adds nothing. A runner counts as new, and so as
+// cold, only if its identifier, which is unique to one incarnation, was not listed before and
+// this node cannot have skipped it. mutex must be held.
 func (f *Fleet) recordColdState(known *runner, row backend.Runner, isNew bool) {
 	if !isNew && row.Revision != 0 && row.Revision == known.listed.Revision {
 		return
 	}
-	_, returns := f.departedAt[row.ID]
+	_, relisted := f.departedAt[row.ID]
 	delete(f.departedAt, row.ID)
-	known.cold.Hear(coldstart.Status{ColdFor: row.ColdFor, Conclusive: !isNew || returns || !f.listRead || len(f.retention.skipped) > 0}, f.now())
+	known.cold.Hear(coldstart.Status{ColdFor: row.ColdFor, Conclusive: !isNew || relisted || !f.listRead || len(f.retention.skipped) > 0}, f.now())
 }
 
 // departureLifetime is how long a departed runner is remembered, so as not to count as new:
@@ -91,7 +91,7 @@
 }
 
 // terms returns the cold start terms of a runner's service. For a runner that was never cold
-// it returns the zero terms at once, as most runners are such and each choice asks for all.
+// it returns the zero terms at once: most runners never were, and each choice examines all.
 // mutex must be held.
 func (f *Fleet) terms(known *runner) coldstart.Terms {
 	if f.coldStarts.Terms == nil || (known.cold.NeverCold() && f.returnedAt(known).IsZero()) {
@@ -147,8 +147,8 @@
 
 // TakeColdChanges returns the runners that became cold or warm since the last call, and the
 // time until the next one becomes warm by itself; zero for none. If one became warm, waiting
-// requests look again.
-func (f *Fleet) TakeColdChanges() (news []ColdChange, next time.Duration) {
+// requests are woken.
+func (f *Fleet) TakeColdChanges() (changes []ColdChange, next time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	now := f.now()
@@ -162,12 +162,12 @@
 		if cold := left > 0; cold != known.lastCold {
 			known.lastCold = cold
 			warmed = warmed || !cold
-			news = append(news, ColdChange{Runner: known.listed.ID, Service: known.listed.Service, Zone: known.listed.Zone,
+			changes = append(changes, ColdChange{Runner: known.listed.ID, Service: known.listed.Service, Zone: known.listed.Zone,
 				Cold: cold, For: max(left, 0), Terms: terms, Reported: known.cold.StatedByRunner()})
 		}
 	}
 	if warmed {
 		f.notify()
 	}
-	return news, next
+	return changes, next
 }
--- a/internal/fleet/cold_test.go
+++ b/internal/fleet/cold_test.go
@@ -24,7 +24,7 @@
 	return f, c
 }
 
-// coldFor returns a runner whose row says that it stays cold for that time.
+// coldFor returns a runner whose row reports that it stays cold for that time.
 func coldFor(runner backend.Runner, left time.Duration) backend.Runner {
 	runner.ColdFor = left
 	return runner
@@ -80,9 +80,10 @@
 	assert.Equal(t, choice.Runner.ID, "r2", "a patient request warms the runner")
 }
 
-// TestColdAgainAndAgain checks that the cold state of a newer row counts, that a row applied
-// before does not count again, and that no row makes a runner cold where the terms allow none.
-func TestColdAgainAndAgain(t *testing.T) {
+// TestNewerRowMakesRunnerCold checks that the cold state of a newer row counts, that a row
+// applied before does not count again, and that no row makes a runner cold where the terms
+// allow none.
+func TestNewerRowMakesRunnerCold(t *testing.T) {
 	f, c := coldFleet(listed("r1", "m"))
 	for revision := uint64(1); revision <= 3; revision++ {
 		_, ok := f.Choose(coldQuery)
@@ -101,9 +102,9 @@
 	assert.Assert(t, ok)
 }
 
-// TestNewcomerIsCold checks that a runner first listed while the node runs is cold until a
-// later row says otherwise.
-func TestNewcomerIsCold(t *testing.T) {
+// TestNewRunnerIsCold checks that a runner first listed while the node runs is cold until a
+// later row reports otherwise.
+func TestNewRunnerIsCold(t *testing.T) {
 	f, _ := coldFleet(listed("r1"))
 	f.Apply([]backend.Runner{listed("r2", "m")}, nil, false)
 	_, ok := f.Choose(coldQuery)
@@ -113,9 +114,9 @@
 	assert.Assert(t, ok)
 }
 
-// TestRelistedRunnerIsNoNewcomer checks that the row of a runner that vanished and came back
-// is believed, for a limited time.
-func TestRelistedRunnerIsNoNewcomer(t *testing.T) {
+// TestRelistedRunnerIsNotNew checks that the row of a runner that vanished and came back
+// is applied, for a limited time.
+func TestRelistedRunnerIsNotNew(t *testing.T) {
 	f, c := coldFleet(listed("r1", "m"))
 	f.Apply(nil, []string{"r1"}, false)
 	assert.Assert(t, !f.Known("r1"))
@@ -190,8 +191,8 @@
 	assert.Equal(t, len(f.PermitsWanted("s", backend.Unit{Model: "other"}, place.Homes{}, 3)), 0, "a warm runner holds the unit")
 }
 
-// TestQuestionsTakeNoPermit checks that asking for candidates spends no permit.
-func TestQuestionsTakeNoPermit(t *testing.T) {
+// TestLoadQueriesTakeNoPermit checks that asking for candidates spends no permit.
+func TestLoadQueriesTakeNoPermit(t *testing.T) {
 	f, c := coldFleet(coldFor(listed("r1", "m"), 2*time.Second), listed("r2", "m"))
 	lend(f, c, "r1", 1)
 	for range 5 {
@@ -215,28 +216,28 @@
 	assert.Equal(t, at["r1"], 1)
 }
 
-// TestColdNews checks that each change to cold or warm is returned once and that waiting
+// TestColdChanges checks that each change to cold or warm is returned once and that waiting
 // requests are woken.
-func TestColdNews(t *testing.T) {
+func TestColdChanges(t *testing.T) {
 	f, c := coldFleet(coldFor(listed("r1", "m"), 2*time.Second), listed("r2", "m"))
-	news, next := f.TakeColdChanges()
-	assert.Equal(t, len(news), 1)
-	assert.Assert(t, news[0].Cold && news[0].Reported && news[0].For == 2*time.Second && news[0].Terms.Bound == 15)
+	changes, next := f.TakeColdChanges()
+	assert.Equal(t, len(changes), 1)
+	assert.Assert(t, changes[0].Cold && changes[0].Reported && changes[0].For == 2*time.Second && changes[0].Terms.Bound == 15)
 	assert.Equal(t, next, 2*time.Second)
 	assert.Equal(t, f.ColdFigures().Cold, 1)
 	changed := f.Changed()
 	c.now = c.now.Add(2 * time.Second)
-	news, next = f.TakeColdChanges()
-	assert.Equal(t, len(news), 1)
-	assert.Assert(t, !news[0].Cold)
+	changes, next = f.TakeColdChanges()
+	assert.Equal(t, len(changes), 1)
+	assert.Assert(t, !changes[0].Cold)
 	assert.Equal(t, next, time.Duration(0))
 	select {
 	case <-changed:
 	default:
 		t.Fatal("waiting requests were not woken")
 	}
-	news, _ = f.TakeColdChanges()
-	assert.Equal(t, len(news), 0)
+	changes, _ = f.TakeColdChanges()
+	assert.Equal(t, len(changes), 0)
 }
 
 // TestPermitsAreAskedForInHomes checks that requests with homes ask for permits of the runners
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,10 @@
 // Package fleet tracks what this node knows about the runners: which ones exist, what they
 // hold, how loaded they are and which prompts they have cached. From that it chooses the
 // runner for a request.
+//
+// The lease holder of a service is the node that holds its control lease: it orders loads and
+// unloads on the service's runners, reports their state to the other nodes and lends permits
+// for cold runners.
 package fleet
 
 import (
@@ -15,7 +19,7 @@
 )
 
 const (
-	// viewLifetime is how long the control holder's view of a runner takes precedence over a
+	// viewLifetime is how long the lease holder's view of a runner takes precedence over a
 	// newer entry of the platform's list, which lags behind.
 	viewLifetime = 3 * time.Second
 	// missingLifetime is how long a runner that vanished from the list without notice is kept
@@ -33,7 +37,7 @@
 }
 
 // Fleet is what the node knows about the runners. Its methods may be called concurrently;
-// mutex guards all fields.
+// mutex guards all fields that change after the setup.
 type Fleet struct {
 	zone string
 	// latencies tracks how fast runners of each region answer.
@@ -62,9 +66,9 @@
 	planned map[string]map[modelInHomes]time.Time
 	// firm holds, per service, the models whose planned load cannot complete any sooner.
 	firm map[string]map[string]bool
-	// ordersAt is, per service, when a control holder is expected to give orders.
+	// ordersAt is, per service, when a lease holder is expected to give orders.
 	ordersAt map[string]time.Time
-	// lenderSeenAt is, per service, when the control holder, which lends permits, last
+	// lenderSeenAt is, per service, when the lease holder, which lends permits, last
 	// answered.
 	lenderSeenAt map[string]time.Time
 	// meanUnread is the number of prompt tokens a runner has to read per request, as a moving
@@ -94,10 +98,13 @@
 	removedAt time.Time
 	// hash places the runner in the order that all nodes share; see hashID.
 	hash uint64
+	// view is the lease holder's last view of the runner; nil for none.
 	view *view
 	// units is what the runner is listed to hold.
-	units    map[backend.Unit]bool
-	refused  map[backend.Unit]time.Time
+	units map[backend.Unit]bool
+	// refused is until when the runner gets no requests for units that it refused.
+	refused map[backend.Unit]time.Time
+	// inFlight is the number of this node's requests at the runner.
 	inFlight int
 	// unanswered is how many of the requests in flight the runner has not begun to answer.
 	unanswered int
@@ -109,12 +116,14 @@
 	// deferredUntil.
 	deferred      int
 	deferredUntil time.Time
-	byUnit        map[backend.Unit]int
-	prefill       int
-	load          reportedLoad
-	health        health
-	prompts       promptCache
-	cold          coldstart.Runner
+	// byUnit counts those requests in flight that name a unit; prefill is how many of their
+	// tokens the runner still has to read.
+	byUnit  map[backend.Unit]int
+	prefill int
+	load    reportedLoad
+	health  health
+	prompts promptCache
+	cold    coldstart.Runner
 	// lastCold is set if the runner was last reported to be cold; see TakeColdChanges.
 	lastCold bool
 	// latency is the moving average of answer times in milliseconds.
@@ -184,15 +193,15 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, known := range f.runners {
-		if (known.present || known.listed.Missing) && known.isServing(service, homes) {
+		if (known.present || known.listed.Missing) && known.belongsTo(service, homes) {
 			return true
 		}
 	}
 	return false
 }
 
-// isServing reports whether the runner belongs to the service and lies in the homes.
-func (r *runner) isServing(service string, homes place.Homes) bool {
+// belongsTo reports whether the runner belongs to the service and its region is in the homes.
+func (r *runner) belongsTo(service string, homes place.Homes) bool {
 	return r.listed.Service == service && homes.Allows(place.Region(r.listed.Region))
 }
 
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -74,9 +74,9 @@
 	assert.Assert(t, !ok)
 }
 
-// TestHolderIsBelievedBeforeTheList checks that the lease holder's view takes precedence over
+// TestHolderViewPrecedesList checks that the lease holder's view takes precedence over
 // the list until the list has newer information and the view is old.
-func TestHolderIsBelievedBeforeTheList(t *testing.T) {
+func TestHolderViewPrecedesList(t *testing.T) {
 	f, c := testFleet()
 	f.Replace([]backend.Runner{listed("r1", "old")}, false)
 	f.ApplyViews([]View{{Runner: "r1", Ready: []backend.Holding{{Model: "new"}}, Pending: []PendingUnit{{Unit: backend.Unit{Model: "next"}, In: time.Second}}}}, 0)
@@ -84,8 +84,8 @@
 	assert.Assert(t, holds)
 	_, holds = f.Choose(Query{Service: "s", Unit: backend.Unit{Model: "old"}})
 	assert.Assert(t, !holds)
-	in, coming := f.Expected("s", backend.Unit{Model: "next"}, place.Homes{})
-	assert.Assert(t, coming && in == time.Second)
+	in, found := f.Expected("s", backend.Unit{Model: "next"}, place.Homes{})
+	assert.Assert(t, found && in == time.Second)
 	c.now = c.now.Add(viewLifetime)
 	_, holds = f.Choose(Query{Service: "s", Unit: backend.Unit{Model: "new"}})
 	assert.Assert(t, holds, "the list was not updated since")
@@ -94,9 +94,9 @@
 	assert.Assert(t, holds)
 }
 
-// TestRefusingRunnerIsSpared checks that a runner which reported that it does not hold a unit
-// is not chosen for it again at once.
-func TestRefusingRunnerIsSpared(t *testing.T) {
+// TestRefusingRunnerIsNotChosenAgain checks that a runner which reported that it does not hold
+// a unit is not chosen for it again at once.
+func TestRefusingRunnerIsNotChosenAgain(t *testing.T) {
 	f, c := testFleet()
 	f.Replace([]backend.Runner{listed("r1", "m")}, false)
 	query := Query{Service: "s", Unit: backend.Unit{Model: "m"}}
@@ -121,9 +121,9 @@
 	assert.Assert(t, !ok)
 }
 
-// TestUnreachableRunnerIsSparedAtOnce checks that after one failed connection any other runner
+// TestUnreachableRunnerIsAvoidedAtOnce checks that after one failed connection any other runner
 // is preferred.
-func TestUnreachableRunnerIsSparedAtOnce(t *testing.T) {
+func TestUnreachableRunnerIsAvoidedAtOnce(t *testing.T) {
 	f, _ := testFleet()
 	f.Replace([]backend.Runner{listed("r1", "m"), listed("r2", "m")}, false)
 	query := Query{Service: "s", Unit: backend.Unit{Model: "m"}, Prompt: []Part{{ID: "p", Tokens: 5000}}}
--- a/internal/fleet/incarnations_test.go
+++ b/internal/fleet/incarnations_test.go
@@ -16,9 +16,9 @@
 	return runner
 }
 
-// TestNothingOfAnEarlierIncarnationCounts checks that late news of an earlier incarnation of a
-// runner, received before or after the new one is listed, never causes a request to be sent to
-// the new one for what only the earlier one held.
+// TestNothingOfAnEarlierIncarnationCounts checks that late information on an earlier
+// incarnation of a runner, received before or after the new one is listed, never causes a
+// request to be sent to the new one for what only the earlier one held.
 func TestNothingOfAnEarlierIncarnationCounts(t *testing.T) {
 	query := Query{Service: "s", Unit: backend.Unit{Model: "m"}}
 	old, anew := incarnation(1000, "m"), incarnation(2000)
--- a/internal/fleet/latency.go
+++ b/internal/fleet/latency.go
@@ -28,33 +28,33 @@
 
 // isLocal reports whether a runner is in this node's region, or whether one of the regions is
 // not known.
-func (w *regionLatencies) isLocal(runner *backend.Runner) bool {
-	return w.local == "" || runner.Region == "" || place.Region(runner.Region) == w.local
+func (l *regionLatencies) isLocal(runner *backend.Runner) bool {
+	return l.local == "" || runner.Region == "" || place.Region(runner.Region) == l.local
 }
 
 // extra is how much longer an answer from a runner takes than one from a local runner.
-func (w *regionLatencies) extra(runner *backend.Runner) time.Duration {
-	if w.isLocal(runner) {
+func (l *regionLatencies) extra(runner *backend.Runner) time.Duration {
+	if l.isLocal(runner) {
 		return 0
 	}
-	lowest, known := w.lowest[place.Region(runner.Region)]
+	lowest, known := l.lowest[place.Region(runner.Region)]
 	if !known {
 		return assumedExtraLatency
 	}
-	return max(lowest-w.lowest[w.local], 0)
+	return max(lowest-l.lowest[l.local], 0)
 }
 
 // observe updates the lowest recent latency of a region.
-func (w *regionLatencies) observe(region place.Region, took time.Duration) {
-	if w.lowest == nil {
-		w.lowest = make(map[place.Region]time.Duration)
+func (l *regionLatencies) observe(region place.Region, took time.Duration) {
+	if l.lowest == nil {
+		l.lowest = make(map[place.Region]time.Duration)
 	}
-	lowest, known := w.lowest[region]
+	lowest, known := l.lowest[region]
 	if !known || took < lowest {
-		w.lowest[region] = took
+		l.lowest[region] = took
 		return
 	}
-	w.lowest[region] = lowest + time.Duration(latencyRiseWeight*float64(took-lowest))
+	l.lowest[region] = lowest + time.Duration(latencyRiseWeight*float64(took-lowest))
 }
 
 // ObserveLatency records how long a runner took to answer a question for its load.
--- a/internal/fleet/latency_test.go
+++ b/internal/fleet/latency_test.go
@@ -55,9 +55,9 @@
 	assert.Assert(t, sentNear(short) < assumed)
 }
 
-// TestQuestionsStayNear checks that runners of other regions are asked for their load only if
-// local runners with free slots leave no choice.
-func TestQuestionsStayNear(t *testing.T) {
+// TestLoadQueriesStayLocal checks that runners of other regions are asked for their load only
+// if local runners with free slots leave no choice.
+func TestLoadQueriesStayLocal(t *testing.T) {
 	f := regionFleet(2, 3, 16)
 	for range 8 {
 		for _, asked := range f.Candidates(forM, 2) {
@@ -71,9 +71,9 @@
 	assert.Equal(t, len(regionFleet(0, 2, 16).Candidates(forM, 2)), 2)
 }
 
-// TestWaysFollowAnswers checks that the latency of a region is the lowest recent one: a single
-// slow answer changes it little, a longer path changes it in the end.
-func TestWaysFollowAnswers(t *testing.T) {
+// TestLatencyIsLowestRecentOne checks that the latency of a region is the lowest recent one: a
+// single slow answer changes it little, a longer path changes it over time.
+func TestLatencyIsLowestRecentOne(t *testing.T) {
 	f := regionFleet(1, 1, 64)
 	far := []backend.Runner{listedIn("south", "far-0")}
 	assert.Equal(t, f.ExtraLatency(far), assumedExtraLatency)
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -34,36 +34,36 @@
 }
 
 // factor is how long work is expected to take now, relative to the usual time.
-func (t reportedLoad) factor(now time.Time) float64 {
-	age := now.Sub(t.at)
-	if t.slowness == 0 || age >= slownessLifetime {
+func (l reportedLoad) factor(now time.Time) float64 {
+	age := now.Sub(l.at)
+	if l.slowness == 0 || age >= slownessLifetime {
 		return 1
 	}
 	left := float64(slownessLifetime-age) / float64(slownessLifetime)
-	return 1 + (t.slowness-1)*left
+	return 1 + (l.slowness-1)*left
 }
 
 // queued returns how many tokens are expected to be read at the runner before another prompt:
 // those of the requests that waited at the time of the report, fading with age, and those sent
 // by this node since. meanUnread is the mean number of tokens to be read for a request;
 // prefill is what the runner still has to read for this node's requests.
-func (t reportedLoad) queued(now time.Time, prefill int, meanUnread float64) int {
-	age := now.Sub(t.at)
-	if t.at.IsZero() || age >= loadLifetime {
+func (l reportedLoad) queued(now time.Time, prefill int, meanUnread float64) int {
+	age := now.Sub(l.at)
+	if l.at.IsZero() || age >= loadLifetime {
 		return prefill
 	}
 	left := float64(loadLifetime-age) / float64(loadLifetime)
-	return int(float64(t.waiting)*meanUnread*left) + max(prefill-t.prefill, 0)
+	return int(float64(l.waiting)*meanUnread*left) + max(prefill-l.prefill, 0)
 }
 
 // estimate returns the number of requests expected at the runner: this node's own, and those
 // of other nodes as last reported, fading with age.
-func (t reportedLoad) estimate(now time.Time, own int) int {
-	age := now.Sub(t.at)
-	if t.at.IsZero() || age >= loadLifetime {
+func (l reportedLoad) estimate(now time.Time, own int) int {
+	age := now.Sub(l.at)
+	if l.at.IsZero() || age >= loadLifetime {
 		return own
 	}
-	others := max(t.running+t.waiting-t.own, 0)
+	others := max(l.running+l.waiting-l.own, 0)
 	left := float64(loadLifetime-age) / float64(loadLifetime)
 	return own + int(float64(others)*left+0.5)
 }
--- a/internal/fleet/load_estimates.go
+++ b/internal/fleet/load_estimates.go
@@ -13,18 +13,18 @@
 // plannedLifetime is how long a planned load is still expected after its time has passed.
 const plannedLifetime = time.Second
 
-// ApplyPlanned records when the control holder expects the models that requests of a service
+// ApplyPlanned records when the lease holder expects the models that requests of a service
 // wait for and that no runner has begun to load.
 func (f *Fleet) ApplyPlanned(service string, planned []PendingUnit) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	expected := make(map[modelInHomes]time.Time, len(planned))
 	f.firm[service] = make(map[string]bool)
-	for _, coming := range planned {
-		if coming.Firm {
-			f.firm[service][coming.Unit.Model] = true
+	for _, pending := range planned {
+		if pending.Firm {
+			f.firm[service][pending.Unit.Model] = true
 		}
-		expected[modelInHomes{model: coming.Unit.Model, homes: coming.Homes}] = f.now().Add(coming.In)
+		expected[modelInHomes{model: pending.Unit.Model, homes: pending.Homes}] = f.now().Add(pending.In)
 	}
 	wake := len(expected) > 0
 	f.planned[service] = expected
@@ -57,7 +57,7 @@
 		if known.view == nil || !f.mayAsk(known, service, homes) {
 			continue
 		}
-		if at, coming := known.view.coming[unit]; coming {
+		if at, found := known.view.pending[unit]; found {
 			note(at)
 		}
 	}
@@ -95,7 +95,7 @@
 	return least
 }
 
-// SetOrdersIn sets the time until a service's control holder is expected to give orders; zero
+// SetOrdersIn sets the time until a service's lease holder is expected to give orders; zero
 // if it already does.
 func (f *Fleet) SetOrdersIn(service string, in time.Duration) {
 	f.mutex.Lock()
@@ -103,7 +103,7 @@
 	f.ordersAt[service] = f.now().Add(in)
 }
 
-// OrdersIn returns the time until a service's control holder is expected to give orders.
+// OrdersIn returns the time until a service's lease holder is expected to give orders.
 func (f *Fleet) OrdersIn(service string) time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/fleet/load_test.go
+++ b/internal/fleet/load_test.go
@@ -9,9 +9,9 @@
 	"lilacvane/internal/backend"
 )
 
-// TestSlowMomentIsAvoided checks that of two runners with equal queues the one that works at
+// TestSlowRunnerIsAvoided checks that of two runners with equal queues the one that works at
 // its usual speed is chosen, but only while the slowness that the other reported is fresh.
-func TestSlowMomentIsAvoided(t *testing.T) {
+func TestSlowRunnerIsAvoided(t *testing.T) {
 	for name, query := range map[string]Query{
 		"plain":  {Service: "s"},
 		"engine": {Service: "s", Unit: backend.Unit{Model: "m"}, Prompt: []Part{{ID: "own", Tokens: 4000}}},
--- a/internal/fleet/obstacles.go
+++ b/internal/fleet/obstacles.go
@@ -55,7 +55,7 @@
 	// Holding is how many of them are believed to hold the unit: without the obstacle they
 	// could take the request.
 	Holding int
-	// Age is the longest time since this node last received news of one of them.
+	// Age is the longest time since this node last learned anything about one of them.
 	Age time.Duration
 }
 
@@ -163,7 +163,7 @@
 		if f.holdsQueriedUnit(known, query, reason) {
 			obstacle.Holding++
 		}
-		obstacle.Age = max(obstacle.Age, now.Sub(lastHeardAt(known)))
+		obstacle.Age = max(obstacle.Age, now.Sub(lastUpdatedAt(known)))
 	}
 	return sortObstacles(found)
 }
@@ -181,9 +181,9 @@
 	}
 }
 
-// lastHeardAt is when the node last received news of a runner: from the list, from the control
-// holder or from the runner itself. Fleet.mutex must be held.
-func lastHeardAt(known *runner) time.Time {
+// lastUpdatedAt is when the node last learned anything about a runner: from the list, from the
+// lease holder or from the runner itself. Fleet.mutex must be held.
+func lastUpdatedAt(known *runner) time.Time {
 	at := later(known.listedAt, known.removedAt)
 	if known.view != nil {
 		at = later(at, known.view.at)
--- a/internal/fleet/obstacles_test.go
+++ b/internal/fleet/obstacles_test.go
@@ -92,10 +92,10 @@
 	}
 }
 
-// TestObstaclesAreLookedAtOnce checks that equal requests at the same time share the obstacles
+// TestObstaclesAreCached checks that equal requests at the same time share the obstacles
 // found, that a change of the list or the end of the lifetime causes a new search, and that
 // the cache is bounded.
-func TestObstaclesAreLookedAtOnce(t *testing.T) {
+func TestObstaclesAreCached(t *testing.T) {
 	f, c := testFleet()
 	f.Replace([]backend.Runner{listed("r1", "m")}, false)
 	query := Query{Service: "s", Unit: backend.Unit{Model: "none"}}
--- a/internal/fleet/permits.go
+++ b/internal/fleet/permits.go
@@ -28,7 +28,7 @@
 	return f.coldStarts.Limit(stated.Rate, f.lends(known.listed.Service)), f.now().Add(stated.RateFor)
 }
 
-// lenderLifetime is how long after an answer a control holder is taken to lend permits.
+// lenderLifetime is how long after an answer a lease holder is taken to lend permits.
 const lenderLifetime = 2 * time.Second
 
 // RecordLender records that the holder of a service's control lease answered while its lease
@@ -39,10 +39,10 @@
 	f.lenderSeenAt[service] = f.now()
 }
 
-// lends reports whether a control holder lends permits for a service. mutex must be held.
+// lends reports whether a lease holder lends permits for a service. mutex must be held.
 func (f *Fleet) lends(service string) bool {
-	heard, known := f.lenderSeenAt[service]
-	return known && f.now().Sub(heard) < lenderLifetime
+	seenAt, known := f.lenderSeenAt[service]
+	return known && f.now().Sub(seenAt) < lenderLifetime
 }
 
 // limited reports whether a limit that the runner stated is in force. mutex must be held.
@@ -63,8 +63,8 @@
 // spendPermit counts a request sent to a runner and returns when its permit expires; the zero
 // time if the runner needs no permit. mutex must be held.
 func (f *Fleet) spendPermit(known *runner) (until time.Time) {
-	terms, bounded := f.permitTerms(known)
-	if !f.now().Before(bounded) {
+	terms, termsUntil := f.permitTerms(known)
+	if !f.now().Before(termsUntil) {
 		known.cold.Sent(f.now())
 		return until
 	}
@@ -148,9 +148,10 @@
 // nodes send requests at the same time.
 const rateShareFactor = 2
 
-// LimitedRate returns how many requests a second this node, as one of that many nodes, may
-// expect to send to the runners that could serve a request but for the limits they stated. It
-// returns false if there are none or if one of the runners is only cold.
+// LimitedRate returns how many requests a second this node, as one of the given number of
+// nodes, may expect to send to the runners that could serve a request but for the limits they
+// stated. It returns false if there are none or if one of the runners is cold and stated no
+// limit.
 func (f *Fleet) LimitedRate(query Query, nodes int) (rate float64, limited bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -207,7 +208,7 @@
 	slices.SortFunc(cold, func(a, b *runner) int { return cmp.Compare(costs[a], costs[b]) })
 }
 
-// PermitsLent is what the control holder lent for a runner.
+// PermitsLent is what the lease holder lent for a runner.
 type PermitsLent struct {
 	Runner string
 	Count  int
@@ -215,8 +216,8 @@
 	Next time.Duration
 }
 
-// ApplyPermits applies what the control holder lent in answer to a request sent at that time.
-// Waiting requests look again, also if they now have to wait longer than expected.
+// ApplyPermits applies what the lease holder lent in answer to a request sent at the time sent.
+// Waiting requests are woken, also if they now have to wait longer than expected.
 func (f *Fleet) ApplyPermits(lent []PermitsLent, sent time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/fleet/prompt_affinity.go
+++ b/internal/fleet/prompt_affinity.go
@@ -41,9 +41,9 @@
 }
 
 // preferPrefixRunner lowers the cost of the runner that all nodes choose for the shared parts
-// of a prompt, unless this node already knows of a runner that has cached some of it. mutex
-// must be held.
-func (f *Fleet) preferPrefixRunner(choices []Choice, query Query, eligible []bool) {
+// of a prompt, unless this node already expects a runner to have cached some of it. Only the
+// choices marked in preferred are considered. mutex must be held.
+func (f *Fleet) preferPrefixRunner(choices []Choice, query Query, preferred []bool) {
 	prefix, tokens := sharedPrefix(query.Unit, query.Prompt)
 	if tokens == 0 {
 		return
@@ -53,7 +53,7 @@
 		if choices[i].KeptTokens > 0 {
 			return
 		}
-		if weight := rendezvousWeight(prefix, f.runners[choices[i].Runner.ID].hash); eligible[i] && (best < 0 || weight > bestWeight) {
+		if weight := rendezvousWeight(prefix, f.runners[choices[i].Runner.ID].hash); preferred[i] && (best < 0 || weight > bestWeight) {
 			best, bestWeight = i, weight
 		}
 	}
--- a/internal/fleet/prompt_affinity_test.go
+++ b/internal/fleet/prompt_affinity_test.go
@@ -11,7 +11,7 @@
 
 // sharing returns a query for a prompt whose first two parts are shared with other requests.
 func sharing(shared, own int) Query {
-	return Query{Service: "s", Unit: apartUnit, Prompt: []Part{
+	return Query{Service: "s", Unit: shortPromptUnit, Prompt: []Part{
 		{ID: "system", Tokens: 2800}, {ID: fmt.Sprint("shared", shared), Tokens: 3500}, {ID: fmt.Sprint("own", own), Tokens: 2900},
 	}}
 }
@@ -24,7 +24,7 @@
 	for shared := range 60 {
 		var runner string
 		for node := range 5 {
-			choice, ok := apartFleet(8).Choose(sharing(shared, node))
+			choice, ok := shortPromptFleet(8).Choose(sharing(shared, node))
 			assert.Assert(t, ok)
 			assert.Assert(t, runner == "" || runner == choice.Runner.ID)
 			runner = choice.Runner.ID
@@ -40,9 +40,9 @@
 // TestQueueOutweighsSharedPrompt checks that a prompt is read again elsewhere rather than
 // queued behind many others.
 func TestQueueOutweighsSharedPrompt(t *testing.T) {
-	f := apartFleet(8)
+	f := shortPromptFleet(8)
 	first, _ := f.Choose(sharing(1, 1))
-	f = apartFleet(8)
+	f = shortPromptFleet(8)
 	f.ObserveReport(first.Runner.ID, backend.Report{Queued: 3})
 	second, _ := f.Choose(sharing(1, 2))
 	assert.Assert(t, second.Runner.ID != first.Runner.ID)
--- a/internal/fleet/retention.go
+++ b/internal/fleet/retention.go
@@ -59,8 +59,8 @@
 }
 
 // forEachGroup calls visit with each group to which a runner belongs.
-func (k *retention) forEachGroup(listed *backend.Runner, visit func(boundGroup)) {
-	group := boundGroup{service: listed.Service, region: listed.Region, near: listed.Zone == k.zone}
+func (r *retention) forEachGroup(listed *backend.Runner, visit func(boundGroup)) {
+	group := boundGroup{service: listed.Service, region: listed.Region, near: listed.Zone == r.zone}
 	visit(group)
 	for _, holding := range listed.Models {
 		group.unit = backend.Unit{Model: holding.Model}
@@ -73,25 +73,25 @@
 }
 
 // count adds a runner to its groups or removes it. Without a bound nothing is counted.
-func (k *retention) count(listed *backend.Runner, by int) {
-	if k.bound == (Bound{}) {
+func (r *retention) count(listed *backend.Runner, by int) {
+	if r.bound == (Bound{}) {
 		return
 	}
-	k.forEachGroup(listed, func(group boundGroup) {
-		if k.tracked[group] += by; k.tracked[group] == 0 {
-			delete(k.tracked, group)
+	r.forEachGroup(listed, func(group boundGroup) {
+		if r.tracked[group] += by; r.tracked[group] == 0 {
+			delete(r.tracked, group)
 		}
 	})
 }
 
 // belowBound reports whether a group of the runner has fewer runners than its bound. others
 // returns how many runners a group has without this one.
-func (k *retention) belowBound(listed *backend.Runner, others func(boundGroup) int) bool {
+func (r *retention) belowBound(listed *backend.Runner, others func(boundGroup) int) bool {
 	below := false
-	k.forEachGroup(listed, func(group boundGroup) {
-		bound := k.bound.Unit
+	r.forEachGroup(listed, func(group boundGroup) {
+		bound := r.bound.Unit
 		if group.unit == (backend.Unit{}) {
-			bound = k.bound.Service
+			bound = r.bound.Service
 		}
 		below = below || others(group) < bound
 	})
@@ -99,37 +99,37 @@
 }
 
 // recordSkipped records that a runner is not tracked.
-func (k *retention) recordSkipped(listed *backend.Runner) {
-	k.skipped[listed.Service] = k.skipped[listed.Service] || !listed.Draining
+func (r *retention) recordSkipped(listed *backend.Runner) {
+	r.skipped[listed.Service] = r.skipped[listed.Service] || !listed.Draining
 }
 
 // shouldTrack reports whether a runner that is not tracked yet should be, given the number of
 // other tracked runners. A draining runner is of no use to new requests.
-func (k *retention) shouldTrack(listed *backend.Runner, others int) bool {
-	if k.bound == (Bound{}) || k.all || others < k.bound.Runners {
+func (r *retention) shouldTrack(listed *backend.Runner, others int) bool {
+	if r.bound == (Bound{}) || r.all || others < r.bound.Runners {
 		return true
 	}
-	return !listed.Draining && k.belowBound(listed, func(group boundGroup) int { return k.tracked[group] })
+	return !listed.Draining && r.belowBound(listed, func(group boundGroup) int { return r.tracked[group] })
 }
 
 // canDrop reports whether a tracked runner may be dropped, given the number of others.
-func (k *retention) canDrop(listed *backend.Runner, others int) bool {
-	if k.bound == (Bound{}) || k.all || listed.Draining || others < k.bound.Runners {
+func (r *retention) canDrop(listed *backend.Runner, others int) bool {
+	if r.bound == (Bound{}) || r.all || listed.Draining || others < r.bound.Runners {
 		return false
 	}
-	return !k.belowBound(listed, func(group boundGroup) int { return k.tracked[group] - 1 })
+	return !r.belowBound(listed, func(group boundGroup) int { return r.tracked[group] - 1 })
 }
 
 // sortByRank sorts runners by the order in which they are tracked.
-func (k *retention) sortByRank(listed []backend.Runner) {
-	if k.bound == (Bound{}) || k.all {
+func (r *retention) sortByRank(listed []backend.Runner) {
+	if r.bound == (Bound{}) || r.all {
 		return
 	}
 	rank := func(runner *backend.Runner) uint64 {
-		if runner.Zone == k.zone {
+		if runner.Zone == r.zone {
 			return hashID(runner.ID)
 		}
-		return rendezvousWeight(k.seed, hashID(runner.ID))
+		return rendezvousWeight(r.seed, hashID(runner.ID))
 	}
 	slices.SortFunc(listed, func(a, b backend.Runner) int { return cmp.Compare(rank(&a), rank(&b)) })
 }
@@ -140,7 +140,7 @@
 	f.retention = retention{bound: bound, zone: f.zone, seed: hashID(node), skipped: make(map[string]bool), tracked: make(map[boundGroup]int)}
 }
 
-// KeepAll sets whether the fleet tracks all runners that it is told of from now on, or only as
+// KeepAll sets whether the fleet tracks all runners that are listed from now on, or only as
 // many as its bound allows. Runners that were skipped have to be listed again; see Complete.
 // It reports whether the setting changed.
 func (f *Fleet) KeepAll(all bool) bool {
@@ -157,7 +157,7 @@
 	return true
 }
 
-// KeepsAll reports whether the fleet tracks all runners that it is told of.
+// KeepsAll reports whether the fleet tracks all runners that are listed.
 func (f *Fleet) KeepsAll() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -191,7 +191,7 @@
 
 // NeedsFullList reports whether few runners of a service are left while others of it were
 // skipped, so that the whole list should be read again. It ignores runners per unit, as the
-// service's control holder tells which runners hold a unit.
+// service's lease holder reports which runners hold a unit.
 func (f *Fleet) NeedsFullList() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/fleet/retention_test.go
+++ b/internal/fleet/retention_test.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestSmallFleetIsKeptWhole checks that a node skips no runner while there are few, not even a
-// draining one.
-func TestSmallFleetIsKeptWhole(t *testing.T) {
+// TestSmallFleetIsTrackedCompletely checks that a node skips no runner while there are few, not
+// even a draining one.
+func TestSmallFleetIsTrackedCompletely(t *testing.T) {
 	f := boundedFleet("node")
 	list := largeList(DefaultBound.Runners)
 	list[7].Draining = true
@@ -108,10 +108,10 @@
 	assert.Assert(t, f.Complete())
 }
 
-// TestHolderKeepsAll checks that a node that controls a service tracks all runners once the
-// list was read again. When it stops controlling, it drops those that it does not need, except
-// runners in use.
-func TestHolderKeepsAll(t *testing.T) {
+// TestLeaseHolderTracksAll checks that a node that controls a service tracks all runners once
+// the list was read again. When it stops controlling, it drops those that it does not need,
+// except runners in use.
+func TestLeaseHolderTracksAll(t *testing.T) {
 	const size = 5000
 	f := boundedFleet("node")
 	f.Replace(largeList(size), false)
@@ -195,7 +195,7 @@
 }
 
 // TestHolderTellsOfPassedOverRunner checks that a skipped runner is used as soon as the
-// control holder sends its list entry, unless the node's own list is newer than the holder's:
+// lease holder sends its list entry, unless the node's own list is newer than the holder's:
 // the runner may have left since.
 func TestHolderTellsOfPassedOverRunner(t *testing.T) {
 	list := largeList(10_000)
--- a/internal/fleet/short_prompts.go
+++ b/internal/fleet/short_prompts.go
@@ -17,8 +17,8 @@
 // models, so the runners kept free of one model's long prompts are not filled with those of
 // another.
 const (
-	// shortPoolDivisor: one in this many of a model's runners is kept for short prompts, and
-	// one where a model has fewer runners, but more than one.
+	// shortPoolDivisor is the number of a model's runners for each one that is kept for short
+	// prompts. A model with fewer runners, but more than one, also has one kept.
 	shortPoolDivisor = 4
 	// shortPromptRatio is the share of the mean prompt length up to which a prompt is short.
 	shortPromptRatio = 0.5
--- a/internal/fleet/short_prompts_test.go
+++ b/internal/fleet/short_prompts_test.go
@@ -10,16 +10,16 @@
 	"lilacvane/internal/backend"
 )
 
-var apartUnit = backend.Unit{Model: "m"}
+var shortPromptUnit = backend.Unit{Model: "m"}
 
-// apartFleet returns a fleet of runners that all hold one model, with a known mean prompt
+// shortPromptFleet returns a fleet of runners that all hold one model, with a known mean prompt
 // length.
-func apartFleet(runners int) *Fleet {
+func shortPromptFleet(runners int) *Fleet {
 	f := New("zone", time.Now, noRules{})
 	listed := make([]backend.Runner, 0, runners)
 	for i := range runners {
 		listed = append(listed, backend.Runner{
-			ID: fmt.Sprintf("r%d", i), Service: "s", Slots: 64, Models: []backend.Holding{{Model: apartUnit.Model}},
+			ID: fmt.Sprintf("r%d", i), Service: "s", Slots: 64, Models: []backend.Holding{{Model: shortPromptUnit.Model}},
 		})
 	}
 	f.Replace(listed, false)
@@ -31,7 +31,7 @@
 func runnersOf(f *Fleet, tokens, count int) map[string]bool {
 	used := make(map[string]bool)
 	for i := range count {
-		query := Query{Service: "s", Unit: apartUnit, Prompt: []Part{{ID: fmt.Sprintf("%d-%d", tokens, i), Tokens: tokens}}}
+		query := Query{Service: "s", Unit: shortPromptUnit, Prompt: []Part{{ID: fmt.Sprintf("%d-%d", tokens, i), Tokens: tokens}}}
 		choice, ok := f.Choose(query)
 		if !ok {
 			continue
@@ -48,22 +48,22 @@
 // a model's runners, and long ones to the rest.
 func TestShortPromptsAreKeptApart(t *testing.T) {
 	for runners, kept := range map[int]int{2: 1, 3: 1, 4: 1, 8: 2, 20: 5} {
-		short := runnersOf(apartFleet(runners), 500, 400)
+		short := runnersOf(shortPromptFleet(runners), 500, 400)
 		assert.Equal(t, len(short), kept, "of %d runners: %v", runners, short)
-		long := runnersOf(apartFleet(runners), 9000, 400)
+		long := runnersOf(shortPromptFleet(runners), 9000, 400)
 		assert.Equal(t, len(long), runners-kept, "of %d runners: %v", runners, long)
 		for id := range long {
 			assert.Assert(t, !short[id])
 		}
 	}
-	assert.Equal(t, len(runnersOf(apartFleet(1), 500, 10)), 1)
-	assert.Equal(t, len(runnersOf(apartFleet(1), 9000, 10)), 1)
+	assert.Equal(t, len(runnersOf(shortPromptFleet(1), 500, 10)), 1)
+	assert.Equal(t, len(runnersOf(shortPromptFleet(1), 9000, 10)), 1)
 }
 
 // TestQueueOutweighsKeepingApart checks that a prompt goes to a runner for the other kind
 // rather than behind a queued long prompt.
 func TestQueueOutweighsKeepingApart(t *testing.T) {
-	f := apartFleet(2)
+	f := shortPromptFleet(2)
 	kept := runnersOf(f, 500, 1)
 	for id := range f.runners {
 		if kept[id] {
@@ -81,10 +81,10 @@
 // TestNoRunnerIsLeftOutForever checks that the runners kept for short prompts also serve long
 // ones, if there are no others, as soon as the other runners have requests in flight.
 func TestNoRunnerIsLeftOutForever(t *testing.T) {
-	f := apartFleet(4)
+	f := shortPromptFleet(4)
 	used := make(map[string]bool)
 	for i := range 40 {
-		query := Query{Service: "s", Unit: apartUnit, Prompt: []Part{{ID: fmt.Sprint(i), Tokens: 9000}}}
+		query := Query{Service: "s", Unit: shortPromptUnit, Prompt: []Part{{ID: fmt.Sprint(i), Tokens: 9000}}}
 		choice, _ := f.Choose(query)
 		used[choice.Runner.ID] = true
 	}
--- a/internal/fleet/state_counts.go
+++ b/internal/fleet/state_counts.go
@@ -16,7 +16,7 @@
 // Total is the number of runners.
 func (s StateCounts) Total() int { return s.Ready + s.Cold + s.Draining }
 
-// Zones counts the listed runners of each zone by state.
+// Zones returns the listed runners of each zone, counted by state.
 func (f *Fleet) Zones() map[place.Zone]StateCounts {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -26,22 +26,22 @@
 			continue
 		}
 		zone := place.Zone(known.listed.Zone)
-		standing := zones[zone]
-		f.addState(&standing, known)
-		zones[zone] = standing
+		counts := zones[zone]
+		f.addState(&counts, known)
+		zones[zone] = counts
 	}
 	return zones
 }
 
-// addState adds a runner to the counts. mutex must be held.
-func (f *Fleet) addState(standing *StateCounts, known *runner) {
+// addState counts a runner under its state. mutex must be held.
+func (f *Fleet) addState(counts *StateCounts, known *runner) {
 	switch {
 	case f.isDraining(known) || f.rules.Drained(known.listed.Name(), known.listed.Zone):
-		standing.Draining++
+		counts.Draining++
 	case f.coldRemaining(known) > 0:
-		standing.Cold++
+		counts.Cold++
 	default:
-		standing.Ready++
+		counts.Ready++
 	}
 }
 
--- a/internal/fleet/statements.go
+++ b/internal/fleet/statements.go
@@ -20,7 +20,7 @@
 	defer f.mutex.Unlock()
 	found := false
 	for _, known := range f.runners {
-		if !known.present || !known.isServing(query.Service, query.Homes) {
+		if !known.present || !known.belongsTo(query.Service, query.Homes) {
 			continue
 		}
 		if !f.isDraining(known) {
@@ -77,8 +77,8 @@
 	}
 }
 
-// restRecheckInterval is the time until another look at a rested runner that has as many
-// requests as it may have at once: enough for some answers.
+// restRecheckInterval is the time until a rested runner that has as many requests as it may
+// have at once is checked again: enough for some answers.
 const restRecheckInterval = 50 * time.Millisecond
 
 // restingRunners describes the runners that could serve a request but for their rest.
--- a/internal/fleet/statements_test.go
+++ b/internal/fleet/statements_test.go
@@ -20,27 +20,28 @@
 	limitHeader   = "X-Limit"
 )
 
-// statedFleet returns a fleet of runners that hold model m, and the book of their statements.
+// statedFleet returns a fleet of runners that hold model m, and the registry of their
+// statements.
 func statedFleet(names ...string) (*Fleet, *statement.Registry, *clock) {
 	f, c := testFleet()
-	book := statement.NewRegistry(statement.Options{
+	registry := statement.NewRegistry(statement.Options{
 		Headers: statement.Headers{Leaving: leavingHeader, Limit: limitHeader}, Now: c.read, Log: logr.Discard(),
 		Limits: func() statement.Limits {
 			return statement.Limits{LongestRest: time.Minute, UnreadableRest: time.Second, LeavingFor: 5 * time.Minute, LeastRate: 0.1, LimitFor: time.Minute}
 		},
 	})
-	f.SetStatements(book)
+	f.SetStatements(registry)
 	var runners []backend.Runner
 	for _, name := range names {
 		runners = append(runners, listed(name, "m"))
 	}
 	f.Replace(runners, false)
-	return f, book, c
+	return f, registry, c
 }
 
 // sayLeaving records an answer in which a runner states that it is leaving.
-func sayLeaving(book *statement.Registry, id string) {
-	book.ReadHeader(statement.Source{Runner: id}, http.StatusOK, http.Header{leavingHeader: {"1"}})
+func sayLeaving(registry *statement.Registry, id string) {
+	registry.ReadHeader(statement.Source{Runner: id}, http.StatusOK, http.Header{leavingHeader: {"1"}})
 }
 
 var statedQuery = Query{Service: "s", Unit: backend.Unit{Model: "m"}}
@@ -49,10 +50,10 @@
 // is leaving gets no requests and no load queries, even if its row still says that it is ready
 // or is listed again.
 func TestRunnerThatSaysItLeavesGetsNothing(t *testing.T) {
-	f, book, c := statedFleet("r1", "r2", "r3")
+	f, registry, c := statedFleet("r1", "r2", "r3")
 	before, ok := f.Choose(statedQuery)
 	assert.Assert(t, ok)
-	sayLeaving(book, before.Runner.ID)
+	sayLeaving(registry, before.Runner.ID)
 	assert.Assert(t, !f.Allowed(before, statedQuery), "a request for which it was chosen earlier may still be sent")
 	f.Apply([]backend.Runner{listed(before.Runner.ID, "m")}, nil, false)
 	for range 20 {
@@ -76,28 +77,28 @@
 // TestLaterIncarnationDoesNotLeave checks that a statement of an earlier incarnation does not
 // apply to a later one.
 func TestLaterIncarnationDoesNotLeave(t *testing.T) {
-	f, book, _ := statedFleet()
+	f, registry, _ := statedFleet()
 	born := func(at int64) backend.Runner {
 		runner := listed(backend.IncarnationID("r1", at), "m")
 		runner.Born = at
 		return runner
 	}
 	f.Apply([]backend.Runner{born(1)}, nil, false)
-	sayLeaving(book, born(1).ID)
+	sayLeaving(registry, born(1).ID)
 	assert.Assert(t, f.AllDraining(statedQuery))
 	f.Apply([]backend.Runner{born(2)}, nil, false)
-	sayLeaving(book, born(1).ID)
+	sayLeaving(registry, born(1).ID)
 	choice, ok := f.Choose(statedQuery)
 	assert.Assert(t, ok && choice.Runner.ID == born(2).ID)
 }
 
-// TestAllLeave checks that runners of other services and departed runners do not count.
-func TestAllLeave(t *testing.T) {
-	f, book, _ := statedFleet("r1", "r2")
+// TestAllDraining checks that runners of other services and departed runners do not count.
+func TestAllDraining(t *testing.T) {
+	f, registry, _ := statedFleet("r1", "r2")
 	assert.Assert(t, !f.AllDraining(Query{Service: "other"}), "the service has no runners")
-	sayLeaving(book, "r1")
+	sayLeaving(registry, "r1")
 	assert.Assert(t, !f.AllDraining(statedQuery))
-	sayLeaving(book, "r2")
+	sayLeaving(registry, "r2")
 	assert.Assert(t, f.AllDraining(statedQuery))
 	assert.Equal(t, f.Refusal(statedQuery), eligible.Draining)
 	f.Apply([]backend.Runner{listed("r3")}, nil, false)
@@ -105,13 +106,13 @@
 }
 
 // askRest records a refusal in which a runner asks for a rest.
-func askRest(book *statement.Registry, id, seconds string) {
-	book.ReadHeader(statement.Source{Runner: id}, http.StatusServiceUnavailable, http.Header{"Retry-After": {seconds}})
+func askRest(registry *statement.Registry, id, seconds string) {
+	registry.ReadHeader(statement.Source{Runner: id}, http.StatusServiceUnavailable, http.Header{"Retry-After": {seconds}})
 }
 
 // answer records that a runner answered a request.
-func answer(f *Fleet, book *statement.Registry, choice Choice) {
-	book.ReadHeader(statement.Source{Runner: choice.Runner.ID, Request: "q"}, http.StatusOK, http.Header{})
+func answer(f *Fleet, registry *statement.Registry, choice Choice) {
+	registry.ReadHeader(statement.Source{Runner: choice.Runner.ID, Request: "q"}, http.StatusOK, http.Header{})
 	f.Started(choice)
 	f.Done(choice, statedQuery, Served, time.Millisecond, true)
 }
@@ -119,9 +120,9 @@
 // TestRunnerThatRestsGetsNothing checks that a resting runner gets no requests for any unit
 // until its rest has ended, and that other runners are chosen.
 func TestRunnerThatRestsGetsNothing(t *testing.T) {
-	f, book, c := statedFleet("r1", "r2")
+	f, registry, c := statedFleet("r1", "r2")
 	f.Apply([]backend.Runner{listed("r1", "m", "other")}, nil, false)
-	askRest(book, "r1", "3")
+	askRest(registry, "r1", "3")
 	for range 20 {
 		choice, ok := f.Choose(statedQuery)
 		assert.Assert(t, ok && choice.Runner.ID == "r2")
@@ -143,7 +144,7 @@
 // then more with each answer until there is no limit, and that another refusal starts this
 // again.
 func TestRunnerReturnsByDegrees(t *testing.T) {
-	f, book, c := statedFleet("r1")
+	f, registry, c := statedFleet("r1")
 	take := func() (taken []Choice) {
 		for range 100 {
 			choice, ok := f.Choose(statedQuery)
@@ -154,34 +155,34 @@
 		}
 		return taken
 	}
-	askRest(book, "r1", "1")
+	askRest(registry, "r1", "1")
 	assert.Equal(t, len(take()), 0)
 	c.now = c.now.Add(time.Second)
 	for _, together := range []int{2, 4, 8, 16, 32, 100} {
 		taken := take()
 		assert.Equal(t, len(taken), together)
 		for _, choice := range taken {
-			answer(f, book, choice)
+			answer(f, registry, choice)
 		}
 	}
-	askRest(book, "r1", "1")
+	askRest(registry, "r1", "1")
 	c.now = c.now.Add(time.Second)
 	assert.Equal(t, len(take()), 2)
-	in, room, rests := f.RestEndsIn(statedQuery)
-	assert.Assert(t, rests && in == restRecheckInterval && room == minRestCapacity, "%s %d", in, room)
+	in, capacity, rests := f.RestEndsIn(statedQuery)
+	assert.Assert(t, rests && in == restRecheckInterval && capacity == minRestCapacity, "%s %d", in, capacity)
 }
 
-// TestReturnIsTrueForTheNumberThatWaits checks that requests refused later are told to come
+// TestRetryAfterRestCountsRefusedRequests checks that requests refused later are told to come
 // back later, by the runner's answer time and its slots.
-func TestReturnIsTrueForTheNumberThatWaits(t *testing.T) {
-	f, book, c := statedFleet("r1")
+func TestRetryAfterRestCountsRefusedRequests(t *testing.T) {
+	f, registry, c := statedFleet("r1")
 	for range 200 {
 		choice, ok := f.Choose(statedQuery)
 		assert.Assert(t, ok)
 		f.Done(choice, statedQuery, Served, 400*time.Millisecond, false)
 	}
 	assert.Equal(t, f.RetryAfterRest(statedQuery), time.Duration(0))
-	askRest(book, "r1", "2")
+	askRest(registry, "r1", "2")
 	first := f.RetryAfterRest(statedQuery)
 	assert.Equal(t, first, 2*time.Second)
 	for range 9 {
@@ -190,24 +191,24 @@
 	eleventh := f.RetryAfterRest(statedQuery)
 	assert.Assert(t, eleventh > 2900*time.Millisecond && eleventh <= 3*time.Second, "%s", eleventh)
 	c.now = c.now.Add(3 * time.Second)
-	askRest(book, "r1", "2")
+	askRest(registry, "r1", "2")
 	assert.Equal(t, f.RetryAfterRest(statedQuery), 2*time.Second, "the next rest starts anew")
 }
 
-// TestRoomIsWhatARunnerTook checks that the capacity of a resting runner is the number of
+// TestCapacityOfRestingRunner checks that the capacity of a resting runner is the number of
 // requests it was answering when the rest began.
-func TestRoomIsWhatARunnerTook(t *testing.T) {
-	f, book, _ := statedFleet("r1")
+func TestCapacityOfRestingRunner(t *testing.T) {
+	f, registry, _ := statedFleet("r1")
 	for range 5 {
 		choice, _ := f.Choose(statedQuery)
 		f.Started(choice)
 	}
 	refused, _ := f.Choose(statedQuery)
-	askRest(book, "r1", "2")
+	askRest(registry, "r1", "2")
 	f.Done(refused, statedQuery, Busy, time.Millisecond, false)
-	_, room, rests := f.RestEndsIn(statedQuery)
+	_, capacity, rests := f.RestEndsIn(statedQuery)
 	assert.Assert(t, rests)
-	assert.Equal(t, room, 5)
+	assert.Equal(t, capacity, 5)
 	for want := range 3 {
 		ahead, end := f.AwaitRest(statedQuery)
 		assert.Equal(t, ahead, want)
@@ -215,10 +216,10 @@
 	}
 }
 
-// TestRunnerThatNamedALimitNeedsAPermit checks that each request to a runner that stated a
+// TestRunnerThatStatedALimitNeedsAPermit checks that each request to a runner that stated a
 // limit takes a permit, and that the limit ends with an answer that states none.
-func TestRunnerThatNamedALimitNeedsAPermit(t *testing.T) {
-	f, book, c := statedFleet("r1")
+func TestRunnerThatStatedALimitNeedsAPermit(t *testing.T) {
+	f, registry, c := statedFleet("r1")
 	f.SetColdStarts(ColdStarts{
 		Terms: func(string) coldstart.Terms { return coldstart.Terms{} },
 		Limit: func(rate float64, lent bool) coldstart.Terms {
@@ -230,7 +231,7 @@
 	before, ok := f.Choose(statedQuery)
 	assert.Assert(t, ok)
 	named := http.Header{limitHeader: {"2"}}
-	book.ReadHeader(statement.Source{Runner: "r1", Request: "a"}, http.StatusOK, named)
+	registry.ReadHeader(statement.Source{Runner: "r1", Request: "a"}, http.StatusOK, named)
 	assert.Assert(t, !f.Allowed(before, statedQuery), "a request for which it was chosen earlier may still be sent")
 	_, ok = f.Choose(statedQuery)
 	assert.Assert(t, !ok)
@@ -243,7 +244,7 @@
 	_, ok = f.Choose(statedQuery)
 	assert.Assert(t, !ok)
 	c.now = c.now.Add(time.Second)
-	book.ReadHeader(statement.Source{Runner: "r1", Request: "b"}, http.StatusOK, http.Header{})
+	registry.ReadHeader(statement.Source{Runner: "r1", Request: "b"}, http.StatusOK, http.Header{})
 	_, ok = f.Choose(statedQuery)
 	assert.Assert(t, ok)
 }
--- a/internal/fleet/suspect.go
+++ b/internal/fleet/suspect.go
@@ -11,7 +11,7 @@
 )
 
 // Suspect records that a runner has left a request unanswered for unusually long. It reports
-// whether to tell the service's control holder, which then checks the runner itself.
+// whether to tell the service's lease holder, which then checks the runner itself.
 func (f *Fleet) Suspect(id string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/fleet/suspect_test.go
+++ b/internal/fleet/suspect_test.go
@@ -10,9 +10,9 @@
 	"lilacvane/internal/place"
 )
 
-// TestSilentRunnerIsLeftAlone checks that a runner which the holder found silent gets no
+// TestSilentRunnerGetsNothing checks that a runner which the holder found silent gets no
 // request until the holder's report is too old or the runner has answered this node.
-func TestSilentRunnerIsLeftAlone(t *testing.T) {
+func TestSilentRunnerGetsNothing(t *testing.T) {
 	now := time.Unix(1000, 0)
 	unit := backend.Unit{Model: "m"}
 	f := New("zone", func() time.Time { return now }, noRules{})
@@ -38,9 +38,9 @@
 	assert.Assert(t, found, "the holder did not repeat its report")
 }
 
-// TestSuspicionsAreToldOnce checks that a runner is suspected at most once per interval and
+// TestSuspicionsAreReturnedOnce checks that a runner is suspected at most once per interval and
 // returned once.
-func TestSuspicionsAreToldOnce(t *testing.T) {
+func TestSuspicionsAreReturnedOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f := New("zone", func() time.Time { return now }, noRules{})
 	f.Apply([]backend.Runner{{ID: "r", Service: "s"}, {ID: "q", Service: "other"}}, nil, false)
--- a/internal/fleet/views.go
+++ b/internal/fleet/views.go
@@ -7,7 +7,7 @@
 	"lilacvane/internal/place"
 )
 
-// View is the control holder's report on a runner.
+// View is the lease holder's report on a runner.
 type View struct {
 	Runner string
 	// Listed is the runner's entry in the platform's list, sent to a node that may have
@@ -30,14 +30,15 @@
 	Firm bool
 }
 
+// view is a View as received at a time. pending is when each unit being loaded is expected.
 type view struct {
-	at     time.Time
-	ready  map[backend.Unit]bool
-	coming map[backend.Unit]time.Time
-	silent bool
+	at      time.Time
+	ready   map[backend.Unit]bool
+	pending map[backend.Unit]time.Time
+	silent  bool
 }
 
-// ApplyViews applies the views of a service's control holder, whose list has revision
+// ApplyViews applies the views of a service's lease holder, whose list has revision
 // listRevision.
 func (f *Fleet) ApplyViews(views []View, listRevision uint64) {
 	f.mutex.Lock()
@@ -55,9 +56,9 @@
 }
 
 func (f *Fleet) newView(reported View) *view {
-	built := &view{at: f.now(), silent: reported.Silent, ready: unitsOf(reported.Ready), coming: make(map[backend.Unit]time.Time, len(reported.Pending))}
-	for _, coming := range reported.Pending {
-		built.coming[coming.Unit] = f.now().Add(coming.In)
+	built := &view{at: f.now(), silent: reported.Silent, ready: unitsOf(reported.Ready), pending: make(map[backend.Unit]time.Time, len(reported.Pending))}
+	for _, pending := range reported.Pending {
+		built.pending[pending.Unit] = f.now().Add(pending.In)
 	}
 	return built
 }
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -42,7 +42,7 @@
 	defer f.mutex.Unlock()
 	refusal := eligible.Gone
 	for _, known := range f.runners {
-		if !known.isServing(query.Service, query.Homes) {
+		if !known.belongsTo(query.Service, query.Homes) {
 			continue
 		}
 		switch reason := f.eligibility(known, eligible.Question{Request: request(query)}); reason {
--- a/internal/fleet/zones_test.go
+++ b/internal/fleet/zones_test.go
@@ -47,11 +47,11 @@
 }
 
 // TestZoneOutGetsNothing checks that a zone that was taken out gets neither requests nor
-// questions, and that nothing it holds or loads is counted on.
+// load queries, and that nothing it holds or loads is expected to serve.
 func TestZoneOutGetsNothing(t *testing.T) {
 	f, z, _ := zonedFleet(inZone("r1", "zone-a", "m"), inZone("r2", "zone-b", "m"), inZone("r3", "zone-b", "m"))
-	coming := backend.Unit{Model: "next"}
-	f.ApplyViews([]View{{Runner: "r1", Ready: []backend.Holding{{Model: "m"}}, Pending: []PendingUnit{{Unit: coming, In: time.Second}}}}, 0)
+	pending := backend.Unit{Model: "next"}
+	f.ApplyViews([]View{{Runner: "r1", Ready: []backend.Holding{{Model: "m"}}, Pending: []PendingUnit{{Unit: pending, In: time.Second}}}}, 0)
 	query := Query{Service: "s", Unit: backend.Unit{Model: "m"}}
 	z.out["zone-a"] = true
 	for range 20 {
@@ -61,7 +61,7 @@
 			assert.Assert(t, candidate.ID != "r1")
 		}
 	}
-	_, expected := f.Expected("s", coming, place.Homes{})
+	_, expected := f.Expected("s", pending, place.Homes{})
 	assert.Assert(t, !expected)
 	assert.Equal(t, f.Refusal(query), eligible.Yes)
 	z.out["zone-b"] = true
@@ -70,9 +70,9 @@
 	assert.Equal(t, f.Refusal(query), eligible.ZoneOut)
 }
 
-// TestReservedRunnerIsAskedForAgain checks that a request is not sent to a runner chosen
+// TestChosenRunnerIsCheckedAgain checks that a request is not sent to a runner chosen
 // before its zone was taken out.
-func TestReservedRunnerIsAskedForAgain(t *testing.T) {
+func TestChosenRunnerIsCheckedAgain(t *testing.T) {
 	f, z, _ := zonedFleet(inZone("r1", "zone-a"))
 	query := Query{Service: "s"}
 	choice, ok := f.Choose(query)
@@ -81,9 +81,9 @@
 	assert.Assert(t, !f.Allowed(choice, query))
 }
 
-// TestZoneAboutToBeLeftIsLastChoice checks that a zone about to be taken out serves only what
-// no other runner holds.
-func TestZoneAboutToBeLeftIsLastChoice(t *testing.T) {
+// TestZoneAboutToBeTakenOutIsLastChoice checks that a zone about to be taken out serves only
+// what no other runner holds.
+func TestZoneAboutToBeTakenOutIsLastChoice(t *testing.T) {
 	f, z, _ := zonedFleet(inZone("r1", "zone-a", "m", "only"), inZone("r2", "zone-b", "m"))
 	z.share["zone-a"] = 0
 	for range 20 {
@@ -94,9 +94,9 @@
 	assert.Assert(t, ok && choice.Runner.ID == "r1")
 }
 
-// TestDemandReturnsByDegrees checks that a zone that was put back gets the share of the
+// TestReturnedZoneGetsItsShare checks that a zone that was put back gets the share of the
 // choices that is set, even if it is the nearest and idle.
-func TestDemandReturnsByDegrees(t *testing.T) {
+func TestReturnedZoneGetsItsShare(t *testing.T) {
 	f, z, _ := zonedFleet(inZone("r1", "zone-a"), inZone("r2", "zone-b"))
 	const choices = 2000
 	took := func(share float64) float64 {
