--- a/internal/scheduler/adapters.go
+++ b/internal/scheduler/adapters.go
@@ -45,7 +45,7 @@
 	return wants
 }
 
-// compareHomes orders bound homes before unbound ones.
+// compareHomes orders restricted homes before unrestricted ones.
 func compareHomes(a, b place.Homes) int {
 	if a.Restricted() != b.Restricted() {
 		if a.Restricted() {
--- a/internal/scheduler/homes.go
+++ b/internal/scheduler/homes.go
@@ -51,20 +51,20 @@
 	if !divided {
 		return []Part{{Demand: p.state.Demand[unit]}}
 	}
-	bound := slices.DeleteFunc(slices.Clone(parts), func(part Part) bool { return !part.Homes.Restricted() })
-	return append(bound, p.unboundPart(unit, bound, parts))
+	restricted := slices.DeleteFunc(slices.Clone(parts), func(part Part) bool { return !part.Homes.Restricted() })
+	return append(restricted, p.unrestrictedPart(unit, restricted, parts))
 }
 
-// unboundPart returns the part of a unit's demand without homes. Requests with homes also use
-// up capacity of the replicas that serve them, so their work is added, up to what those
+// unrestrictedPart returns the part of a unit's demand without homes. Requests with homes also
+// use up capacity of the replicas that serve them, so their work is added, up to what those
 // replicas can take. Work beyond that could not run on any other replica.
-func (p *planner) unboundPart(unit backend.Unit, bound, parts []Part) Part {
+func (p *planner) unrestrictedPart(unit backend.Unit, restricted, parts []Part) Part {
 	at := slices.IndexFunc(parts, func(part Part) bool { return !part.Homes.Restricted() })
 	if at < 0 {
 		return Part{}
 	}
 	demand := *parts[at].Demand
-	for _, part := range bound {
+	for _, part := range restricted {
 		demand.Work += min(part.Work, targetWork*float64(p.copies.in(unit.Model, part.Homes)))
 	}
 	return Part{Demand: &demand}
--- a/internal/scheduler/homes_test.go
+++ b/internal/scheduler/homes_test.go
@@ -31,17 +31,18 @@
 	return state
 }
 
-// addWaitingIn adds bound waiting requests with homes, and free ones without, for a unit.
-func addWaitingIn(state *State, unit backend.Unit, homes place.Homes, bound, free int) {
+// addWaitingIn adds waiting requests for a unit: restricted ones with the homes and
+// unrestricted ones without.
+func addWaitingIn(state *State, unit backend.Unit, homes place.Homes, restricted, unrestricted int) {
 	units := []backend.Unit{unit}
 	if unit.Adapter != "" {
 		units = append(units, backend.Unit{Model: unit.Model})
 	}
 	for _, unit := range units {
-		state.Demand[unit] = &Demand{Waiting: bound + free, Left: time.Second, LastUse: testNow}
-		state.Parts[unit] = []Part{{Homes: homes, Demand: &Demand{Waiting: bound, Left: time.Second, LastUse: testNow}}}
-		if free > 0 {
-			state.Parts[unit] = append(state.Parts[unit], Part{Demand: &Demand{Waiting: free, Left: time.Second, LastUse: testNow}})
+		state.Demand[unit] = &Demand{Waiting: restricted + unrestricted, Left: time.Second, LastUse: testNow}
+		state.Parts[unit] = []Part{{Homes: homes, Demand: &Demand{Waiting: restricted, Left: time.Second, LastUse: testNow}}}
+		if unrestricted > 0 {
+			state.Parts[unit] = append(state.Parts[unit], Part{Demand: &Demand{Waiting: unrestricted, Left: time.Second, LastUse: testNow}})
 		}
 	}
 }
@@ -56,8 +57,8 @@
 	plan := MakePlan(state)
 	assert.Equal(t, len(plan.Steps), 1)
 	assert.Equal(t, plan.Steps[0].Runner, "r2")
-	_, told := plan.Ready[Want{Unit: backend.Unit{Model: "m0"}, Homes: inSouth}]
-	assert.Assert(t, told)
+	_, expected := plan.Ready[Want{Unit: backend.Unit{Model: "m0"}, Homes: inSouth}]
+	assert.Assert(t, expected)
 	addWaitingIn(state, backend.Unit{Model: "m0"}, inNorth, 1, 0)
 	assert.Equal(t, len(MakePlan(state).Steps), 0)
 }
@@ -168,11 +169,11 @@
 			if rapid.Bool().Draw(t, "adapter") {
 				unit.Adapter = "a"
 			}
-			bound := rapid.SampledFrom([]place.Homes{inNorth, inSouth, place.NewHomes([]place.Region{"north", "south"})}).Draw(t, "homes")
-			addWaitingIn(state, unit, bound, rapid.IntRange(0, 3).Draw(t, "waiting"), 0)
+			restricted := rapid.SampledFrom([]place.Homes{inNorth, inSouth, place.NewHomes([]place.Region{"north", "south"})}).Draw(t, "homes")
+			addWaitingIn(state, unit, restricted, rapid.IntRange(0, 3).Draw(t, "waiting"), 0)
 			work := rapid.Float64Range(0, 3).Draw(t, "work")
 			for _, u := range []backend.Unit{unit, {Model: unit.Model}} {
-				homes[u] = bound
+				homes[u] = restricted
 				state.Demand[u].Work, state.Demand[u].Rate = work, work*10
 				state.Parts[u][0].Work, state.Parts[u][0].Rate = work, work*10
 				state.Parts[u] = append(state.Parts[u], Part{Demand: &Demand{}})
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -311,6 +311,7 @@
 	return cmp.Or(cmp.Compare(b.value(), a.value()), cmp.Compare(a.demand.Left, b.demand.Left), cmp.Compare(workPerHolder(b), workPerHolder(a)))
 }
 
+// workPerHolder is the work for each holder if one more runner loads the model.
 func workPerHolder(n need) float64 { return n.demand.Work / float64(n.holders+1) }
 
 // placeNeed chooses a runner for a need and plans the load, or the unload that frees memory for
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -84,9 +84,9 @@
 	assert.Equal(t, near, 1)
 }
 
-// TestRoomIsMadeWhereLeastIsLost checks that an unused model is evicted rather than a used
+// TestCheapestModelIsEvicted checks that an unused model is evicted rather than a used
 // one, and that the load waiting for the memory is kept as an intent.
-func TestRoomIsMadeWhereLeastIsLost(t *testing.T) {
+func TestCheapestModelIsEvicted(t *testing.T) {
 	state := testState(1, 4)
 	for _, model := range []string{"m0", "m1"} {
 		state.Runners[0].hold(model)
@@ -206,9 +206,9 @@
 	assert.Equal(t, loaded, "r1")
 }
 
-// TestUnknownRunnersCountAgainstTheBound checks that a runner that has not reported its models
-// counts as holding the one allowed replica.
-func TestUnknownRunnersCountAgainstTheBound(t *testing.T) {
+// TestUnknownRunnersCountAgainstReplicaLimit checks that a runner that has not reported its
+// models counts as holding the one allowed replica.
+func TestUnknownRunnersCountAgainstReplicaLimit(t *testing.T) {
 	state := testState(1, 1)
 	state.Engine.Models["m0"].MaximumReplicas = 1
 	addWaiting(state, backend.Unit{Model: "m0"})
@@ -218,9 +218,9 @@
 	assert.Equal(t, len(MakePlan(state).Steps), 1)
 }
 
-// TestSleepingModelsAreUnloaded checks that a model unused for its keep-alive time is unloaded
+// TestIdleModelsAreUnloaded checks that a model unused for its keep-alive time is unloaded
 // unless a policy requires it.
-func TestSleepingModelsAreUnloaded(t *testing.T) {
+func TestIdleModelsAreUnloaded(t *testing.T) {
 	state := testState(1, 1)
 	state.Runners[0].hold("m0")
 	state.Demand[backend.Unit{Model: "m0"}] = &Demand{LastUse: testNow.Add(-time.Minute)}
@@ -232,11 +232,11 @@
 	assert.Equal(t, len(MakePlan(state).Steps), 0)
 }
 
-// TestPlansKeepTheirBounds checks with random states that a plan loads only where there is
+// TestPlansKeepLimits checks with random states that a plan loads only where there is
 // enough memory, respects the limits on replicas and on loads from the store, and gives each
 // runner one model order at a time. Adapters are exempt, as one may be replaced by an unload
 // and a load.
-func TestPlansKeepTheirBounds(t *testing.T) {
+func TestPlansKeepLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := drawState(t)
 		plan := MakePlan(state)
@@ -269,9 +269,9 @@
 				fromStore++
 			}
 			copies[step.Unit.Model]++
-			bound := state.Engine.Models[step.Unit.Model].MaximumReplicas
-			if bound != config.Unlimited && copies[step.Unit.Model] > bound {
-				t.Fatalf("%+v exceeds the replica limit %d", step, bound)
+			limit := state.Engine.Models[step.Unit.Model].MaximumReplicas
+			if limit != config.Unlimited && copies[step.Unit.Model] > limit {
+				t.Fatalf("%+v exceeds the replica limit %d", step, limit)
 			}
 		}
 		if fromStore > state.Loads {
--- a/internal/scheduler/state.go
+++ b/internal/scheduler/state.go
@@ -4,7 +4,8 @@
 // Planning takes these steps: count the replicas of each model; unload what should not be
 // loaded (unloadUnwanted); continue loads that wait for memory (continueIntents); place the
 // missing replicas by descending value, each on the runner with the lowest cost (needs and
-// placeNeed, with the costs in rank.go); place the adapters that requests wait for (planAdapters).
+// placeNeed, with the costs in rank.go); place the adapters that requests wait for
+// (planAdapters).
 package scheduler
 
 import (
@@ -133,6 +134,7 @@
 	Model string
 	// Homes are the homes of the requests to be served.
 	Homes place.Homes
+	// Until is when the plan stops waiting for the memory.
 	Until time.Time
 }
 
