--- a/internal/orders/ledger.go
+++ b/internal/orders/ledger.go
@@ -303,14 +303,14 @@
 // CompleteAdapterLoads marks adapters as loaded whose load time has passed. It returns whether
 // there were any.
 func (l *Ledger) CompleteAdapterLoads(now time.Time) bool {
-	settled := false
+	completed := false
 	for _, model := range l.models {
 		for _, adapter := range model.Adapters {
 			if adapter.Loading && !now.Before(adapter.Due) {
 				adapter.Loading = false
-				settled = true
+				completed = true
 			}
 		}
 	}
-	return settled
+	return completed
 }
--- a/internal/orders/ledger_test.go
+++ b/internal/orders/ledger_test.go
@@ -21,10 +21,10 @@
 	return engine
 }
 
-// TestAdapterInUseLeavesLater checks that an adapter whose unload waits for requests keeps its
-// slot, and that the runner gets no other order until it has reported its sequence number. The
-// next order used to expect a number that the runner did not have.
-func TestAdapterInUseLeavesLater(t *testing.T) {
+// TestAdapterInUseIsUnloadedLater checks that an adapter whose unload waits for requests keeps
+// its slot, and that the runner gets no other order until it has reported its sequence number.
+// The next order used to expect a number that the runner did not have.
+func TestAdapterInUseIsUnloadedLater(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ledger := NewLedger(backend.Runner{ID: "r"})
 	holding := []backend.Holding{{Model: "m0", Adapters: []string{"a1", "a2"}}}
--- a/internal/orders/loadcrashes.go
+++ b/internal/orders/loadcrashes.go
@@ -23,6 +23,7 @@
 	models  map[string]*crashCount
 }
 
+// crashCount is the Count and Until of a ModelCrashes.
 type crashCount struct {
 	count int
 	until time.Time
@@ -40,17 +41,17 @@
 
 // NewLoadCrashes returns a LoadCrashes that continues from the counts of an earlier one.
 func NewLoadCrashes(known []ModelCrashes) *LoadCrashes {
-	e := &LoadCrashes{loading: make(map[string]map[string]bool), ended: make(map[string]bool), models: make(map[string]*crashCount)}
+	c := &LoadCrashes{loading: make(map[string]map[string]bool), ended: make(map[string]bool), models: make(map[string]*crashCount)}
 	for _, one := range known {
-		e.models[one.Model] = &crashCount{count: one.Count, until: one.Until}
+		c.models[one.Model] = &crashCount{count: one.Count, until: one.Until}
 	}
-	return e
+	return c
 }
 
 // Known returns the counts for the next lease holder to continue from.
-func (e *LoadCrashes) Known() []ModelCrashes {
-	known := make([]ModelCrashes, 0, len(e.models))
-	for name, crashes := range e.models {
+func (c *LoadCrashes) Known() []ModelCrashes {
+	known := make([]ModelCrashes, 0, len(c.models))
+	for name, crashes := range c.models {
 		known = append(known, ModelCrashes{Model: name, Count: crashes.count, Until: crashes.until})
 	}
 	return known
@@ -58,51 +59,52 @@
 
 // Follow updates the models that a runner loads and holds. A completed load resets the count of
 // its model. An unanswered order counts as a possible load.
-func (e *LoadCrashes) Follow(ledger *Ledger) {
+func (c *LoadCrashes) Follow(ledger *Ledger) {
 	runner := ledger.Runner.ID
-	if e.ended[runner] {
+	if c.ended[runner] {
 		return
 	}
 	loading := ledger.possibleLoads()
-	for name := range e.loading[runner] {
+	for name := range c.loading[runner] {
 		if !loading[name] && ledger.models[name] != nil {
-			delete(e.models, name)
+			delete(c.models, name)
 		}
 	}
-	delete(e.loading, runner)
+	delete(c.loading, runner)
 	if len(loading) > 0 {
-		e.loading[runner] = loading
+		c.loading[runner] = loading
 	}
 }
 
 // RunnerEnded records that a runner ended and returns the models that it was loading. planned
-// is set if the runner had announced its departure, so that its end is not counted as a crash.
-func (e *LoadCrashes) RunnerEnded(runner string, planned bool, now time.Time) []string {
-	e.ended[runner] = true
-	var ended []string
-	for name := range e.loading[runner] {
+// is set if the runner had announced its departure: its end is then not counted as a crash and
+// no models are returned.
+func (c *LoadCrashes) RunnerEnded(runner string, planned bool, now time.Time) []string {
+	c.ended[runner] = true
+	var interrupted []string
+	for name := range c.loading[runner] {
 		if planned {
 			continue
 		}
-		ended = append(ended, name)
-		known := e.models[name]
+		interrupted = append(interrupted, name)
+		known := c.models[name]
 		if known == nil {
 			known = &crashCount{}
-			e.models[name] = known
+			c.models[name] = known
 		}
 		known.count++
 		if beyond := known.count - crashesBeforePause; beyond >= 0 {
 			known.until = now.Add(loadPause(beyond))
 		}
 	}
-	delete(e.loading, runner)
-	return ended
+	delete(c.loading, runner)
+	return interrupted
 }
 
 // Forget removes a runner that is no longer listed.
-func (e *LoadCrashes) Forget(runner string) {
-	delete(e.loading, runner)
-	delete(e.ended, runner)
+func (c *LoadCrashes) Forget(runner string) {
+	delete(c.loading, runner)
+	delete(c.ended, runner)
 }
 
 // loadPause returns the pause after the given number of crashes beyond crashesBeforePause.
@@ -117,9 +119,9 @@
 }
 
 // Paused returns the models that must not be loaded now, with the end of their pause.
-func (e *LoadCrashes) Paused(now time.Time) map[string]time.Time {
+func (c *LoadCrashes) Paused(now time.Time) map[string]time.Time {
 	paused := make(map[string]time.Time)
-	for name, known := range e.models {
+	for name, known := range c.models {
 		if now.Before(known.until) {
 			paused[name] = known.until
 		}
--- a/internal/orders/loadcrashes_test.go
+++ b/internal/orders/loadcrashes_test.go
@@ -21,11 +21,11 @@
 }
 
 // crashWhileLoading lets runners start to load a model and crash, one after the other.
-func crashWhileLoading(e *LoadCrashes, first, count int, now time.Time) {
+func crashWhileLoading(crashes *LoadCrashes, first, count int, now time.Time) {
 	for number := first; number < first+count; number++ {
 		runner := fmt.Sprint("r", number)
-		e.Follow(newTestLedger(runner, map[string]bool{"m": true}))
-		e.RunnerEnded(runner, false, now)
+		crashes.Follow(newTestLedger(runner, map[string]bool{"m": true}))
+		crashes.RunnerEnded(runner, false, now)
 	}
 }
 
--- a/internal/orders/reports.go
+++ b/internal/orders/reports.go
@@ -51,7 +51,7 @@
 func (l *Ledger) Silent() bool { return l.silent }
 
 // ReportFailed postpones the next report of a runner that did not answer. It returns whether
-// nodes should be told that the runner is silent.
+// the silence should be reported to the nodes.
 func (l *Ledger) ReportFailed(now time.Time, pause time.Duration) bool {
 	l.reportPending = false
 	l.nextReport = now.Add(pause)
@@ -162,7 +162,7 @@
 	}
 }
 
-// fingerprint encodes the part of the runner's state that other nodes are told.
+// fingerprint encodes the part of the runner's state that is reported to other nodes.
 func (l *Ledger) fingerprint() string {
 	units := make([]string, 0, len(l.models))
 	for name, model := range l.models {
