--- a/internal/eligible/callers_test.go
+++ b/internal/eligible/callers_test.go
@@ -15,8 +15,7 @@
 )
 
 // allowedReaders are the files that may read the state that decides about a runner, with the
-// reason; all others must call Check. The lab's stand-ins are exempt, as they act for the
-// platform.
+// reason; all others must call Check. The lab is exempt, as it emulates the platform.
 var allowedReaders = map[string]string{
 	"internal/eligible/eligible.go":  "decides",
 	"internal/fleet/choose.go":       "passes it to Check",
@@ -57,7 +56,7 @@
 var sendingCalls = map[string][]string{"Pool": {"Do"}, "Runners": {"Order", "Report"}, "dispatcher": {"Report"}, "Control": {"Order", "Report"}}
 
 // selectors calls visit with each selector in each file of the program, except tests and the
-// lab's stand-ins.
+// lab.
 func selectors(t *testing.T, visit func(file string, selector *ast.SelectorExpr)) {
 	t.Helper()
 	root := filepath.Join("..", "..")
@@ -99,9 +98,9 @@
 	}
 }
 
-// TestNothingChoosesPastCheck checks that no other file reads the state that decides about a
+// TestNothingBypassesCheck checks that no other file reads the state that decides about a
 // runner or sends anything to a runner. A new call site has to call Check and be listed here.
-func TestNothingChoosesPastCheck(t *testing.T) {
+func TestNothingBypassesCheck(t *testing.T) {
 	seen := make(map[string]bool)
 	selectors(t, func(file string, selector *ast.SelectorExpr) {
 		name := selector.Sel.Name
--- a/internal/eligible/eligible.go
+++ b/internal/eligible/eligible.go
@@ -1,5 +1,5 @@
 // Package eligible decides whether something may be sent to a runner now. Every choice of a
-// runner asks it: first attempts and retries of requests, resumed streams, queries for a
+// runner uses it: first attempts and retries of requests, resumed streams, queries for a
 // runner's load, loads of models and adapters, unloads. The decision follows from what the
 // runner stated, from what operators took out of service, and from the demands of the request
 // or its tenant. It is a pure function, takes constant time and allocates nothing.
@@ -55,8 +55,8 @@
 	// Draining is set if the runner stated that it is leaving, in the platform's list or in an
 	// answer.
 	Draining bool
-	// Resting is set while the runner wants nothing from this node, or no more at once. Load
-	// queries are still sent, as they need no slot.
+	// Resting is set while the runner asks this node for a time without requests, or has rested
+	// and takes no more at once. Load queries are still sent, as they need no slot.
 	Resting bool
 	// Permit is set if this node may send the runner a request now. It is unset only for a
 	// runner that is cold or stated a limit; Limited is set if the reason is the limit.
@@ -73,7 +73,7 @@
 	Homes   place.Homes
 }
 
-// Question asks a runner for its load before a request is sent there.
+// Question is a load query: it asks a runner for its load before a request is sent there.
 type Question struct{ Request }
 
 // Load is a load of a model or an adapter, for current or expected requests.
@@ -107,7 +107,7 @@
 	case Request:
 		return checkRequest(rules, runner, p)
 	case Question:
-		// A question is no load that a cold runner would have to handle.
+		// A load query adds no work for a cold or resting runner.
 		asked := *runner
 		asked.Permit, asked.Resting = true, false
 		return checkRequest(rules, &asked, p.Request)
--- a/internal/eligible/eligible_test.go
+++ b/internal/eligible/eligible_test.go
@@ -31,7 +31,7 @@
 	out := rules{out: map[place.Zone]bool{"a": true}}
 	drained := rules{drained: map[string]bool{"r1": true}}
 	cold := with(func(r *Runner) { r.Permit = false })
-	leaving := with(func(r *Runner) { r.Draining = true })
+	draining := with(func(r *Runner) { r.Draining = true })
 	resting := with(func(r *Runner) { r.Resting = true })
 	for _, test := range []struct {
 		name    string
@@ -42,27 +42,27 @@
 	}{
 		{"request", rules{}, healthy, request, Yes},
 		{"request of another service", rules{}, healthy, Request{Service: "mail"}, OtherService},
-		{"runner gone", rules{}, with(func(r *Runner) { r.Listed = false }), request, Gone},
-		{"runner leaves", rules{}, leaving, request, Draining},
+		{"runner not listed", rules{}, with(func(r *Runner) { r.Listed = false }), request, Gone},
+		{"draining runner", rules{}, draining, request, Draining},
 		{"runner drained", drained, healthy, request, Drained},
 		{"zone out", out, healthy, request, ZoneOut},
-		{"question in a zone out", out, healthy, Question{request}, ZoneOut},
+		{"load query in a zone out", out, healthy, Question{request}, ZoneOut},
 		{"load in a zone out", out, healthy, Load{Service: "engines"}, ZoneOut},
 		{"unload in a zone out", out, healthy, Unload{Service: "engines"}, Yes},
 		{"unload at a drained runner", drained, healthy, Unload{Service: "engines"}, Yes},
-		{"unload at a runner that leaves", rules{}, leaving, Unload{Service: "engines"}, Draining},
+		{"unload at a draining runner", rules{}, draining, Unload{Service: "engines"}, Draining},
 		{"at home", rules{}, healthy, Request{Service: "engines", Homes: north}, Yes},
 		{"outside homes", rules{}, healthy, Request{Service: "engines", Homes: south}, OutsideHomes},
-		{"question outside homes", rules{}, healthy, Question{Request{Service: "engines", Homes: south}}, OutsideHomes},
+		{"load query outside homes", rules{}, healthy, Question{Request{Service: "engines", Homes: south}}, OutsideHomes},
 		{"load outside homes", rules{}, healthy, Load{Service: "engines", Homes: south}, OutsideHomes},
 		{"cold", rules{}, cold, request, Cold},
-		{"question at a cold runner", rules{}, cold, Question{request}, Yes},
+		{"load query at a cold runner", rules{}, cold, Question{request}, Yes},
 		{"load at a cold runner", rules{}, cold, Load{Service: "engines"}, Yes},
 		{"request at a runner that rests", rules{}, resting, request, Resting},
-		{"question at a runner that rests", rules{}, resting, Question{request}, Yes},
+		{"load query at a runner that rests", rules{}, resting, Question{request}, Yes},
 		{"load at a runner that rests", rules{}, resting, Load{Service: "engines"}, Resting},
 		{"unload at a runner that rests", rules{}, resting, Unload{Service: "engines"}, Resting},
-		{"runner that rests and leaves", rules{}, with(func(r *Runner) { r.Resting, r.Draining = true, true }), request, Draining},
+		{"runner that rests and drains", rules{}, with(func(r *Runner) { r.Resting, r.Draining = true, true }), request, Draining},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			assert.Equal(t, Check(test.rules, &test.runner, test.purpose).String(), test.want.String())
