--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,5 +1,5 @@
 // Package place defines zones and regions, and the regions in which something may be served.
-// It is pure.
+// It does no I/O and keeps no state.
 package place
 
 import (
@@ -20,7 +20,7 @@
 // Region returns the region of a zone; empty if not known.
 func (m Map) Region(zone Zone) Region { return m[zone] }
 
-// HasRegion reports whether a zone lies in a region.
+// HasRegion reports whether the map has a zone in a region; false for the empty region.
 func (m Map) HasRegion(region Region) bool {
 	for _, of := range m {
 		if of == region {
@@ -33,7 +33,7 @@
 // Homes are the only regions in which something may be served. The zero value allows all
 // regions. Homes are comparable: equal values allow the same regions.
 type Homes struct {
-	bound bool
+	restricted bool
 	// regions holds the allowed regions, sorted, with a separator before and after each, so
 	// that a lookup allocates nothing.
 	regions string
@@ -43,6 +43,8 @@
 const separator = "\x00"
 
 // NewHomes returns homes that allow the given regions; the zero Homes if there are none.
+// Invalid names, empty or with a separator, are dropped; if only such names are given, no
+// region is allowed.
 func NewHomes(regions []Region) Homes {
 	if len(regions) == 0 {
 		return Homes{}
@@ -56,18 +58,18 @@
 	slices.Sort(names)
 	names = slices.Compact(names)
 	if len(names) == 0 {
-		return Homes{bound: true}
+		return Homes{restricted: true}
 	}
-	return Homes{bound: true, regions: separator + strings.Join(names, separator) + separator}
+	return Homes{restricted: true, regions: separator + strings.Join(names, separator) + separator}
 }
 
 // Restricted reports whether the homes restrict anything.
-func (h Homes) Restricted() bool { return h.bound }
+func (h Homes) Restricted() bool { return h.restricted }
 
 // Allows reports whether something may be served in a region. A region that is not known is in
 // no homes.
 func (h Homes) Allows(region Region) bool {
-	if !h.bound {
+	if !h.restricted {
 		return true
 	}
 	if region == "" {
@@ -98,7 +100,7 @@
 // Names returns the regions for messages: a single empty name if no region is allowed, nil if
 // nothing is restricted.
 func (h Homes) Names() []string {
-	if h.bound && h.regions == "" {
+	if h.restricted && h.regions == "" {
 		return []string{""}
 	}
 	var names []string
@@ -121,14 +123,14 @@
 // common, no region is allowed.
 func (h Homes) Intersect(other Homes) Homes {
 	switch {
-	case !h.bound:
+	case !h.restricted:
 		return other
-	case !other.bound, h == other:
+	case !other.restricted, h == other:
 		return h
 	}
 	common := slices.DeleteFunc(h.Regions(), func(region Region) bool { return !other.Allows(region) })
 	if len(common) == 0 {
-		return Homes{bound: true}
+		return Homes{restricted: true}
 	}
 	return NewHomes(common)
 }
@@ -136,7 +138,7 @@
 // String lists the regions for logs: "any" if nothing is restricted, "none" if no region is
 // allowed.
 func (h Homes) String() string {
-	if !h.bound {
+	if !h.restricted {
 		return "any"
 	}
 	if h.regions == "" {
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestHomesBind(t *testing.T) {
+func TestHomesRestrictRegions(t *testing.T) {
 	north, south := NewHomes([]Region{"north"}), NewHomes([]Region{"south"})
 	both := NewHomes([]Region{"south", "north", "south"})
 	for _, test := range []struct {
@@ -22,10 +22,10 @@
 		{"part of a name", north, "nor", false},
 		{"region not known", north, "", false},
 		{"one of two", both, "south", true},
-		{"both bind", both.Intersect(south), "south", true},
-		{"both bind, other region", both.Intersect(south), "north", false},
+		{"both restricted", both.Intersect(south), "south", true},
+		{"both restricted, other region", both.Intersect(south), "north", false},
 		{"nothing in common", north.Intersect(south), "north", false},
-		{"only one bound", Homes{}.Intersect(south), "north", false},
+		{"only one restricted", Homes{}.Intersect(south), "north", false},
 		{"only invalid names", NewHomes([]Region{""}), "north", false},
 		{"empty list", NewHomes([]Region{}), "north", true},
 	} {
