--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -36,10 +36,10 @@
 	Copies Copies
 	// Sequence is the number of orders it had accepted by then.
 	Sequence uint64
-	// Revision is the revision of the row; zero if not known.
+	// Revision is the revision of the runner's row in the platform's list; zero if not known.
 	Revision uint64
 	// Missing is set if the platform dropped the runner without reporting that it left, at a
-	// time when absence from the list is no proof.
+	// time when absence from the list does not prove that it did.
 	Missing bool
 }
 
@@ -96,7 +96,7 @@
 	Active int
 	// Slowness is as in Workload; zero if not reported.
 	Slowness float64
-	// CacheUsed and CacheTotal are counted in tokens.
+	// CacheUsed and CacheTotal are the used and the total size of its KV cache in tokens.
 	CacheUsed  int
 	CacheTotal int
 }
@@ -139,13 +139,20 @@
 // Verdict is a runner's answer to an order.
 type Verdict uint8
 
-// The verdicts. Lost means that no answer arrived: the order may still be carried out, as long
-// as the runner's sequence number is the expected one.
+// The verdicts.
 const (
+	// Lost means that no usable answer arrived: the order may still be carried out, as long as
+	// the runner's sequence number is the expected one.
 	Lost Verdict = iota
+	// Accepted means that the runner carries out the order.
 	Accepted
+	// AlreadyHeld means that nothing is left to do, as the runner is in the requested state.
 	AlreadyHeld
+	// Conflict means that the runner cannot take the order in its present state, for example
+	// because its sequence number is not the expected one or because it is busy.
 	Conflict
+	// Refused means that the runner does not take the order for another reason, for example
+	// because it is not the one that the order is for.
 	Refused
 	// NotSent means that no byte of the order left this process.
 	NotSent
