--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -69,7 +69,8 @@
 	m.peers[address] = region
 }
 
-// Knows reports whether the region of the peer at an address is known or not needed.
+// Knows reports whether the region of the peer at an address is known, or not needed as this
+// node has no region.
 func (m *Meter) Knows(address string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
