--- a/internal/fleet/cold_test.go
+++ b/internal/fleet/cold_test.go
@@ -161,16 +161,16 @@
 // all.
 func TestPermitIsExpectedInTime(t *testing.T) {
 	f, c := coldFleet(coldFor(listed("r1", "m"), 2*time.Second))
-	in, known := f.PermitIn(coldQuery)
-	assert.Assert(t, known && in < 100*time.Millisecond, in)
+	in, ok := f.PermitIn(coldQuery)
+	assert.Assert(t, ok && in < 100*time.Millisecond, in)
 	f.ApplyPermits([]PermitsLent{{Runner: "r1", Next: 700 * time.Millisecond}, {Runner: "unknown", Count: 3}}, c.now)
 	in, _ = f.PermitIn(coldQuery)
 	assert.Assert(t, in >= 700*time.Millisecond && in < time.Second, in)
 	f.SetOrdersIn("s", time.Minute)
 	in, _ = f.PermitIn(coldQuery)
 	assert.Equal(t, in, 2*time.Second)
-	_, known = f.PermitIn(Query{Service: "s", Unit: backend.Unit{Model: "other"}})
-	assert.Assert(t, !known)
+	_, ok = f.PermitIn(Query{Service: "s", Unit: backend.Unit{Model: "other"}})
+	assert.Assert(t, !ok)
 }
 
 // TestPermitsAreWantedNearFirst checks that as many permits are requested as requests wait,
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -110,7 +110,7 @@
 	assert.Assert(t, ok)
 }
 
-// TestDrainingRunnerGetsNothing checks that no request goes to a runner that says it is
+// TestDrainingRunnerGetsNothing checks that no request goes to a runner that states that it is
 // leaving or to one that an operator drains.
 func TestDrainingRunnerGetsNothing(t *testing.T) {
 	f := New("zone-a", time.Now, drains{"r2": true})
--- a/internal/fleet/incarnations_test.go
+++ b/internal/fleet/incarnations_test.go
@@ -24,13 +24,13 @@
 	old, anew := incarnation(1000, "m"), incarnation(2000)
 	view := View{Runner: old.ID, Ready: []backend.Holding{{Model: "m"}}}
 	for name, late := range map[string]func(*Fleet, Choice){
-		"nothing":        func(*Fleet, Choice) {},
-		"holder's view":  func(f *Fleet, _ Choice) { f.ApplyViews([]View{view}, 0) },
-		"report":         func(f *Fleet, _ Choice) { f.ObserveReport(old.ID, backend.Report{Active: 3}) },
-		"answer":         func(f *Fleet, c Choice) { f.Started(c); f.Done(c, query, Served, time.Second, true) },
-		"broken answer":  func(f *Fleet, c Choice) { f.Done(c, query, Failed, time.Second, false) },
-		"permits":        func(f *Fleet, _ Choice) { f.ApplyPermits([]PermitsLent{{Runner: old.ID, Count: 5}}, f.now()) },
-		"row taken away": func(f *Fleet, _ Choice) { f.Apply(nil, []string{old.ID}, true) },
+		"nothing":       func(*Fleet, Choice) {},
+		"holder's view": func(f *Fleet, _ Choice) { f.ApplyViews([]View{view}, 0) },
+		"report":        func(f *Fleet, _ Choice) { f.ObserveReport(old.ID, backend.Report{Active: 3}) },
+		"answer":        func(f *Fleet, c Choice) { f.Started(c); f.Done(c, query, Served, time.Second, true) },
+		"broken answer": func(f *Fleet, c Choice) { f.Done(c, query, Failed, time.Second, false) },
+		"permits":       func(f *Fleet, _ Choice) { f.ApplyPermits([]PermitsLent{{Runner: old.ID, Count: 5}}, f.now()) },
+		"row removed":   func(f *Fleet, _ Choice) { f.Apply(nil, []string{old.ID}, true) },
 	} {
 		for _, before := range []bool{true, false} {
 			f, _ := testFleet()
--- a/internal/fleet/latency.go
+++ b/internal/fleet/latency.go
@@ -37,8 +37,8 @@
 	if l.isLocal(runner) {
 		return 0
 	}
-	lowest, known := l.lowest[place.Region(runner.Region)]
-	if !known {
+	lowest, ok := l.lowest[place.Region(runner.Region)]
+	if !ok {
 		return assumedExtraLatency
 	}
 	return max(lowest-l.lowest[l.local], 0)
@@ -49,8 +49,8 @@
 	if l.lowest == nil {
 		l.lowest = make(map[place.Region]time.Duration)
 	}
-	lowest, known := l.lowest[region]
-	if !known || took < lowest {
+	lowest, ok := l.lowest[region]
+	if !ok || took < lowest {
 		l.lowest[region] = took
 		return
 	}
--- a/internal/fleet/obstacles.go
+++ b/internal/fleet/obstacles.go
@@ -133,7 +133,7 @@
 		return f.findObstacles(query)
 	}
 	key := requestKey{service: query.Service, unit: query.Unit, homes: query.Homes}
-	if found, known := f.obstacles[key]; known && f.now().Sub(found.at) < obstaclesLifetime {
+	if found, ok := f.obstacles[key]; ok && f.now().Sub(found.at) < obstaclesLifetime {
 		return found.obstacles
 	}
 	if len(f.obstacles) >= maxCachedObstacles {
--- a/internal/fleet/permits.go
+++ b/internal/fleet/permits.go
@@ -41,8 +41,8 @@
 
 // lends reports whether a lease holder lends permits for a service. mutex must be held.
 func (f *Fleet) lends(service string) bool {
-	seenAt, known := f.lenderSeenAt[service]
-	return known && f.now().Sub(seenAt) < lenderLifetime
+	seenAt, ok := f.lenderSeenAt[service]
+	return ok && f.now().Sub(seenAt) < lenderLifetime
 }
 
 // limited reports whether a limit that the runner stated is in force. mutex must be held.
--- a/internal/fleet/retention_test.go
+++ b/internal/fleet/retention_test.go
@@ -170,17 +170,17 @@
 				name = "bounded"
 			}
 			b.Run(fmt.Sprintf("%s-%d", name, size), func(b *testing.B) {
-				var held float64
+				var used float64
 				for b.Loop() {
 					before := heapInUse()
 					f := New("zone-0", time.Now, noRules{})
 					f.SetBound("node", bound)
 					f.Replace(largeList(size), false)
-					held = heapInUse() - before
+					used = heapInUse() - before
 					runtime.KeepAlive(f)
 				}
-				b.ReportMetric(held, "B/node")
-				b.ReportMetric(held/float64(size), "B/runner")
+				b.ReportMetric(used, "B/node")
+				b.ReportMetric(used/float64(size), "B/runner")
 			})
 		}
 	}
@@ -206,18 +206,18 @@
 		f := boundedFleet("node")
 		f.SetListRevision(c.own)
 		f.Replace(list, false)
-		var passed backend.Runner
+		var skipped backend.Runner
 		for _, runner := range list {
 			if !f.Known(runner.ID) {
-				passed = runner
+				skipped = runner
 			}
 		}
-		passed.Models = []backend.Holding{{Model: "new"}}
-		f.ApplyViews([]View{{Runner: passed.ID, Listed: &passed, Ready: passed.Models}}, c.holder)
+		skipped.Models = []backend.Holding{{Model: "new"}}
+		f.ApplyViews([]View{{Runner: skipped.ID, Listed: &skipped, Ready: skipped.Models}}, c.holder)
 		choice, ok := f.Choose(Query{Service: "s", Unit: backend.Unit{Model: "new"}})
 		assert.Equal(t, ok, c.known, "list of the holder at %d, of the node at %d", c.holder, c.own)
 		if ok {
-			assert.Equal(t, choice.Runner.Address, passed.Address)
+			assert.Equal(t, choice.Runner.Address, skipped.Address)
 		}
 	}
 }
--- a/internal/fleet/statements_test.go
+++ b/internal/fleet/statements_test.go
@@ -47,8 +47,8 @@
 var statedQuery = Query{Service: "s", Unit: backend.Unit{Model: "m"}}
 
 // TestRunnerThatSaysItLeavesGetsNothing checks that a runner which stated in an answer that it
-// is leaving gets no requests and no load queries, even if its row still says that it is ready
-// or is listed again.
+// is leaving gets no requests and no load queries, even if its row still reports that it is
+// ready or is listed again.
 func TestRunnerThatSaysItLeavesGetsNothing(t *testing.T) {
 	f, registry, c := statedFleet("r1", "r2", "r3")
 	before, ok := f.Choose(statedQuery)
