--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -46,14 +46,14 @@
 			demand.Waiting = 1
 		}
 		state.Demand[adapter] = demand
-		whole := state.Demand[backend.Unit{Model: model}]
-		if whole == nil {
-			whole = &Demand{LastUse: testNow}
-			state.Demand[backend.Unit{Model: model}] = whole
+		total := state.Demand[backend.Unit{Model: model}]
+		if total == nil {
+			total = &Demand{LastUse: testNow}
+			state.Demand[backend.Unit{Model: model}] = total
 		}
-		whole.Rate += demand.Rate
-		whole.Work += demand.Work
-		whole.Waiting += demand.Waiting
+		total.Rate += demand.Rate
+		total.Work += demand.Work
+		total.Waiting += demand.Waiting
 	}
 	return state
 }
--- a/internal/scheduler/homes_test.go
+++ b/internal/scheduler/homes_test.go
@@ -75,7 +75,7 @@
 }
 
 // TestNoMemoryInHomes checks that requests with homes cause no load elsewhere when no runner
-// in their homes has room, while requests without homes are still served.
+// in their homes has memory for it, while requests without homes are still served.
 func TestNoMemoryInHomes(t *testing.T) {
 	state := regionState(4, 1)
 	state.Runners[2].Drained, state.Runners[3].Silent = true, true
