--- a/internal/orders/silent_test.go
+++ b/internal/orders/silent_test.go
@@ -28,7 +28,7 @@
 	assert.Assert(t, ledger.Models()["m"] != nil, "the models of a silent runner stay in the ledger")
 	now = now.Add(time.Second)
 	assert.Assert(t, ledger.WantsReport(now))
-	assert.Assert(t, ledger.Reported(backend.Report{Models: []backend.Holding{{Model: "m"}}}, now, now), "nodes must be told that the runner is back")
+	assert.Assert(t, ledger.Reported(backend.Report{Models: []backend.Holding{{Model: "m"}}}, now, now), "the change must be reported to the nodes")
 	assert.Assert(t, !ledger.Silent())
 	assert.Assert(t, ledger.MayOrder(backend.Unit{Model: "n"}, now))
 }
