--- a/internal/fleet/retention_test.go
+++ b/internal/fleet/retention_test.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestSmallFleetIsKeptWhole checks that a node skips no runner while there are few, not even a
-// draining one.
-func TestSmallFleetIsKeptWhole(t *testing.T) {
+// TestSmallFleetIsTrackedCompletely checks that a node skips no runner while there are few, not
+// even a draining one.
+func TestSmallFleetIsTrackedCompletely(t *testing.T) {
 	f := boundedFleet("node")
 	list := largeList(DefaultBound.Runners)
 	list[7].Draining = true
@@ -108,10 +108,10 @@
 	assert.Assert(t, f.Complete())
 }
 
-// TestHolderKeepsAll checks that a node that controls a service tracks all runners once the
-// list was read again. When it stops controlling, it drops those that it does not need, except
-// runners in use.
-func TestHolderKeepsAll(t *testing.T) {
+// TestLeaseHolderTracksAll checks that a node that controls a service tracks all runners once
+// the list was read again. When it stops controlling, it drops those that it does not need,
+// except runners in use.
+func TestLeaseHolderTracksAll(t *testing.T) {
 	const size = 5000
 	f := boundedFleet("node")
 	f.Replace(largeList(size), false)
@@ -170,17 +170,17 @@
 				name = "bounded"
 			}
 			b.Run(fmt.Sprintf("%s-%d", name, size), func(b *testing.B) {
-				var held float64
+				var used float64
 				for b.Loop() {
 					before := heapInUse()
 					f := New("zone-0", time.Now, noRules{})
 					f.SetBound("node", bound)
 					f.Replace(largeList(size), false)
-					held = heapInUse() - before
+					used = heapInUse() - before
 					runtime.KeepAlive(f)
 				}
-				b.ReportMetric(held, "B/node")
-				b.ReportMetric(held/float64(size), "B/runner")
+				b.ReportMetric(used, "B/node")
+				b.ReportMetric(used/float64(size), "B/runner")
 			})
 		}
 	}
@@ -195,7 +195,7 @@
 }
 
 // TestHolderTellsOfPassedOverRunner checks that a skipped runner is used as soon as the
-// control holder sends its list entry, unless the node's own list is newer than the holder's:
+// lease holder sends its list entry, unless the node's own list is newer than the holder's:
 // the runner may have left since.
 func TestHolderTellsOfPassedOverRunner(t *testing.T) {
 	list := largeList(10_000)
@@ -206,18 +206,18 @@
 		f := boundedFleet("node")
 		f.SetListRevision(c.own)
 		f.Replace(list, false)
-		var passed backend.Runner
+		var skipped backend.Runner
 		for _, runner := range list {
 			if !f.Known(runner.ID) {
-				passed = runner
+				skipped = runner
 			}
 		}
-		passed.Models = []backend.Holding{{Model: "new"}}
-		f.ApplyViews([]View{{Runner: passed.ID, Listed: &passed, Ready: passed.Models}}, c.holder)
+		skipped.Models = []backend.Holding{{Model: "new"}}
+		f.ApplyViews([]View{{Runner: skipped.ID, Listed: &skipped, Ready: skipped.Models}}, c.holder)
 		choice, ok := f.Choose(Query{Service: "s", Unit: backend.Unit{Model: "new"}})
 		assert.Equal(t, ok, c.known, "list of the holder at %d, of the node at %d", c.holder, c.own)
 		if ok {
-			assert.Equal(t, choice.Runner.Address, passed.Address)
+			assert.Equal(t, choice.Runner.Address, skipped.Address)
 		}
 	}
 }
