--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -34,18 +34,18 @@
 	Settled bool `json:"settled,omitempty"`
 	// Released is set when the holder has given up the lease and no longer acts.
 	Released bool `json:"released,omitempty"`
-	// QuietMs is the time since anyone last acted, measured when the holder released the
-	// lease. It is negative while an earlier holder may still have been acting.
+	// QuietMs is the time in milliseconds since any node last acted, measured when the holder
+	// released the lease. It is negative if an earlier holder could still act then.
 	QuietMs int64 `json:"quietMs,omitempty"`
-	// GapLeftMs is how much of the turn gap after the previous holder remains; zero once the
-	// holder is settled.
+	// GapLeftMs is the rest of the turn gap after the previous holder, in milliseconds; zero
+	// once the holder is settled.
 	GapLeftMs int64 `json:"gapLeftMs,omitempty"`
-	// Nodes is how many nodes contend for the lease, as far as the holder knows. A starting
-	// node learns the number from here.
+	// Nodes is the number of nodes that contend for the lease, as far as the holder knows. A
+	// starting node learns the number from here.
 	Nodes int `json:"nodes,omitempty"`
 }
 
-// Options configures a Lessor.
+// Options configures an Elector.
 type Options struct {
 	// Validity is how long the holder may act after it sent a renewal.
 	Validity time.Duration
@@ -62,8 +62,8 @@
 	// TakeoverDelay is how much longer than others this node waits before it takes a free
 	// lease, so that nodes with more spare capacity take it first. Nil means no delay.
 	TakeoverDelay func() time.Duration
-	// Heard reports whether the holder was recently heard from by other means, in which case
-	// the row need not be read. If nil, the row is always read.
+	// Heard reports whether this node recently received an answer from the holder by other
+	// means, in which case the row need not be read. If nil, the row is always read.
 	Heard func() bool
 	// ReadStoreOnce makes this process read the row from the store once, whatever Heard and
 	// ReadFromPeer say: its node may have held the lease when the previous process ended, and
@@ -76,8 +76,9 @@
 	// a stale answer of the store, and a node that only reads from peers never takes the
 	// lease.
 	ReadFromPeer func(ctx context.Context) (value []byte, revision uint64, ok bool)
-	// Nodes returns how many nodes contend for the lease, as far as is known; nil means few.
-	// The more there are, the less often each reads the row of a store that does not answer.
+	// Nodes returns the number of nodes that contend for the lease, as far as is known; nil
+	// means few. The more there are, the less often each reads the row of a store that does not
+	// answer.
 	Nodes func() int
 	// Regained is called when the store answers again after a failed call; it may be nil.
 	Regained func()
@@ -126,7 +127,7 @@
 	retryNow chan struct{}
 }
 
-// New returns a Lessor for a node. process distinguishes this process from earlier ones of
+// New returns an Elector for a node. process distinguishes this process from earlier ones of
 // the same node.
 func New(rows table.Table, key, node, address, process string, options Options, log logr.Logger) *Elector {
 	if options.Now == nil {
@@ -209,6 +210,8 @@
 	return l.options.Nodes()
 }
 
+// mayAct reports whether this process holds the lease, its validity outlasts the act margin,
+// and the turn gap after the previous holder has passed. The caller holds mutex.
 func (l *Elector) mayAct() bool {
 	now := l.options.Now()
 	return l.held && !l.stopped && !l.yielded() && now.Add(l.options.ActMargin).Before(l.validUntil) && !now.Before(l.actsFrom)
@@ -249,8 +252,8 @@
 	return l.applyRow(row.Value, row.Revision)
 }
 
-// applyRow takes over a record that was read. It ignores records older than the newest
-// known one.
+// applyRow records a row that was read. It ignores rows that are no newer than the known
+// one, and returns an error if the value cannot be decoded.
 func (l *Elector) applyRow(value []byte, revision uint64) error {
 	var record Record
 	if revision != 0 {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -27,7 +27,8 @@
 	rows     []table.Row
 	revision uint64
 	late     []table.Transaction
-	// next is the fate of the next write: "", "lost", "late" or "refused".
+	// next is the outcome of the next write: "" (written), "lost" (written, but the answer is
+	// lost), "late" (written later) or "refused".
 	next string
 	// behind is how many writes a read lags behind; down makes all calls fail.
 	behind int
@@ -94,7 +95,7 @@
 	now     time.Time
 	nodes   []*Elector
 	started int
-	// lastBy and lastAt are the node and time of the last act.
+	// lastBy and lastAt are the node and the time of the last act.
 	lastBy string
 	lastAt time.Time
 	// statuses holds the statuses sent by holders, for delivery to other nodes.
--- a/internal/lease/peer_test.go
+++ b/internal/lease/peer_test.go
@@ -39,7 +39,7 @@
 	return &oneRow{row: table.Row{Value: value, Revision: 40}}
 }
 
-// newPeerReader returns a Lessor that can read the row from a peer.
+// newPeerReader returns an Elector that can read the row from a peer.
 func newPeerReader(store *oneRow, first bool) *Elector {
 	return New(store, "lease", "self", "10.0.0.1:1", "now", Options{
 		Validity: 2 * time.Second, Interval: 500 * time.Millisecond, TurnGap: 3 * time.Second, CallTimeout: time.Second, ReadStoreOnce: first,
@@ -63,7 +63,7 @@
 	store.row.Value = []byte("{}")
 	store.row.Revision++
 	l.step(t.Context())
-	assert.Equal(t, store.calls, 0, "a free row that was told is not taken")
+	assert.Equal(t, store.calls, 0, "a free row that was read from a peer is not taken")
 	assert.Assert(t, !l.Holds())
 }
 
--- a/internal/lease/run.go
+++ b/internal/lease/run.go
@@ -99,6 +99,8 @@
 	}
 }
 
+// step renews the lease if this process holds it. Otherwise it finds out who does, and takes
+// the lease if it is free.
 func (l *Elector) step(ctx context.Context) {
 	if l.Holds() {
 		l.renew(ctx)
@@ -119,7 +121,7 @@
 }
 
 // learnsFromOthers reports whether the row need not be read from the store now, because
-// this process hears from the holder or reads the row from a peer.
+// this node recently received an answer from the holder or reads the row from a peer.
 func (l *Elector) learnsFromOthers(ctx context.Context) bool {
 	if l.options.ReadStoreOnce && !l.readStore {
 		return false
@@ -147,7 +149,8 @@
 	return true
 }
 
-// Row returns the row as this process knows it. A revision of zero means there is none.
+// Row returns the newest row that this process knows, encoded as in the store. A revision of
+// zero means that it knows none.
 func (l *Elector) Row() (value []byte, revision uint64, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -179,6 +182,8 @@
 	l.log.Info("lease taken", "token", record.Token, "revision", revision, "actsInMs", max(actsFrom.Sub(l.options.Now()), 0).Milliseconds())
 }
 
+// writeRow writes the record if the row still has the expected revision. It returns the new
+// revision and the time right before the write was sent.
 func (l *Elector) writeRow(ctx context.Context, record Record, expected uint64) (uint64, time.Time, error) {
 	value, err := json.Marshal(record)
 	if err != nil {
@@ -194,6 +199,8 @@
 	return revision, sent, err
 }
 
+// setHeld records that the store confirmed a record of this process that was sent at the
+// given time.
 func (l *Elector) setHeld(record Record, revision uint64, sent, actsFrom time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -255,6 +262,8 @@
 	}
 }
 
+// logStoreChange logs when the store begins to fail or answers again, by the result of a
+// call to it, and calls Regained in the second case.
 func (l *Elector) logStoreChange(err error) {
 	if !l.setStoreLost(err != nil) {
 		return
--- a/internal/lease/status.go
+++ b/internal/lease/status.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// HolderStatus is what a holder tells the other nodes about its lease directly, in addition
-// to the row, so that they wait no longer than necessary when the lease is lost.
+// HolderStatus describes a lease. Its holder sends it to the other nodes directly, in
+// addition to the row, so that they wait no longer than necessary when the lease is lost.
 type HolderStatus struct {
 	// Token identifies the lease that the status is about.
 	Token uint64
@@ -12,15 +12,15 @@
 	// Yielded is set when the holder no longer acts under Token because its last renewal
 	// expired. It continues only under a new token, and only if no other node took the lease.
 	Yielded bool
-	// Quiet is the time since anyone last acted, measured when the holder yielded.
+	// Quiet is the time since any node last acted, measured when the holder yielded.
 	Quiet time.Duration
 }
 
-// observedStatus is what a node learned about the newest lease from its holder's statuses.
+// observedStatus combines the statuses that a node received about the newest lease.
 type observedStatus struct {
 	token   uint64
 	renewal uint64
-	// renewalAt is when the renewal was first learned of; it was sent before that.
+	// renewalAt is when a status first named the renewal; the renewal was sent before that.
 	renewalAt time.Time
 	// yielded is set when the holder announced that it no longer acts. yieldedAt is when the
 	// announcement arrived; quietSince is the latest time at which the holder can have acted.
@@ -53,7 +53,8 @@
 // record's token. The caller holds mutex.
 func (l *Elector) yielded() bool { return l.yieldedToken != 0 && l.yieldedToken == l.latest.Token }
 
-// ApplyStatus takes over a status received from a holder.
+// ApplyStatus records a status received from a holder. It ignores statuses of leases older
+// than the newest one known.
 func (l *Elector) ApplyStatus(status HolderStatus) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -79,7 +80,7 @@
 }
 
 // knownSince returns the earliest time by which a record just read is known to have been
-// written: when its renewal was learned of, else now.
+// written: when a status first named its renewal, else now.
 func (l *Elector) knownSince(record Record) time.Time {
 	now := l.options.Now()
 	if record.Token == l.observed.token && record.Renewal == l.observed.renewal && !l.observed.renewalAt.IsZero() {
@@ -88,8 +89,8 @@
 	return now
 }
 
-// yieldGrace is how long other nodes leave a yielded lease to its holder, whose store may
-// merely have been slow.
+// yieldGrace is the time for which other nodes leave a yielded lease to its holder, whose
+// store may merely have been slow.
 const yieldGrace = 300 * time.Millisecond
 
 // holderYielded reports whether the holder of the newest record announced that it no longer
