--- a/internal/control/changes_test.go
+++ b/internal/control/changes_test.go
@@ -115,9 +115,9 @@
 	for _, id := range []string{"r1", "r2", "r1"} {
 		c.publishLedger(c.ledgers[id])
 	}
-	told := c.changedSince(1, now)
-	assert.Equal(t, len(told), 2)
-	assert.Equal(t, told[0].Runner.ID, "r1")
+	changed := c.changedSince(1, now)
+	assert.Equal(t, len(changed), 2)
+	assert.Equal(t, changed[0].Runner.ID, "r1")
 	assert.Equal(t, len(c.changedSince(c.version, now)), 0)
 	assert.Equal(t, len(c.changedSince(1, now.Add(2*changeLifetime))), 0)
 	c.recordChange("r3", now.Add(2*changeLifetime))
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -65,6 +65,7 @@
 type Options struct {
 	Service string
 	Node    string
+	// Lessor competes for the service's control lease.
 	Lessor  *lease.Elector
 	Runners backend.Control
 	Fleet   *fleet.Fleet
@@ -101,11 +102,12 @@
 	Log            logr.Logger
 }
 
-// Stated holds what runners stated in answers, as far as one node knows it: that they are
-// leaving, until the platform's list says so, and their limits. Nodes exchange this
-// information by way of the holder.
+// Stated gives access to what runners stated in answers and this node knows: that they are
+// leaving, until the platform's list says so, and their limits. Nodes exchange these
+// statements by way of the holder.
 type Stated interface {
-	// Own returns what runners told this node; All also includes what other nodes passed on.
+	// Own returns what this node itself read from answers; All also includes what other nodes
+	// passed on.
 	Own() ([]wire.RunnerLeaving, []wire.RunnerLimit)
 	All() ([]wire.RunnerLeaving, []wire.RunnerLimit)
 	// Learn records what another node passed on.
@@ -147,11 +149,11 @@
 	// lender keeps track of the permits for cold runners.
 	lender  *coldstart.Lender
 	limiter *rate.Limiter
-	// ends counts the runners that ended while they loaded a model; knownEnds is what an
-	// earlier holder counted.
-	ends      *orders.LoadCrashes
-	knownEnds []orders.ModelCrashes
-	// pausedModels are the models whose callers are told that loading them is paused.
+	// loadCrashes counts the runners that ended while they loaded a model; knownLoadCrashes is
+	// what an earlier holder counted.
+	loadCrashes      *orders.LoadCrashes
+	knownLoadCrashes []orders.ModelCrashes
+	// pausedModels are the models with demand that no runner holds and whose loads are paused.
 	pausedModels map[string]bool
 	// store tracks the loads from the weight store and storeLoads lists them by runner;
 	// knownStore is what an earlier holder learned.
@@ -172,7 +174,7 @@
 func NewController(options Options) *Controller {
 	options.Log = options.Log.WithValues("service", options.Service)
 	return &Controller{Options: options, trigger: make(chan struct{}, 1), urgency: make(chan struct{}, 1), modelVersions: make(map[string]uint64), demand: newDemandTracker(),
-		changed: make(chan struct{}), urgent: make(chan struct{}), reportSignals: make(map[string]chan struct{}), ends: orders.NewLoadCrashes(nil)}
+		changed: make(chan struct{}), urgent: make(chan struct{}), reportSignals: make(map[string]chan struct{}), loadCrashes: orders.NewLoadCrashes(nil)}
 }
 
 // Run plans and sends orders whenever the node holds the lease, until ctx is done.
@@ -257,7 +259,8 @@
 	return configuration.Services[c.Service].Engine
 }
 
-// tick updates the ledgers and carries out one plan. It reports whether the round was idle.
+// tick updates the ledgers, makes a plan and sends its orders. It reports whether the round
+// was idle.
 func (c *Controller) tick(ctx context.Context, engine *config.Engine) (idle bool) {
 	select {
 	case <-c.urgency:
@@ -323,7 +326,7 @@
 	if !c.Lessor.Holds() {
 		if c.token != 0 {
 			c.knownStore = c.store.Estimate()
-			c.knownEnds = c.ends.Known()
+			c.knownLoadCrashes = c.loadCrashes.Known()
 			c.setListNeeded(false)
 			c.Log.Info("control ended", "token", c.token)
 		}
@@ -352,7 +355,7 @@
 	c.lender = coldstart.NewLender(time.Now())
 	c.store = weightstore.New(c.knownStore)
 	c.storeLoads = make(map[string]storeLoad)
-	c.ends = orders.NewLoadCrashes(c.knownEnds)
+	c.loadCrashes = orders.NewLoadCrashes(c.knownLoadCrashes)
 	// The new holder does not know when the previous one began its last loads, so it starts
 	// without any burst.
 	c.limiter = rate.NewLimiter(rate.Limit(engine.LoadsPerSecond), loadBurst)
@@ -362,6 +365,7 @@
 	return true
 }
 
+// setListNeeded passes on whether this node needs the platform's whole runner list.
 func (c *Controller) setListNeeded(needed bool) {
 	if c.NeedList != nil {
 		c.NeedList(needed)
--- a/internal/control/demand.go
+++ b/internal/control/demand.go
@@ -40,7 +40,7 @@
 	lastSummary nodeSummary
 }
 
-// nodeSummary is what each node is told about all nodes.
+// nodeSummary summarizes the nodes that reported recently. Each response contains it.
 type nodeSummary struct {
 	at time.Time
 	// count is how many nodes reported recently.
@@ -134,8 +134,8 @@
 	u.running = kept*u.running + (1-kept)*float64(count)
 }
 
-// work returns how many runners' worth of work the requests make up: in time to read
-// prompts, and in slots.
+// work returns the work of the requests as a number of fully used runners: the fraction of a
+// runner's time that reading their prompts takes, plus the fraction of its slots that they use.
 func (u *unitUse) work(slots int) float64 {
 	return perSecond(u.tokens)/tokensPerSecond + u.running/float64(max(slots, 1))
 }
--- a/internal/control/describe.go
+++ b/internal/control/describe.go
@@ -53,7 +53,7 @@
 	return set
 }
 
-// viewOf converts a runner's ledger to what nodes are told about the runner.
+// viewOf converts a runner's ledger to the view of the runner that is sent to nodes.
 func viewOf(id string, ledger *orders.Ledger, now time.Time) wire.RunnerView {
 	view := wire.RunnerView{Runner: id, Silent: ledger.Silent()}
 	for name, model := range ledger.Models() {
@@ -70,8 +70,8 @@
 				continue
 			}
 			if state.Loading {
-				coming := wire.PendingUnit{Model: name, Adapter: adapter, InMs: max(state.Due.Sub(now), 0).Milliseconds()}
-				view.Pending = append(view.Pending, coming)
+				pending := wire.PendingUnit{Model: name, Adapter: adapter, InMs: max(state.Due.Sub(now), 0).Milliseconds()}
+				view.Pending = append(view.Pending, pending)
 				continue
 			}
 			held.Adapters = append(held.Adapters, adapter)
--- a/internal/control/lend.go
+++ b/internal/control/lend.go
@@ -40,7 +40,7 @@
 }
 
 // termsFor returns the terms under which a runner gets requests: the lowest of the rates
-// that the asking node and this node heard from it and, if it is cold, the cold rate.
+// that it stated to the asking node and to this node and, if it is cold, the cold rate.
 // hasLimit is false if there is no limit.
 func (c *Controller) termsFor(wanted wire.PermitsWanted, cold coldstart.Terms) (terms coldstart.Terms, hasLimit bool) {
 	rate := wanted.Rate
--- a/internal/control/listed.go
+++ b/internal/control/listed.go
@@ -10,12 +10,11 @@
 
 // With hundreds of nodes, each knows only some of the runners (fleet.Bound). A model that
 // its requests wait for may be held by other runners, or may just have been loaded there.
-// The holder tells the node which runners these are and what the platform's list says about
-// them.
+// The holder sends the node these runners and what the platform's list says about them.
 
-// maxHoldersTold is how many runners that hold a model are named to a node that waits for
-// it. With fewer, all nodes that wait for the same model would send to the same runner.
-const maxHoldersTold = 8
+// maxHoldersSent is how many runners that hold a model are sent to a node that waits for it.
+// With fewer, all nodes that wait for the same model would send requests to the same runner.
+const maxHoldersSent = 8
 
 // waitingModels returns the models that requests of a node wait for; none if the node knows
 // all runners. The caller holds mutex.
@@ -39,35 +38,36 @@
 	}
 	// Read before the list, so that the list is at least as new as this revision.
 	response.ListRevision = c.ListRevision()
-	told := make(map[string]int)
+	holders := make(map[string]int)
 	included := make(map[string]bool)
 	for i := range response.Runners {
 		view := &response.Runners[i]
 		included[view.Runner] = true
 		if holdsOrLoads(view, models) {
 			view.Listed = c.listedRunner(view.Runner)
-			countHeld(told, view)
+			countHeld(holders, view)
 		}
 	}
 	for id, ledger := range c.ledgers {
-		if included[id] || !c.shouldTell(ledger, models, told) {
+		if included[id] || !c.shouldSend(ledger, models, holders) {
 			continue
 		}
 		view := viewOf(id, ledger, now)
 		view.Listed = c.listedRunner(id)
-		countHeld(told, &view)
+		countHeld(holders, &view)
 		response.Runners = append(response.Runners, view)
 	}
 }
 
-// shouldTell reports whether a node that waits for the models should be told about a runner
-// that holds one of them. The caller holds mutex.
-func (c *Controller) shouldTell(ledger *orders.Ledger, models map[string]bool, told map[string]int) bool {
+// shouldSend reports whether a runner is sent to a node that waits for the models: whether it
+// holds one of them and not enough holders of that model are included yet. The caller holds
+// mutex.
+func (c *Controller) shouldSend(ledger *orders.Ledger, models map[string]bool, holders map[string]int) bool {
 	if !ledger.Known() || ledger.Silent() {
 		return false
 	}
 	for name, model := range ledger.Models() {
-		if models[name] && !model.Loading && !model.Unloading && told[name] < maxHoldersTold {
+		if models[name] && !model.Loading && !model.Unloading && holders[name] < maxHoldersSent {
 			return c.listedRunner(ledger.Runner.ID) != nil
 		}
 	}
@@ -81,18 +81,18 @@
 			return true
 		}
 	}
-	for _, coming := range view.Pending {
-		if models[coming.Model] {
+	for _, pending := range view.Pending {
+		if models[pending.Model] {
 			return true
 		}
 	}
 	return false
 }
 
-// countHeld counts a runner for each model that it holds.
-func countHeld(told map[string]int, view *wire.RunnerView) {
+// countHeld adds a runner to the number of holders of each model that it holds.
+func countHeld(holders map[string]int, view *wire.RunnerView) {
 	for _, held := range view.Ready {
-		told[held.Model]++
+		holders[held.Model]++
 	}
 }
 
--- a/internal/control/listed_test.go
+++ b/internal/control/listed_test.go
@@ -43,23 +43,23 @@
 }
 
 // TestWaitingNodeIsToldWhereItsModelIs checks that a node that knows only some runners and
-// waits for a model is told about a few runners that hold it and their addresses. A node
-// that knows all runners, or does not wait, is told nothing about unchanged runners.
+// waits for a model is sent a few runners that hold it, with their addresses. A node that
+// knows all runners, or does not wait, is sent no unchanged runners.
 func TestWaitingNodeIsToldWhereItsModelIs(t *testing.T) {
 	c := newHolder(2000)
 	waiting := []wire.UnitWaiting{{Model: "rare", Count: 1}}
 	for _, test := range []struct {
 		name    string
 		request wire.SyncRequest
-		told    int
+		sent    int
 	}{
-		{"waits, knows some", wire.SyncRequest{Node: "n", Report: true, Token: 1, Version: 1, Partial: true, Waiting: waiting}, maxHoldersTold},
+		{"waits, knows some", wire.SyncRequest{Node: "n", Report: true, Token: 1, Version: 1, Partial: true, Waiting: waiting}, maxHoldersSent},
 		{"waits, knows all", wire.SyncRequest{Node: "n", Report: true, Token: 1, Version: 1, Waiting: waiting}, 0},
 		{"does not wait", wire.SyncRequest{Node: "n", Report: true, Token: 1, Version: 1, Partial: true}, 0},
 	} {
 		c.demand.addReport(test.request, time.Now())
 		response := c.buildResponse(test.request)
-		assert.Equal(t, len(response.Runners), test.told, test.name)
+		assert.Equal(t, len(response.Runners), test.sent, test.name)
 		for _, view := range response.Runners {
 			assert.Equal(t, view.Ready[0].Model, "rare", test.name)
 			listed, _ := c.Fleet.Find(view.Runner)
@@ -69,7 +69,7 @@
 	}
 }
 
-// TestLoadForWaitingNodeNamesTheRunner checks that a node that waits for a model is told
+// TestLoadForWaitingNodeNamesTheRunner checks that a node that waits for a model is sent
 // the address of the runner that loads it, so that it can send requests there at once.
 func TestLoadForWaitingNodeNamesTheRunner(t *testing.T) {
 	c := newHolder(10)
--- a/internal/control/loadends.go
+++ b/internal/control/loadcrashes.go
@@ -14,10 +14,10 @@
 // caller holds mutex.
 func (c *Controller) recordEnd(ledger *orders.Ledger, now time.Time) {
 	// Include orders sent since the last round.
-	c.ends.Follow(ledger)
+	c.loadCrashes.Follow(ledger)
 	planned := c.eligible(ledger, eligible.Load{Service: c.Service}) == eligible.Draining
-	for _, model := range c.ends.RunnerEnded(ledger.Runner.ID, planned, now) {
-		until := c.ends.Paused(now)[model]
+	for _, model := range c.loadCrashes.RunnerEnded(ledger.Runner.ID, planned, now) {
+		until := c.loadCrashes.Paused(now)[model]
 		c.Log.Info("runner ended as it loaded a model", "runner", ledger.Runner.ID, "model", model, "pausedMs", max(until.Sub(now), 0).Milliseconds())
 		if !until.IsZero() {
 			c.RecordDecision("model/"+c.objectName(model), "pause loads", "runners ended as they loaded it, the last was "+ledger.Runner.Name())
@@ -25,28 +25,29 @@
 	}
 }
 
-// loadEnds returns the counts that the next holder continues from. The caller holds mutex.
-func (c *Controller) loadEnds(now time.Time) []wire.ModelCrashes {
-	var ends []wire.ModelCrashes
-	for _, known := range c.ends.Known() {
-		ends = append(ends, wire.ModelCrashes{Model: known.Model, Count: known.Count, PauseMs: max(known.Until.Sub(now), 0).Milliseconds()})
+// loadCrashCounts returns the counts that the next holder continues from. The caller holds
+// mutex.
+func (c *Controller) loadCrashCounts(now time.Time) []wire.ModelCrashes {
+	var counts []wire.ModelCrashes
+	for _, known := range c.loadCrashes.Known() {
+		counts = append(counts, wire.ModelCrashes{Model: known.Model, Count: known.Count, PauseMs: max(known.Until.Sub(now), 0).Milliseconds()})
 	}
-	return ends
+	return counts
 }
 
-// LearnLoadEnds records what the holder knows about runners that ended while they loaded
+// LearnLoadCrashes records what the holder knows about runners that ended while they loaded
 // models, so that this node can continue from there if it becomes the holder.
-func (c *Controller) LearnLoadEnds(told []wire.ModelCrashes) {
+func (c *Controller) LearnLoadCrashes(counts []wire.ModelCrashes) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.token != 0 {
 		return
 	}
 	now := time.Now()
-	c.knownEnds = c.knownEnds[:0]
-	for _, one := range told {
+	c.knownLoadCrashes = c.knownLoadCrashes[:0]
+	for _, one := range counts {
 		pause := min(max(time.Duration(one.PauseMs)*time.Millisecond, 0), orders.LongestLoadPause)
-		c.knownEnds = append(c.knownEnds, orders.ModelCrashes{Model: one.Model, Count: max(one.Count, 0), Until: now.Add(pause)})
+		c.knownLoadCrashes = append(c.knownLoadCrashes, orders.ModelCrashes{Model: one.Model, Count: max(one.Count, 0), Until: now.Add(pause)})
 	}
 }
 
--- a/internal/control/ordering.go
+++ b/internal/control/ordering.go
@@ -73,6 +73,8 @@
 	c.Wake()
 }
 
+// sendOrder sends one order and records its outcome. It reports whether the runner accepted
+// the order or answered AlreadyHeld.
 func (c *Controller) sendOrder(ctx context.Context, token uint64, ledger *orders.Ledger, order backend.Order, step scheduler.Step) bool {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
--- a/internal/control/parts.go
+++ b/internal/control/parts.go
@@ -43,14 +43,14 @@
 
 // compareWants orders by unit and homes, those without homes last.
 func compareWants(a, b scheduler.Want) int {
-	bound := 0
+	restrictedFirst := 0
 	if a.Homes.Restricted() != b.Homes.Restricted() {
-		bound = 1
+		restrictedFirst = 1
 		if a.Homes.Restricted() {
-			bound = -1
+			restrictedFirst = -1
 		}
 	}
-	return cmp.Or(cmp.Compare(a.Unit.String(), b.Unit.String()), bound, cmp.Compare(a.Homes.String(), b.Homes.String()))
+	return cmp.Or(cmp.Compare(a.Unit.String(), b.Unit.String()), restrictedFirst, cmp.Compare(a.Homes.String(), b.Homes.String()))
 }
 
 // waitingParts sums up the waiting requests by unit and homes.
@@ -90,24 +90,24 @@
 
 // addUseWithoutHomes assigns the rest of each unit's use to the requests without homes.
 func (d *demandTracker) addUseWithoutHomes(demands map[scheduler.Want]*scheduler.Demand, units map[backend.Unit]*scheduler.Demand) {
-	taken := make(map[backend.Unit]scheduler.Demand)
+	sums := make(map[backend.Unit]scheduler.Demand)
 	for want, demand := range demands {
 		if !want.Homes.Restricted() {
 			continue
 		}
-		sum := taken[want.Unit]
+		sum := sums[want.Unit]
 		sum.Rate += demand.Rate
 		sum.Work += demand.Work
-		taken[want.Unit] = sum
+		sums[want.Unit] = sum
 	}
-	for unit, bound := range taken {
-		free := scheduler.Want{Unit: unit}
-		if demands[free] == nil {
-			demands[free] = &scheduler.Demand{}
+	for unit, restricted := range sums {
+		unrestricted := scheduler.Want{Unit: unit}
+		if demands[unrestricted] == nil {
+			demands[unrestricted] = &scheduler.Demand{}
 		}
-		demand, all := demands[free], units[unit]
-		if rest := all.Rate - bound.Rate; rest > minShare*all.Rate {
-			demand.Rate, demand.Work, demand.LastUse = rest, max(all.Work-bound.Work, 0), all.LastUse
+		demand, all := demands[unrestricted], units[unit]
+		if rest := all.Rate - restricted.Rate; rest > minShare*all.Rate {
+			demand.Rate, demand.Work, demand.LastUse = rest, max(all.Work-restricted.Work, 0), all.LastUse
 		}
 	}
 }
--- a/internal/control/planned.go
+++ b/internal/control/planned.go
@@ -6,8 +6,8 @@
 	"lilacvane/internal/scheduler"
 )
 
-// plannedShift is how much the expected time of a planned load must change before nodes are
-// told at once.
+// plannedShift is how much the expected time of a planned load must change for the change to
+// be published.
 const plannedShift = 300 * time.Millisecond
 
 // updatePlanned records when models with waiting requests are expected, and publishes the
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -36,7 +36,7 @@
 		if bounded {
 			ledger.EnsureReport(now)
 		}
-		c.ends.Follow(ledger)
+		c.loadCrashes.Follow(ledger)
 	}
 }
 
@@ -55,7 +55,7 @@
 	for id, ledger := range c.ledgers {
 		if !listed[id] {
 			c.recordEnd(ledger, now)
-			c.ends.Forget(id)
+			c.loadCrashes.Forget(id)
 			delete(c.ledgers, id)
 		}
 	}
@@ -77,6 +77,8 @@
 	}
 }
 
+// requestReport asks one runner for a report and records the report, or its absence, in the
+// runner's ledger.
 func (c *Controller) requestReport(ctx context.Context, token uint64, runner backend.Runner) {
 	defer c.inFlight.Done()
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -15,7 +15,7 @@
 	demand := c.demand.units(running, engine, now)
 	c.updateRules(engine, demand, now)
 	state := &scheduler.State{
-		Now: now, Engine: engine, Paused: c.ends.Paused(now), Demand: demand, Parts: c.demand.parts(demand, now), Intents: c.intents, Loads: min(int(c.limiter.TokensAt(now)), c.store.Free()),
+		Now: now, Engine: engine, Paused: c.loadCrashes.Paused(now), Demand: demand, Parts: c.demand.parts(demand, now), Intents: c.intents, Loads: min(int(c.limiter.TokensAt(now)), c.store.Free()),
 		StoreWait: c.store.NextFree(now), StoreSlowdown: c.store.Slowdown(c.store.UnderWay() + 1),
 		Floors: c.floors, KeepAlive: c.keepAlive,
 	}
--- a/internal/control/storeloads.go
+++ b/internal/control/storeloads.go
@@ -13,7 +13,7 @@
 // storeLoad is a load from the weight store in progress.
 type storeLoad struct {
 	model string
-	// expected is the duration that nodes were told.
+	// expected is the duration that was announced to nodes.
 	expected time.Duration
 }
 
@@ -52,8 +52,8 @@
 	c.store.Follow(foreign, now)
 }
 
-// updateDelay tells nodes when a load takes longer than announced, so that requests that
-// cannot wait that long are not held. The caller holds mutex.
+// updateDelay publishes the new expected time of a load that takes longer than announced, so
+// that requests that cannot wait that long are not held. The caller holds mutex.
 func (c *Controller) updateDelay(ledger *orders.Ledger, model string, now time.Time) {
 	left := c.store.Remaining(ledger.Runner.ID, now)
 	if left > 0 && ledger.Delay(model, now.Add(left)) {
@@ -61,6 +61,8 @@
 	}
 }
 
+// endLoad records the end of a load, from which the store's capacity is estimated. The caller
+// holds mutex.
 func (c *Controller) endLoad(runner string, load storeLoad, now time.Time) {
 	before := c.store.Estimate()
 	took := c.store.End(runner, backend.ReportLag, now)
--- a/internal/control/sync.go
+++ b/internal/control/sync.go
@@ -94,7 +94,7 @@
 		})
 	}
 	if request.Report {
-		response.Standbys, response.LoadCrashes = nodes.standbys, c.loadEnds(now)
+		response.Standbys, response.LoadCrashes = nodes.standbys, c.loadCrashCounts(now)
 	}
 	known := request.Version
 	if request.Token != c.token {
--- a/internal/control/syncer.go
+++ b/internal/control/syncer.go
@@ -41,10 +41,10 @@
 	service    string
 	self       wire.Member
 	spare      float64
-	lessor     *lease.Elector
+	elector    *lease.Elector
 	controller *Controller
 	client     *peer.Client
-	book       *demand.Tracker
+	tracker    *demand.Tracker
 	fleet      *fleet.Fleet
 	limits     Limits
 	crashes    Crashes
@@ -62,8 +62,8 @@
 	holderLost bool
 	// withoutOrders is set while no holder is known that may send orders.
 	withoutOrders bool
-	// lastHeard is when another node, as the holder, last answered with its lease valid.
-	lastHeard time.Time
+	// lastValidAnswer is when another node, as the holder, last answered with its lease valid.
+	lastValidAnswer time.Time
 }
 
 // Observed is what a holder knows about the fleet's nodes.
@@ -102,10 +102,10 @@
 type Observe func(Observed)
 
 // NewSyncer returns a Syncer for a service.
-func NewSyncer(service string, self wire.Member, spare float64, lessor *lease.Elector, controller *Controller, client *peer.Client, book *demand.Tracker,
+func NewSyncer(service string, self wire.Member, spare float64, elector *lease.Elector, controller *Controller, client *peer.Client, tracker *demand.Tracker,
 	known *fleet.Fleet, limits Limits, crashes Crashes, stated Stated, observe Observe, log logr.Logger) *Syncer {
 	return &Syncer{
-		service: service, self: self, spare: spare, lessor: lessor, controller: controller, client: client, book: book, fleet: known,
+		service: service, self: self, spare: spare, elector: elector, controller: controller, client: client, tracker: tracker, fleet: known,
 		limits: limits, crashes: crashes, stated: stated, observe: observe, log: log.WithValues("service", service), waitBegan: make(chan struct{}, 1),
 	}
 }
@@ -125,7 +125,7 @@
 		switch {
 		case err != nil:
 			wait.For(ctx, retryPause)
-		case !s.book.Waits(s.service):
+		case !s.tracker.Waits(s.service):
 			// No request waits for changes, so they may be batched.
 			s.pauseUntilWaiting(ctx)
 		}
@@ -154,7 +154,7 @@
 func (s *Syncer) reportLoop(ctx context.Context) {
 	timer := time.NewTimer(reportInterval)
 	defer timer.Stop()
-	urgent := s.book.Urgent(s.service)
+	urgent := s.tracker.Urgent(s.service)
 	for {
 		select {
 		case <-ctx.Done():
@@ -199,7 +199,7 @@
 
 // holderName returns the node that holds the lease, as far as this node knows.
 func (s *Syncer) holderName() string {
-	record, _ := s.lessor.Holder()
+	record, _ := s.elector.Holder()
 	return record.Holder
 }
 
@@ -223,7 +223,7 @@
 func (s *Syncer) buildReport() wire.SyncRequest {
 	request := wire.SyncRequest{Report: true, Suspects: s.fleet.TakeSuspects(s.service), Spare: s.spare}
 	now := time.Now()
-	for _, waiting := range s.book.Waiting() {
+	for _, waiting := range s.tracker.Waiting() {
 		if waiting.Service != s.service {
 			continue
 		}
@@ -236,7 +236,7 @@
 			request.Permits = append(request.Permits, wire.PermitsWanted{Runner: wanted.Runner, Count: wanted.Count, Rate: wanted.Rate})
 		}
 	}
-	for _, usage := range s.book.TakeUsage(s.service) {
+	for _, usage := range s.tracker.TakeUsage(s.service) {
 		request.Usage = append(request.Usage, wire.UnitUsage{
 			Model: usage.Unit.Model, Adapter: usage.Unit.Adapter, Requests: usage.Requests, Tokens: usage.Tokens,
 			Homes: usage.Homes.Names(),
@@ -248,7 +248,7 @@
 	return request
 }
 
-// call makes one call to the holder, local or remote, and applies its answer.
+// call sends one request to the holder, local or remote, and applies the response.
 func (s *Syncer) call(ctx context.Context, request wire.SyncRequest) error {
 	request.Service, request.Node, request.Partial = s.service, s.self.Node, !s.fleet.Complete()
 	if request.Report {
@@ -260,7 +260,7 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.HoldMs)*time.Millisecond+syncTimeout)
 	defer cancel()
 	sent := time.Now()
-	response, err := s.askHolder(ctx, request)
+	response, err := s.callHolder(ctx, request)
 	s.logHolderChange(ctx, err)
 	s.trackOrders(response, err)
 	if err != nil {
@@ -272,17 +272,18 @@
 	s.fleet.ApplyPermits(permitsLent(response.Permits), sent)
 	s.stated.Learn(s.holderName(), response.Leaving, response.Limited)
 	if request.Report {
-		s.controller.LearnLoadEnds(response.LoadCrashes)
+		s.controller.LearnLoadCrashes(response.LoadCrashes)
 	}
 	s.applyResponse(response)
 	return nil
 }
 
-func (s *Syncer) askHolder(ctx context.Context, request wire.SyncRequest) (wire.SyncResponse, error) {
-	if s.lessor.Holds() {
+// callHolder sends a request to the lease holder, which may be this node.
+func (s *Syncer) callHolder(ctx context.Context, request wire.SyncRequest) (wire.SyncResponse, error) {
+	if s.elector.Holds() {
 		return s.controller.Sync(ctx, request)
 	}
-	record, known := s.lessor.Holder()
+	record, known := s.elector.Holder()
 	if !known {
 		return wire.SyncResponse{}, errNoHolder
 	}
@@ -294,8 +295,8 @@
 	return response, err
 }
 
-// trackOrders keeps track of when orders can be sent. The holder states it; without a
-// holder, it takes at least the turn gap.
+// trackOrders records the time until orders can be sent. A valid response contains it;
+// without one, it is at least the turn gap.
 func (s *Syncer) trackOrders(response wire.SyncResponse, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -306,20 +307,20 @@
 		s.fleet.SetOrdersIn(s.service, time.Duration(response.ActsInMs)*time.Millisecond)
 	case !s.withoutOrders:
 		s.withoutOrders = true
-		s.fleet.SetOrdersIn(s.service, s.lessor.TurnGap())
+		s.fleet.SetOrdersIn(s.service, s.elector.TurnGap())
 	}
 }
 
 // applyHolderStatus applies the holder's status of its lease.
 func (s *Syncer) applyHolderStatus(response wire.SyncResponse) {
 	s.mutex.Lock()
-	s.lastHeard = time.Time{}
+	s.lastValidAnswer = time.Time{}
 	if response.Valid {
-		s.lastHeard = time.Now()
+		s.lastValidAnswer = time.Now()
 	}
 	s.mutex.Unlock()
 	if response.LeaseRenewal > 0 {
-		s.lessor.ApplyStatus(lease.HolderStatus{
+		s.elector.ApplyStatus(lease.HolderStatus{
 			Token: response.Token, Renewal: response.LeaseRenewal, Yielded: response.LeaseYielded,
 			Quiet: time.Duration(response.LeaseQuietMs) * time.Millisecond,
 		})
@@ -334,10 +335,10 @@
 func (s *Syncer) Heard() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return !s.holderLost && time.Since(s.lastHeard) < holderFreshness
+	return !s.holderLost && time.Since(s.lastValidAnswer) < holderFreshness
 }
 
-// applyResponse applies an answer unless a newer one was applied in the meantime.
+// applyResponse applies a response unless a newer one was applied in the meantime.
 func (s *Syncer) applyResponse(response wire.SyncResponse) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -358,8 +359,8 @@
 
 func plannedUnits(planned []wire.PendingUnit) []fleet.PendingUnit {
 	units := make([]fleet.PendingUnit, 0, len(planned))
-	for _, coming := range planned {
-		units = append(units, comingUnit(coming))
+	for _, pending := range planned {
+		units = append(units, pendingUnit(pending))
 	}
 	return units
 }
@@ -377,10 +378,10 @@
 	return permits
 }
 
-func comingUnit(coming wire.PendingUnit) fleet.PendingUnit {
+func pendingUnit(pending wire.PendingUnit) fleet.PendingUnit {
 	return fleet.PendingUnit{
-		Unit: backend.Unit{Model: coming.Model, Adapter: coming.Adapter}, In: time.Duration(coming.InMs) * time.Millisecond,
-		Homes: place.HomesFromNames(coming.Homes), Firm: coming.Firm,
+		Unit: backend.Unit{Model: pending.Model, Adapter: pending.Adapter}, In: time.Duration(pending.InMs) * time.Millisecond,
+		Homes: place.HomesFromNames(pending.Homes), Firm: pending.Firm,
 	}
 }
 
@@ -395,8 +396,8 @@
 			Slots: listed.Slots, Revision: listed.Revision, Models: view.Ready,
 		}
 	}
-	for _, coming := range runner.Pending {
-		view.Pending = append(view.Pending, comingUnit(coming))
+	for _, pending := range runner.Pending {
+		view.Pending = append(view.Pending, pendingUnit(pending))
 	}
 	return view
 }
--- a/internal/control/tick_bench_test.go
+++ b/internal/control/tick_bench_test.go
@@ -52,7 +52,7 @@
 		Configuration: func() *config.Configuration { return nil },
 	})
 	c.token, c.version, c.ledgers, c.store = 1, 1, make(map[string]*orders.Ledger), weightstore.New(weightstore.Estimate{})
-	c.ends, c.limiter, c.storeLoads = orders.NewLoadCrashes(nil), rate.NewLimiter(100, loadBurst), make(map[string]storeLoad)
+	c.loadCrashes, c.limiter, c.storeLoads = orders.NewLoadCrashes(nil), rate.NewLimiter(100, loadBurst), make(map[string]storeLoad)
 	for i := range nodes {
 		c.demand.addReport(wire.SyncRequest{
 			Node: fmt.Sprint("n", i), Report: true,
@@ -64,7 +64,7 @@
 }
 
 // BenchmarkRound measures one round of a holder in which nothing changed: it reads the
-// list, settles the ledgers and makes a plan.
+// list, completes the adapter loads in the ledgers and makes a plan.
 func BenchmarkRound(b *testing.B) {
 	for _, runners := range []int{1000, 9640, 20_000} {
 		b.Run(fmt.Sprint("runners-", runners), func(b *testing.B) {
