--- a/internal/limit/divider.go
+++ b/internal/limit/divider.go
@@ -41,8 +41,8 @@
 	next      *Record
 	nodes     map[string]*member
 	tolerance tenant.Tolerance
-	// began is when this divider took over; its predecessor may have told nodes something just
-	// before. readAt is the same moment on the clock of the row's table, or slightly earlier.
+	// began is when this divider took over; its predecessor may have sent grants until then.
+	// readAt is the same moment on the clock of the row's table, or slightly earlier.
 	began  time.Time
 	readAt time.Duration
 	// fillVersion is the version of the row that grants initial tokens. The amounts follow the
@@ -51,7 +51,7 @@
 }
 
 // NewDivider returns a divider that continues from a row that was read at readAt on the table's
-// clock. A row that was only read may be outdated, so nothing in it may be told to nodes: the
+// clock. A row that was only read may be outdated, so nothing in it may be granted to nodes: the
 // caller first writes the record that Begin returns, on condition that the row is still the one
 // read.
 func NewDivider(record *Record, readAt time.Duration, tolerance tenant.Tolerance, now time.Time) *Divider {
@@ -125,7 +125,7 @@
 	return Grant{Version: d.record.Version, Shares: d.record.shares(report.Node, report.Region), Reserve: d.record.Reserve.at(report.Node).Assigned, FillInitially: fill}
 }
 
-// Asked returns the demand for a tenant's limit, in units per second.
+// Asked returns the demand for a tenant's limit at all nodes, in the limit's unit per second.
 func (d *Divider) Asked(name tenant.Name, now time.Time) float64 {
 	sum := 0.0
 	for _, m := range d.nodes {
--- a/internal/limit/grants.go
+++ b/internal/limit/grants.go
@@ -16,9 +16,9 @@
 	k.expire()
 	var uses []Use
 	for _, name := range slices.Sorted(maps.Keys(k.accounts)) {
-		if a := k.accounts[name]; a.asked > 0 {
-			uses = append(uses, Use{Tenant: name, Cost: a.asked, Requests: a.requests})
-			a.asked, a.requests = 0, 0
+		if a := k.accounts[name]; a.requestedCost > 0 {
+			uses = append(uses, Use{Tenant: name, Cost: a.requestedCost, Requests: a.requests})
+			a.requestedCost, a.requests = 0, 0
 		}
 	}
 	return k.version, uses
@@ -30,7 +30,7 @@
 	defer k.mutex.Unlock()
 	for _, use := range uses {
 		a := k.account(use.Tenant)
-		a.asked += use.Cost
+		a.requestedCost += use.Cost
 		a.requests += use.Requests
 	}
 }
@@ -62,14 +62,14 @@
 // it; a larger share fills at its own rate. fillInitially grants buckets their initial tokens.
 // mutex is held.
 func (k *Keeper) setShares(shares []Share, fillInitially bool) {
-	told := make(map[tenant.Name]Share, len(shares))
+	byTenant := make(map[tenant.Name]Share, len(shares))
 	for _, share := range shares {
-		told[share.Tenant] = share
+		byTenant[share.Tenant] = share
 		k.account(share.Tenant)
 	}
 	for name, a := range k.accounts {
-		a.setPart(told[name].Part, k.now())
-		a.lenders, a.near = told[name].Lenders, told[name].Near
+		a.setPart(byTenant[name].Part, k.now())
+		a.lenders, a.near = byTenant[name].Lenders, byTenant[name].Near
 		if fillInitially {
 			a.initialPart = a.part
 		}
@@ -88,7 +88,7 @@
 	a.part, a.at = part, now
 }
 
-// expire drops all shares if no divider was heard from for Lifetime. mutex is held.
+// expire drops all shares if no divider answered a report for Lifetime. mutex is held.
 func (k *Keeper) expire() {
 	if k.version == 0 || k.now().Before(k.validUntil) {
 		return
--- a/internal/limit/keeper.go
+++ b/internal/limit/keeper.go
@@ -37,9 +37,9 @@
 	at    time.Time
 	// initialPart is the part of the bucket whose initial tokens are yet to be added.
 	initialPart Part
-	// asked is the cost requested since the last report, requests the number of requests.
-	asked    float64
-	requests int
+	// requestedCost is the cost requested since the last report, requests the number of requests.
+	requestedCost float64
+	requests      int
 	// reserveSpends lists what was spent from the reserve within the current window, oldest
 	// first; reserveSpent is the sum.
 	reserveSpends []reserveSpend
@@ -71,7 +71,7 @@
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	a := k.account(t.Name)
-	a.asked += cost
+	a.requestedCost += cost
 	a.requests++
 }
 
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// divide lets the divider write its row. The write may fail, and a write whose answer is lost
-// may still have been done.
-func (f *fleet) divide(done, told bool) {
+// divide lets the divider write its row. The write may fail, and the answer to one that was done
+// may be lost.
+func (f *fleet) divide(done, answered bool) {
 	next := f.divider.Next(f.tenants, f.now)
 	if next == nil {
 		return
@@ -104,7 +104,7 @@
 	if done {
 		f.row = next.clone()
 	}
-	if done && told {
+	if done && answered {
 		f.divider.Confirmed()
 		return
 	}
--- a/internal/limit/part.go
+++ b/internal/limit/part.go
@@ -14,8 +14,8 @@
 // together spend, in any window, no more than the undivided bucket would admit. This holds
 // whichever nodes are cut off, paused, killed or restarted, and whichever messages or rows are
 // lost, delayed or duplicated. To ensure it, what a node may have in force is written to a row
-// before the node is told. It is reduced only once the node confirmed that it has less, or once
-// the node has heard from no divider for so long that its parts have expired (Lifetime). A
+// before it is granted to the node. It is reduced only once the node confirmed that it has less,
+// or once no divider has answered the node for so long that its parts have expired (Lifetime). A
 // process starts with no parts and empty buckets. A new divider may grant initial tokens to the
 // buckets of processes without shares, at most once per window by the clock of the row's table
 // (Record.FilledAt).
@@ -33,9 +33,9 @@
 // Whole is the entire limit.
 const Whole Part = 1 << 20
 
-// Lifetime is how long a node uses its parts without hearing from a divider. It outlasts a store
-// outage of some seconds and the change of divider that follows. For as long, the part of a node
-// that is gone for good stays unused.
+// Lifetime is how long a node uses its parts without an answer from a divider. It outlasts a
+// store outage of some seconds and the change of divider that follows. For as long, the part of
+// a node that is gone for good stays unused.
 const Lifetime = 20 * time.Second
 
 // Version orders the rows that dividers write and the grants that follow from them: it grows
--- a/internal/limit/pool.go
+++ b/internal/limit/pool.go
@@ -32,6 +32,8 @@
 	e.Assigned, e.Since, e.releasedAt = part, version, time.Time{}
 }
 
+// check reports whether the pool is valid: no node is assigned more than its bound, and the
+// bounds add up to at most the whole.
 func (p Pool) check() bool {
 	for _, entry := range p {
 		if entry == nil || entry.Assigned > entry.Bound {
--- a/internal/limit/record.go
+++ b/internal/limit/record.go
@@ -62,7 +62,8 @@
 	return &Record{Tenants: make(map[tenant.Name]*Division), Reserve: make(Pool)}
 }
 
-// Check reports whether a record that was read is valid: no parts add up to more than the whole.
+// Check reports whether a record that was read is valid: no node is assigned more than its
+// bound, and the bounds of each pool add up to at most the whole.
 func (r *Record) Check() bool {
 	for _, division := range r.Tenants {
 		if division == nil || !division.Nodes.check() {
--- a/internal/limit/share_test.go
+++ b/internal/limit/share_test.go
@@ -118,7 +118,7 @@
 }
 
 // TestNewDividerKeepsLenders: a new divider does not treat nodes as gone before they had time to
-// report, and keeps a lender listed that it does not hear from itself.
+// report, and keeps a lender listed that does not report to it.
 func TestNewDividerKeepsLenders(t *testing.T) {
 	f := newFleet(t, 20)
 	calm := &tenant.Tenant{Name: "calm", Limit: tenant.Limit{Rate: 100, Burst: 100}}
@@ -150,9 +150,9 @@
 	hot := &tenant.Tenant{Name: "hot", Limit: tenant.Limit{Rate: 1000, Burst: 1000}}
 	f.tenants = []*tenant.Tenant{hot}
 	random := rand.New(rand.NewPCG(7, 8))
-	asked := []caller{{tenant: hot, nodes: upTo(12), rate: 140, mean: 5, rank: 0}, {tenant: hot, nodes: upTo(12), rate: 460, mean: 5, rank: 2}}
-	f.simulate(asked, 5, random)
-	granted := f.simulate(asked, 20, random)
+	callers := []caller{{tenant: hot, nodes: upTo(12), rate: 140, mean: 5, rank: 0}, {tenant: hot, nodes: upTo(12), rate: 460, mean: 5, rank: 2}}
+	f.simulate(callers, 5, random)
+	granted := f.simulate(callers, 20, random)
 	f.check()
 	assert.Assert(t, granted[0] > 0.95, "urgent: %.3f", granted[0])
 	assert.Assert(t, granted[1] > 0.1 && granted[1] < 0.3, "others: %.3f", granted[1])
--- a/internal/limit/targets.go
+++ b/internal/limit/targets.go
@@ -34,7 +34,7 @@
 	targets := make(map[string]Part)
 	left := float64(Whole)
 	for node, entry := range division.Nodes {
-		if !d.reports(node, now) {
+		if !d.isReporting(node, now) {
 			targets[node] = entry.Assigned
 			left -= float64(entry.Bound)
 		}
@@ -43,7 +43,7 @@
 		targets[node] = Part(part)
 		left -= part
 	}
-	lenders := slices.DeleteFunc(slices.Clone(division.Lenders), func(l Lender) bool { return !d.reports(l.Node, now) })
+	lenders := slices.DeleteFunc(slices.Clone(division.Lenders), func(l Lender) bool { return !d.isReporting(l.Node, now) })
 	for _, lender := range lenders {
 		targets[lender.Node] = lenderTarget(division.Nodes.at(lender.Node).Assigned, left/float64(len(lenders)))
 	}
@@ -64,7 +64,7 @@
 // the highest demand, as far as each part holds several requests.
 func (d *Divider) ownParts(t *tenant.Tenant, division *Division, most float64, now time.Time) map[string]float64 {
 	cost, requests := 0.0, 0.0
-	var asked []ownPart
+	var wanted []ownPart
 	bucket := t.Limit.Budget(d.tolerance).Bucket
 	for node, m := range d.nodes {
 		used := m.used[t.Name]
@@ -75,12 +75,12 @@
 		cost += used.cost
 		requests += used.requests
 		if !division.lends(node) {
-			asked = append(asked, ownPart{node: node, part: min(ownHeadroom*perSecond/bucket.Rate, 1) * float64(Whole)})
+			wanted = append(wanted, ownPart{node: node, part: min(ownHeadroom*perSecond/bucket.Rate, 1) * float64(Whole)})
 		}
 	}
-	slices.SortFunc(asked, func(a, b ownPart) int { return cmp.Or(cmp.Compare(b.part, a.part), cmp.Compare(a.node, b.node)) })
+	slices.SortFunc(wanted, func(a, b ownPart) int { return cmp.Or(cmp.Compare(b.part, a.part), cmp.Compare(a.node, b.node)) })
 	least := max(minOwnRequests*cost/max(requests, 1)/bucket.Capacity*float64(Whole), float64(minPart))
-	return scaleToFit(asked, least, most)
+	return scaleToFit(wanted, least, most)
 }
 
 // ownPart is the part that a node could use itself.
@@ -91,16 +91,16 @@
 
 // scaleToFit takes candidates in descending order and scales the parts of the first ones in
 // proportion, for as many as can get at least least each and at most most in total.
-func scaleToFit(asked []ownPart, least, most float64) map[string]float64 {
+func scaleToFit(wanted []ownPart, least, most float64) map[string]float64 {
 	sum, count, scale := 0.0, 0, 1.0
-	for i, own := range asked {
+	for i, own := range wanted {
 		sum += own.part
 		if fits := min(1, most/max(sum, 1)); own.part*fits >= least {
 			count, scale = i+1, fits
 		}
 	}
 	own := make(map[string]float64, count)
-	for _, a := range asked[:count] {
+	for _, a := range wanted[:count] {
 		own[a.node] = a.part * scale
 	}
 	return own
@@ -116,8 +116,8 @@
 	return now.Sub(m.lastReport) > lenderTimeout
 }
 
-// reports reports whether a node has reported to this divider lately.
-func (d *Divider) reports(node string, now time.Time) bool {
+// isReporting reports whether a node has reported to this divider lately.
+func (d *Divider) isReporting(node string, now time.Time) bool {
 	return d.nodes[node] != nil && !d.silent(node, now)
 }
 
