--- a/internal/statement/leaving.go
+++ b/internal/statement/leaving.go
@@ -6,64 +6,67 @@
 	"time"
 )
 
-// LeavingReport is a runner that said that it leaves, and how long ago it last did so.
+// LeavingReport says that a runner stated that it leaves.
 type LeavingReport struct {
+	// Runner identifies the runner's incarnation.
 	Runner string
-	Age    time.Duration
+	// Age is how long ago the runner last stated it.
+	Age time.Duration
 }
 
 // Leaving returns the runners that are considered to be leaving, the most recent statement
 // first.
-func (b *Registry) Leaving() []LeavingReport {
-	return b.heard(func(r *record) time.Time { return r.leavingAt })
+func (reg *Registry) Leaving() []LeavingReport {
+	return reg.leavingReports(func(r *record) time.Time { return r.leavingAt })
 }
 
-// HeardLeaving returns those whose statements this node itself read from answers, with the age
-// of its own readings. Nodes pass on only these, so that they do not keep a statement alive
-// among each other that the runner no longer makes.
-func (b *Registry) HeardLeaving() []LeavingReport {
-	return b.heard(func(r *record) time.Time { return r.heardLeavingAt })
+// HeardLeaving returns the leaving runners whose statements this node itself read from answers,
+// with the age of its own readings. Nodes pass on only these, so that they do not keep a
+// statement alive among each other that the runner no longer makes.
+func (reg *Registry) HeardLeaving() []LeavingReport {
+	return reg.leavingReports(func(r *record) time.Time { return r.ownLeavingAt })
 }
 
-// heard returns the leaving runners, with ages by the given time.
-func (b *Registry) heard(at func(*record) time.Time) []LeavingReport {
-	if b == nil || b.recordCount.Load() == 0 {
+// leavingReports returns the runners that are leaving by the time that at selects, the most
+// recent one first.
+func (reg *Registry) leavingReports(at func(*record) time.Time) []LeavingReport {
+	if reg == nil || reg.recordCount.Load() == 0 {
 		return nil
 	}
-	now, duration := b.options.Now(), b.options.Limits().LeavingFor
-	b.mutex.RLock()
-	defer b.mutex.RUnlock()
-	var heard []LeavingReport
-	for id, rec := range b.runners {
+	now, duration := reg.options.Now(), reg.options.Limits().LeavingFor
+	reg.mutex.RLock()
+	defer reg.mutex.RUnlock()
+	var reports []LeavingReport
+	for id, rec := range reg.runners {
 		if last := at(rec); within(last, now, duration) {
-			heard = append(heard, LeavingReport{Runner: id, Age: now.Sub(last)})
+			reports = append(reports, LeavingReport{Runner: id, Age: now.Sub(last)})
 		}
 	}
-	slices.SortFunc(heard, func(x, y LeavingReport) int {
+	slices.SortFunc(reports, func(x, y LeavingReport) int {
 		return cmp.Or(cmp.Compare(x.Age, y.Age), cmp.Compare(x.Runner, y.Runner))
 	})
-	return heard
+	return reports
 }
 
-// LearnLeaving records that runners leave, as another node passed on.
-func (b *Registry) LearnLeaving(peer string, heard []LeavingReport) {
-	for _, report := range heard {
-		if b.learn(report) {
-			b.announce(Source{Runner: report.Runner, Peer: peer}, Leaving{})
+// LearnLeaving merges reports that the node peer passed on.
+func (reg *Registry) LearnLeaving(peer string, reports []LeavingReport) {
+	for _, report := range reports {
+		if reg.mergeLeaving(report) {
+			reg.announce(Source{Runner: report.Runner, Peer: peer}, Leaving{})
 		}
 	}
 }
 
-// learn records one of them, and reports whether it is a change.
-func (b *Registry) learn(heard LeavingReport) bool {
-	now, duration := b.options.Now(), b.options.Limits().LeavingFor
-	age := max(heard.Age, 0)
-	if heard.Runner == "" || age >= duration {
+// mergeLeaving merges one report, and returns whether the runner was not known to be leaving.
+func (reg *Registry) mergeLeaving(report LeavingReport) bool {
+	now, duration := reg.options.Now(), reg.options.Limits().LeavingFor
+	age := max(report.Age, 0)
+	if report.Runner == "" || age >= duration {
 		return false
 	}
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	rec := b.recordOf(heard.Runner, now)
+	reg.mutex.Lock()
+	defer reg.mutex.Unlock()
+	rec := reg.recordOf(report.Runner, now)
 	changed := !rec.leaves(now, duration)
 	if at := now.Add(-age); at.After(rec.leavingAt) {
 		rec.leavingAt = at
--- a/internal/statement/limit.go
+++ b/internal/statement/limit.go
@@ -25,93 +25,96 @@
 }
 
 // lift ends a runner's limit, after an answer to a request that states none.
-func (b *Registry) lift(source Source) {
-	if b.recordCount.Load() == 0 {
+func (reg *Registry) lift(source Source) {
+	if reg.recordCount.Load() == 0 {
 		return
 	}
-	if !b.clearLimit(source.Runner) {
+	if !reg.clearLimit(source.Runner) {
 		return
 	}
-	b.options.Log.Info("runner names no limit any more", "runner", source.Runner, "request", source.Request)
-	if b.options.OnCapacity != nil {
-		b.options.OnCapacity()
+	reg.options.Log.Info("runner names no limit any more", "runner", source.Runner, "request", source.Request)
+	if reg.options.OnCapacity != nil {
+		reg.options.OnCapacity()
 	}
 }
 
 // clearLimit removes a limit, and reports whether there was one.
-func (b *Registry) clearLimit(runner string) bool {
-	now := b.options.Now()
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	rec := b.runners[runner]
-	if rec == nil || !rec.limited(now, b.options.Limits().LimitFor) || within(rec.limitedAt, now, inFlightGrace) {
+func (reg *Registry) clearLimit(runner string) bool {
+	now := reg.options.Now()
+	reg.mutex.Lock()
+	defer reg.mutex.Unlock()
+	rec := reg.runners[runner]
+	if rec == nil || !rec.limited(now, reg.options.Limits().LimitFor) || within(rec.limitedAt, now, inFlightGrace) {
 		return false
 	}
 	rec.rate, rec.liftedAt = 0, now
 	return true
 }
 
-// LimitReport is a runner's limit and how long ago the runner last stated it.
+// LimitReport says that a runner stated a limit.
 type LimitReport struct {
+	// Runner identifies the runner's incarnation.
 	Runner string
 	// Rate is the limit in requests per second.
 	Rate float64
-	Age  time.Duration
+	// Age is how long ago the runner last stated it.
+	Age time.Duration
 }
 
 // Limits returns the limits in force, the most recently stated first.
-func (b *Registry) Limits() []LimitReport {
-	return b.heardLimits(func(r *record) time.Time { return r.limitedAt })
+func (reg *Registry) Limits() []LimitReport {
+	return reg.limitReports(func(r *record) time.Time { return r.limitedAt })
 }
 
 // HeardLimits returns the limits in force that this node itself read from answers, with the age
 // of its own readings. Nodes pass on only these to others.
-func (b *Registry) HeardLimits() []LimitReport {
-	return b.heardLimits(func(r *record) time.Time { return r.heardLimitAt })
+func (reg *Registry) HeardLimits() []LimitReport {
+	return reg.limitReports(func(r *record) time.Time { return r.ownLimitAt })
 }
 
-// heardLimits returns the limits in force, with ages by the given time.
-func (b *Registry) heardLimits(at func(*record) time.Time) []LimitReport {
-	if b == nil || b.recordCount.Load() == 0 {
+// limitReports returns the limits in force by the time that at selects, the most recent one
+// first.
+func (reg *Registry) limitReports(at func(*record) time.Time) []LimitReport {
+	if reg == nil || reg.recordCount.Load() == 0 {
 		return nil
 	}
-	now, duration := b.options.Now(), b.options.Limits().LimitFor
-	b.mutex.RLock()
-	defer b.mutex.RUnlock()
-	var heard []LimitReport
-	for id, rec := range b.runners {
+	now, duration := reg.options.Now(), reg.options.Limits().LimitFor
+	reg.mutex.RLock()
+	defer reg.mutex.RUnlock()
+	var reports []LimitReport
+	for id, rec := range reg.runners {
 		if last := at(rec); rec.limited(now, duration) && within(last, now, duration) {
-			heard = append(heard, LimitReport{Runner: id, Rate: rec.rate, Age: now.Sub(last)})
+			reports = append(reports, LimitReport{Runner: id, Rate: rec.rate, Age: now.Sub(last)})
 		}
 	}
-	slices.SortFunc(heard, func(x, y LimitReport) int { return cmp.Or(cmp.Compare(x.Age, y.Age), cmp.Compare(x.Runner, y.Runner)) })
-	return heard
+	slices.SortFunc(reports, func(x, y LimitReport) int { return cmp.Or(cmp.Compare(x.Age, y.Age), cmp.Compare(x.Runner, y.Runner)) })
+	return reports
 }
 
-// LearnLimits records limits that another node passed on.
-func (b *Registry) LearnLimits(peer string, heard []LimitReport) {
-	for _, report := range heard {
-		if b.learnLimit(report) {
-			b.announce(Source{Runner: report.Runner, Peer: peer}, Limit{Rate: report.Rate})
+// LearnLimits merges limits that the node peer passed on.
+func (reg *Registry) LearnLimits(peer string, reports []LimitReport) {
+	for _, report := range reports {
+		if reg.mergeLimit(report) {
+			reg.announce(Source{Runner: report.Runner, Peer: peer}, Limit{Rate: report.Rate})
 		}
 	}
 }
 
-// learnLimit records one of them, and reports whether it is a change. A report that is older
-// than what this node knows changes nothing.
-func (b *Registry) learnLimit(heard LimitReport) bool {
-	now, limits := b.options.Now(), b.options.Limits()
-	age := max(heard.Age, 0)
-	if heard.Runner == "" || !(heard.Rate >= limits.LeastRate) || math.IsInf(heard.Rate, 0) || age >= limits.LimitFor {
+// mergeLimit merges one report, and returns whether it changes the limit in force. A report that
+// is older than what this node knows changes nothing.
+func (reg *Registry) mergeLimit(report LimitReport) bool {
+	now, limits := reg.options.Now(), reg.options.Limits()
+	age := max(report.Age, 0)
+	if report.Runner == "" || !(report.Rate >= limits.LeastRate) || math.IsInf(report.Rate, 0) || age >= limits.LimitFor {
 		return false
 	}
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	rec, at := b.recordOf(heard.Runner, now), now.Add(-age)
+	reg.mutex.Lock()
+	defer reg.mutex.Unlock()
+	rec, at := reg.recordOf(report.Runner, now), now.Add(-age)
 	if !at.After(rec.limitedAt) || !at.After(rec.liftedAt) {
 		return false
 	}
-	changed := !rec.limited(now, limits.LimitFor) || rec.rate != heard.Rate
-	rec.rate, rec.limitedAt = heard.Rate, at
+	changed := !rec.limited(now, limits.LimitFor) || rec.rate != report.Rate
+	rec.rate, rec.limitedAt = report.Rate, at
 	return changed
 }
--- a/internal/statement/limit_test.go
+++ b/internal/statement/limit_test.go
@@ -8,9 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestLimitLifetime: the latest value applies. An answer to a request without a
-// limit lifts it, unless that answer may have been in flight already. Without any answer the
-// limit expires.
+// TestLimitLifetime: the latest value applies. An answer without a limit to a request lifts it,
+// unless that answer may have been in flight already. Without any answer the limit expires.
 func TestLimitLifetime(t *testing.T) {
 	registry, now, changes := testRegistry()
 	request, question := Source{Runner: "r1", Request: "a"}, Source{Runner: "r1"}
--- a/internal/statement/registry.go
+++ b/internal/statement/registry.go
@@ -63,15 +63,16 @@
 
 // record holds what an incarnation stated. Registry.mutex guards it.
 type record struct {
-	// leavingAt is when the runner last said to any node that it leaves, heardLeavingAt to this
-	// node. restsUntil is the latest end of its rests. problemLoggedAt is when a problem with
-	// its statements was last logged. All are zero for never.
-	leavingAt, heardLeavingAt, restsUntil, problemLoggedAt time.Time
+	// leavingAt is when the runner last stated to any node that it leaves, ownLeavingAt when this
+	// node last read that from an answer. restsUntil is the latest end of its rests.
+	// problemLoggedAt is when a problem with its statements was last logged. All are zero for
+	// never.
+	leavingAt, ownLeavingAt, restsUntil, problemLoggedAt time.Time
 	// rate is the limit that the runner stated, in requests per second; zero for none. limitedAt
-	// is when it last stated a limit to any node, heardLimitAt to this node. liftedAt is when an
-	// answer without a limit ended it.
-	rate                              float64
-	limitedAt, heardLimitAt, liftedAt time.Time
+	// is when it last stated a limit to any node, ownLimitAt when this node last read one from an
+	// answer. liftedAt is when an answer without a limit ended it.
+	rate                            float64
+	limitedAt, ownLimitAt, liftedAt time.Time
 	// window is how many requests that the runner has not begun to answer it may have after its
 	// rest; zero for any number.
 	window int
@@ -98,25 +99,25 @@
 
 // ReadHeader reads the statements in the header of a runner's answer. An answer with status 421
 // is ignored: another runner that now has the address may have sent it.
-func (b *Registry) ReadHeader(source Source, status int, header http.Header) {
-	if b == nil || source.Runner == "" || status == http.StatusMisdirectedRequest {
+func (reg *Registry) ReadHeader(source Source, status int, header http.Header) {
+	if reg == nil || source.Runner == "" || status == http.StatusMisdirectedRequest {
 		return
 	}
-	statements, problems := read(b.options.Headers, b.options.Limits(), status, header)
-	if source.Request != "" && len(header.Values(b.options.Headers.Limit)) == 0 {
-		b.lift(source)
+	statements, problems := read(reg.options.Headers, reg.options.Limits(), status, header)
+	if source.Request != "" && len(header.Values(reg.options.Headers.Limit)) == 0 {
+		reg.lift(source)
 	}
 	if len(statements)+len(problems) == 0 {
 		if source.Request != "" && !mayRequestRest(status) {
-			b.widen(source.Runner)
+			reg.widen(source.Runner)
 		}
 		return
 	}
 	if len(problems) > 0 {
-		b.reportProblems(source, status, problems)
+		reg.reportProblems(source, status, problems)
 	}
 	for _, statement := range statements {
-		b.apply(source, statement)
+		reg.apply(source, statement)
 	}
 }
 
@@ -125,80 +126,80 @@
 const problemLogInterval = time.Second
 
 // reportProblems counts and logs statements that were not accepted as given.
-func (b *Registry) reportProblems(source Source, status int, problems []string) {
-	b.count(KindDoubtful)
-	now := b.options.Now()
-	b.mutex.Lock()
-	rec := b.recordOf(source.Runner, now)
+func (reg *Registry) reportProblems(source Source, status int, problems []string) {
+	reg.count(KindDoubtful)
+	now := reg.options.Now()
+	reg.mutex.Lock()
+	rec := reg.recordOf(source.Runner, now)
 	log := !within(rec.problemLoggedAt, now, problemLogInterval)
 	if log {
 		rec.problemLoggedAt = now
 	}
-	b.mutex.Unlock()
+	reg.mutex.Unlock()
 	if log {
-		b.options.Log.Info("runner's statement in doubt", "runner", source.Runner, "request", source.Request, "status", status, "problems", problems)
+		reg.options.Log.Info("runner's statement in doubt", "runner", source.Runner, "request", source.Request, "status", status, "problems", problems)
 	}
 }
 
 // widen enlarges the window of a runner that has rested, after it answered a request.
-func (b *Registry) widen(runner string) {
-	if b.recordCount.Load() == 0 {
+func (reg *Registry) widen(runner string) {
+	if reg.recordCount.Load() == 0 {
 		return
 	}
-	b.mutex.Lock()
-	rec := b.runners[runner]
-	widened := rec != nil && rec.widen(b.options.Now())
-	b.mutex.Unlock()
-	if widened && b.options.OnCapacity != nil {
-		b.options.OnCapacity()
+	reg.mutex.Lock()
+	rec := reg.runners[runner]
+	widened := rec != nil && rec.widen(reg.options.Now())
+	reg.mutex.Unlock()
+	if widened && reg.options.OnCapacity != nil {
+		reg.options.OnCapacity()
 	}
 }
 
-func (b *Registry) count(kind Kind) {
-	if b.options.Observe != nil {
-		b.options.Observe(kind)
+func (reg *Registry) count(kind Kind) {
+	if reg.options.Observe != nil {
+		reg.options.Observe(kind)
 	}
 }
 
 // apply records a statement and announces it if it is a change.
-func (b *Registry) apply(source Source, statement Statement) {
-	if b.update(source, statement) {
-		b.announce(source, statement)
+func (reg *Registry) apply(source Source, statement Statement) {
+	if reg.update(source, statement) {
+		reg.announce(source, statement)
 	}
 }
 
 // announce logs a change and passes it to Options.OnChange.
-func (b *Registry) announce(source Source, statement Statement) {
+func (reg *Registry) announce(source Source, statement Statement) {
 	switch statement := statement.(type) {
 	case Leaving:
-		b.options.Log.Info("runner says that it leaves", "runner", source.Runner, "request", source.Request, "peer", source.Peer)
+		reg.options.Log.Info("runner says that it leaves", "runner", source.Runner, "request", source.Request, "peer", source.Peer)
 	case Rest:
-		b.options.Log.Info("runner wants rest", "runner", source.Runner, "request", source.Request, "forMs", statement.For.Milliseconds())
+		reg.options.Log.Info("runner wants rest", "runner", source.Runner, "request", source.Request, "forMs", statement.For.Milliseconds())
 	case Limit:
-		b.options.Log.Info("runner names a limit", "runner", source.Runner, "request", source.Request, "peer", source.Peer, "rate", statement.Rate)
+		reg.options.Log.Info("runner names a limit", "runner", source.Runner, "request", source.Request, "peer", source.Peer, "rate", statement.Rate)
 	}
-	if b.options.OnChange != nil {
-		b.options.OnChange(source, statement)
+	if reg.options.OnChange != nil {
+		reg.options.OnChange(source, statement)
 	}
 }
 
 // update records a statement and reports whether it is a change.
-func (b *Registry) update(source Source, statement Statement) bool {
-	now := b.options.Now()
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	rec := b.recordOf(source.Runner, now)
+func (reg *Registry) update(source Source, statement Statement) bool {
+	now := reg.options.Now()
+	reg.mutex.Lock()
+	defer reg.mutex.Unlock()
+	rec := reg.recordOf(source.Runner, now)
 	switch statement := statement.(type) {
 	case Leaving:
-		b.count(KindLeaving)
-		return rec.leave(now, b.options.Limits().LeavingFor)
+		reg.count(KindLeaving)
+		return rec.leave(now, reg.options.Limits().LeavingFor)
 	case Rest:
-		b.count(KindRest)
+		reg.count(KindRest)
 		return rec.rest(now, statement.For)
 	case Limit:
-		b.count(KindLimit)
-		rec.heardLimitAt = now
-		return rec.limit(now, statement.Rate, b.options.Limits().LimitFor)
+		reg.count(KindLimit)
+		rec.ownLimitAt = now
+		return rec.limit(now, statement.Rate, reg.options.Limits().LimitFor)
 	default:
 		return false
 	}
@@ -206,14 +207,14 @@
 
 // recordOf returns a runner's record, creating an empty one if needed, and removes expired
 // records. mutex is held.
-func (b *Registry) recordOf(runner string, now time.Time) *record {
-	b.sweep(now)
-	rec := b.runners[runner]
+func (reg *Registry) recordOf(runner string, now time.Time) *record {
+	reg.sweep(now)
+	rec := reg.runners[runner]
 	if rec == nil {
 		rec = &record{}
-		b.runners[runner] = rec
+		reg.runners[runner] = rec
 	}
-	b.recordCount.Store(int64(len(b.runners)))
+	reg.recordCount.Store(int64(len(reg.runners)))
 	return rec
 }
 
@@ -233,33 +234,33 @@
 }
 
 // State returns what a runner stated that is still in force.
-func (b *Registry) State(runner string) State {
-	if b == nil || b.recordCount.Load() == 0 {
+func (reg *Registry) State(runner string) State {
+	if reg == nil || reg.recordCount.Load() == 0 {
 		return State{}
 	}
-	b.mutex.RLock()
-	defer b.mutex.RUnlock()
-	rec := b.runners[runner]
+	reg.mutex.RLock()
+	defer reg.mutex.RUnlock()
+	rec := reg.runners[runner]
 	if rec == nil {
 		return State{}
 	}
-	now := b.options.Now()
-	state := State{Leaving: rec.leaves(now, b.options.Limits().LeavingFor), Rest: max(rec.restsUntil.Sub(now), 0)}
+	now := reg.options.Now()
+	state := State{Leaving: rec.leaves(now, reg.options.Limits().LeavingFor), Rest: max(rec.restsUntil.Sub(now), 0)}
 	if rec.recovering(now) {
 		state.Window = rec.window
 	}
-	if duration := b.options.Limits().LimitFor; rec.limited(now, duration) {
+	if duration := reg.options.Limits().LimitFor; rec.limited(now, duration) {
 		state.Rate, state.RateFor = rec.rate, rec.limitedAt.Add(duration).Sub(now)
 	}
 	return state
 }
 
 // CountResting returns the number of runners that want no requests from this node now.
-func (b *Registry) CountResting() int {
-	b.mutex.RLock()
-	defer b.mutex.RUnlock()
-	now, count := b.options.Now(), 0
-	for _, rec := range b.runners {
+func (reg *Registry) CountResting() int {
+	reg.mutex.RLock()
+	defer reg.mutex.RUnlock()
+	now, count := reg.options.Now(), 0
+	for _, rec := range reg.runners {
 		if now.Before(rec.restsUntil) {
 			count++
 		}
@@ -270,7 +271,7 @@
 // leave records that the runner leaves, and reports whether that is a change.
 func (r *record) leave(now time.Time, duration time.Duration) bool {
 	changed := !r.leaves(now, duration)
-	r.leavingAt, r.heardLeavingAt = now, now
+	r.leavingAt, r.ownLeavingAt = now, now
 	return changed
 }
 
@@ -303,11 +304,11 @@
 }
 
 // sweep removes records with nothing in force. mutex is held.
-func (b *Registry) sweep(now time.Time) {
-	duration := b.options.Limits().LeavingFor
-	for id, rec := range b.runners {
-		if !rec.leaves(now, duration) && !rec.limited(now, b.options.Limits().LimitFor) && !within(rec.liftedAt, now, b.options.Limits().LimitFor) && !now.Before(rec.restsUntil) && !rec.recovering(now) && !within(rec.problemLoggedAt, now, problemLogInterval) {
-			delete(b.runners, id)
+func (reg *Registry) sweep(now time.Time) {
+	duration := reg.options.Limits().LeavingFor
+	for id, rec := range reg.runners {
+		if !rec.leaves(now, duration) && !rec.limited(now, reg.options.Limits().LimitFor) && !within(rec.liftedAt, now, reg.options.Limits().LimitFor) && !now.Before(rec.restsUntil) && !rec.recovering(now) && !within(rec.problemLoggedAt, now, problemLogInterval) {
+			delete(reg.runners, id)
 		}
 	}
 }
--- a/internal/statement/registry_test.go
+++ b/internal/statement/registry_test.go
@@ -11,7 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// testRegistry returns a registry with a clock that the test advances, and the changes it announces.
+// testRegistry returns a registry with a clock that the test advances, and the changes it
+// announces.
 func testRegistry() (registry *Registry, now *time.Time, changes *[]Statement) {
 	now, changes = new(time.Time), new([]Statement)
 	*now = time.Unix(1000, 0)
@@ -31,9 +32,9 @@
 // restHead is the header of a rejection that asks for a rest of some seconds.
 func restHead(seconds string) http.Header { return http.Header{headerRest: {seconds}} }
 
-// TestLeavingExpires: answers that were in flight when a runner said
-// that it leaves may arrive later and do not end it; a single wrong answer does not take a
-// runner out of use for good.
+// TestLeavingExpires: answers that were in flight when a runner stated that it leaves may arrive
+// later and do not end that state; a single wrong answer does not take a runner out of use for
+// good.
 func TestLeavingExpires(t *testing.T) {
 	registry, now, changes := testRegistry()
 	runner := Source{Runner: "r1"}
@@ -88,7 +89,7 @@
 }
 
 // TestNotEveryAnswerIsHeard: an answer from another runner at the same address, or from an
-// unknown one, says nothing about the runner that was meant.
+// unknown one, changes nothing about the runner that the request was meant for.
 func TestNotEveryAnswerIsHeard(t *testing.T) {
 	registry, _, _ := testRegistry()
 	registry.ReadHeader(Source{Runner: "r1"}, http.StatusMisdirectedRequest, leavingHead)
