--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -88,8 +88,8 @@
 	assert.Equal(t, next, MaxDuration, "the bound allows none")
 }
 
-// TestLentCountsUntilItRanOut checks that a permit counts until one window after its expiry,
-// as it may be spent at the last moment of its validity.
+// TestLentCountsUntilItRanOut checks that a permit counts as lent until one window after its
+// expiry, as it may be spent at the last moment of its validity.
 func TestLentCountsUntilItRanOut(t *testing.T) {
 	lender := NewLender(start)
 	now := start.Add(LendingPeriod)
@@ -116,19 +116,19 @@
 	assert.Equal(t, len(lender.runners), 1)
 }
 
-// TestShareGrowsWithAnswers checks that the share of a runner that was cold recently grows
+// TestShareGrowsWithAnswers checks that the allowance of a runner that was cold recently grows
 // with each prompt answer, and that the limit ends after a while.
 func TestShareGrowsWithAnswers(t *testing.T) {
 	terms := NewTerms(6.9, 1.5, 5, 3*time.Second, Lent{})
 	var runner Runner
 	_, warming := runner.Warming(time.Time{}, terms, start)
 	assert.Assert(t, !warming, "the runner was never cold")
-	share, warming := runner.Warming(start, terms, start)
-	assert.Assert(t, warming && share == initialShare)
+	allowance, warming := runner.Warming(start, terms, start)
+	assert.Assert(t, warming && allowance == initialAllowance)
 	runner.Answered(true)
 	runner.Answered(false)
-	share, warming = runner.Warming(start, terms, start)
-	assert.Assert(t, warming && share == initialShare+1)
+	allowance, warming = runner.Warming(start, terms, start)
+	assert.Assert(t, warming && allowance == initialAllowance+1)
 	_, warming = runner.Warming(start, terms, start.Add(warmingStarts*3*time.Second))
 	assert.Assert(t, !warming)
 }
--- a/internal/coldstart/lender.go
+++ b/internal/coldstart/lender.go
@@ -100,6 +100,7 @@
 	return lent[first:]
 }
 
+// sum returns the number of permits in the lendings.
 func sum(lent []lending) int {
 	count := 0
 	for _, l := range lent {
--- a/internal/coldstart/limit_test.go
+++ b/internal/coldstart/limit_test.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestTurnsKeepALimit checks the limit for nodes without a lease holder that all begin to send
-// at the same moment.
-func TestTurnsKeepALimit(t *testing.T) {
+// TestTimeSlotsKeepLimit checks the limit for nodes without a lease holder that all begin to
+// send at the same moment.
+func TestTimeSlotsKeepLimit(t *testing.T) {
 	for _, nodes := range []int{1, 4, 7, 64, 985} {
 		for _, rate := range []float64{0.3, 1, 4.5, 40} {
 			var sent []time.Time
--- a/internal/coldstart/runner.go
+++ b/internal/coldstart/runner.go
@@ -10,12 +10,12 @@
 	// zone and the delay of a busy machine.
 	answerTime = 30 * time.Millisecond
 	// warmingStarts is the number of cold start times after the end of the cold start during
-	// which the runner's share grows: long enough for some answers at each node of a large
+	// which the runner's allowance grows: long enough for some answers at each node of a large
 	// fleet.
 	warmingStarts = 2
-	// initialShare is the number of concurrent requests of one node that a runner gets at no
-	// extra cost right after its cold start.
-	initialShare = 1
+	// initialAllowance is the number of concurrent requests of one node that a runner gets at
+	// no extra cost right after its cold start.
+	initialAllowance = 1
 )
 
 // Runner is a node's state of one incarnation of a runner: whether it is cold and what may be
@@ -29,7 +29,7 @@
 	assumedSince time.Time
 	// statusAt is when its last status was received.
 	statusAt time.Time
-	// permits may be spent, oldest first.
+	// permits are the permits that may be spent, oldest first.
 	permits []permit
 	// sentAt is when this node last sent a request to it.
 	sentAt time.Time
@@ -39,12 +39,13 @@
 	prompt int
 }
 
+// permit allows a number of requests until it expires.
 type permit struct {
 	count int
 	until time.Time
 }
 
-// Status is what a row says about the cold start of a runner.
+// Status is the cold start status in a row of a runner.
 type Status struct {
 	// ColdFor is the remaining time for which the runner is cold, zero if it is not.
 	ColdFor time.Duration
@@ -53,7 +54,7 @@
 	Conclusive bool
 }
 
-// Hear applies the status from a row.
+// Hear applies the status in a row that was received at now.
 func (r *Runner) Hear(status Status, now time.Time) {
 	r.statusAt = now
 	switch {
@@ -195,7 +196,8 @@
 	}
 }
 
-// Answered records an answer of the runner. prompt is set if it came within its objective.
+// Answered records an answer of the runner. prompt is set if the answer met its latency
+// objective.
 func (r *Runner) Answered(prompt bool) {
 	if prompt {
 		r.prompt++
@@ -203,14 +205,16 @@
 }
 
 // Warming reports whether a runner that was cold until the given time has yet to show its
-// capacity, and the number of concurrent requests of this node that it gets at no extra cost.
-func (r *Runner) Warming(until time.Time, terms Terms, now time.Time) (share int, warming bool) {
+// capacity. allowance is the number of concurrent requests of this node that it then gets at
+// no extra cost.
+func (r *Runner) Warming(until time.Time, terms Terms, now time.Time) (allowance int, warming bool) {
 	if until.IsZero() || now.Before(until) || now.Sub(until) >= warmingStarts*terms.Start {
 		return 0, false
 	}
-	return initialShare + r.prompt, true
+	return initialAllowance + r.prompt, true
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
--- a/internal/coldstart/simulation_test.go
+++ b/internal/coldstart/simulation_test.go
@@ -59,13 +59,14 @@
 // their way.
 func (m *simulation) takeOver() { m.lender = NewLender(m.now) }
 
-// hear gives a node the runner's row, which contains its cold status or leaves it open.
-func (m *simulation) hear(node int, says bool) {
+// deliverRow delivers the runner's row to a node. If stated is not set and the node gets the row
+// for the first time, the row does not say whether the runner is cold.
+func (m *simulation) deliverRow(node int, stated bool) {
 	left := m.coldUntil.Sub(m.now)
 	switch {
-	case says && left > 0:
+	case stated && left > 0:
 		m.nodes[node].Hear(Status{ColdFor: left, Conclusive: true}, m.now)
-	case says:
+	case stated:
 		m.nodes[node].Hear(Status{Conclusive: true}, m.now)
 	case !m.informed[node]:
 		m.nodes[node].Hear(Status{}, m.now)
@@ -83,8 +84,8 @@
 	}
 }
 
-// arrive delivers an answer, in any order.
-func (m *simulation) arrive(index int) {
+// deliverAnswer delivers the answer at an index, so that answers may arrive in any order.
+func (m *simulation) deliverAnswer(index int) {
 	a := m.answers[index]
 	m.answers = append(m.answers[:index], m.answers[index+1:]...)
 	m.nodes[a.node].Lent(a.count, a.sent, a.next, m.now)
@@ -142,7 +143,7 @@
 		"time": func(t *rapid.T) {
 			m.now = m.now.Add(time.Duration(rapid.SampledFrom([]int{1, 20, 100, 250, 499, 500, 501, 1000, 1500}).Draw(t, "ms")) * time.Millisecond)
 		},
-		"hear": func(t *rapid.T) { m.hear(node.Draw(t, "node"), rapid.Bool().Draw(t, "says")) },
+		"hear": func(t *rapid.T) { m.deliverRow(node.Draw(t, "node"), rapid.Bool().Draw(t, "says")) },
 		"all ask": func(t *rapid.T) {
 			late := time.Duration(rapid.SampledFrom([]int{0, 0, 10, 400, 900}).Draw(t, "late")) * time.Millisecond
 			for asking := range nodes {
@@ -151,7 +152,7 @@
 		},
 		"all arrive": func(*rapid.T) {
 			for len(m.answers) > 0 {
-				m.arrive(0)
+				m.deliverAnswer(0)
 			}
 		},
 		"all send": func(*rapid.T) {
@@ -160,8 +161,8 @@
 			}
 		},
 		"all hear": func(*rapid.T) {
-			for hearing := range nodes {
-				m.hear(hearing, true)
+			for receiving := range nodes {
+				m.deliverRow(receiving, true)
 			}
 		},
 		"ask": func(t *rapid.T) {
@@ -170,7 +171,7 @@
 		},
 		"arrive": func(t *rapid.T) {
 			if len(m.answers) > 0 {
-				m.arrive(rapid.IntRange(0, len(m.answers)-1).Draw(t, "answer"))
+				m.deliverAnswer(rapid.IntRange(0, len(m.answers)-1).Draw(t, "answer"))
 			}
 		},
 		"send":      func(t *rapid.T) { m.send(node.Draw(t, "node"), rapid.IntRange(1, 40).Draw(t, "count")) },
@@ -207,13 +208,13 @@
 	m := newSimulation(t, nodes, testTerms)
 	m.coldUntil = m.now.Add(time.Minute)
 	for node := range nodes {
-		m.hear(node, true)
+		m.deliverRow(node, true)
 	}
 	for tick := range 2000 {
 		m.now = m.now.Add(10 * time.Millisecond)
 		node := tick % nodes
 		m.ask(node, 1, m.now, false)
-		m.arrive(0)
+		m.deliverAnswer(0)
 		m.send(node, 1)
 	}
 	m.check()
--- a/internal/coldstart/terms.go
+++ b/internal/coldstart/terms.go
@@ -16,8 +16,8 @@
 	// Window is the sliding window of the bound.
 	Window = time.Second
 	// MaxDuration limits the time for which one status makes a runner count as cold. It is
-	// far longer than weights and caches need to warm up, and still ends a cold status that
-	// is nonsense.
+	// far longer than weights and caches need to warm up, and ends a cold status with an
+	// invalid time.
 	MaxDuration = 10 * time.Minute
 	// maxBound keeps a bound, in requests, within the range of an int.
 	maxBound = 1_000_000
