--- a/internal/demand/tracker.go
+++ b/internal/demand/tracker.go
@@ -10,17 +10,18 @@
 	"lilacvane/internal/place"
 )
 
-// Key identifies the requests for a unit of a service that have the same homes.
+// Key identifies the requests for a unit of a service that have the same homes (place.Homes).
 type Key struct {
 	Service string
 	Unit    backend.Unit
-	// Homes are the only places where the requests may be served.
+	// Homes are the only regions in which the requests may be served.
 	Homes place.Homes
 }
 
 // Waiting summarizes the requests that wait for a unit at this node.
 type Waiting struct {
 	Key
+	// Count is the number of requests.
 	Count int
 	// Deadline is the earliest time by which one of them must have begun.
 	Deadline time.Time
@@ -28,9 +29,10 @@
 	Priority int
 }
 
-// Usage is how much a unit was used since usage was last taken.
+// Usage is how much a unit was used since the last call of TakeUsage.
 type Usage struct {
 	Key
+	// Requests is the number of requests.
 	Requests int
 	// Tokens is the number of prompt tokens to process.
 	Tokens int
@@ -38,8 +40,10 @@
 
 // Tracker collects the demand of one node. Its methods may be called concurrently.
 type Tracker struct {
-	mutex   sync.Mutex
-	next    int
+	mutex sync.Mutex
+	// lastID is the number given to the latest waiting request; waiting holds the requests by
+	// that number.
+	lastID  int
 	waiting map[Key]map[int]waitingRequest
 	usage   map[Key]*Usage
 	// urgent holds a channel for each service, signalled when requests begin to wait for one
@@ -47,6 +51,7 @@
 	urgent map[string]chan struct{}
 }
 
+// waitingRequest is one request that waits for a unit.
 type waitingRequest struct {
 	deadline time.Time
 	priority int
@@ -85,8 +90,8 @@
 func (tr *Tracker) AddWaiting(key Key, deadline time.Time, priority int) (end func()) {
 	tr.mutex.Lock()
 	defer tr.mutex.Unlock()
-	tr.next++
-	id := tr.next
+	tr.lastID++
+	id := tr.lastID
 	if tr.waiting[key] == nil {
 		tr.waiting[key] = make(map[int]waitingRequest)
 		tr.signal(key.Service)
@@ -95,6 +100,7 @@
 	return func() { tr.end(key, id) }
 }
 
+// end removes a waiting request.
 func (tr *Tracker) end(key Key, id int) {
 	tr.mutex.Lock()
 	defer tr.mutex.Unlock()
@@ -125,7 +131,7 @@
 	usage.Tokens += tokens
 }
 
-// Waits reports whether any request waits at a service.
+// Waits reports whether any request waits for a unit of a service.
 func (tr *Tracker) Waits(service string) bool {
 	tr.mutex.Lock()
 	defer tr.mutex.Unlock()
@@ -137,7 +143,7 @@
 	return false
 }
 
-// Waiting returns what requests wait for now.
+// Waiting returns a summary for each key that requests wait for now, in no particular order.
 func (tr *Tracker) Waiting() []Waiting {
 	tr.mutex.Lock()
 	defer tr.mutex.Unlock()
@@ -163,7 +169,7 @@
 	return summary
 }
 
-// TakeUsage returns a service's usage since the last call.
+// TakeUsage returns a service's usage since the last call, in no particular order.
 func (tr *Tracker) TakeUsage(service string) []Usage {
 	tr.mutex.Lock()
 	defer tr.mutex.Unlock()
--- a/internal/demand/tracker_test.go
+++ b/internal/demand/tracker_test.go
@@ -9,6 +9,7 @@
 	"lilacvane/internal/backend"
 )
 
+// isSignalled reports whether a signal is pending, and consumes it.
 func isSignalled(urgent <-chan struct{}) bool {
 	select {
 	case <-urgent:
