--- a/internal/weightstore/weightstore.go
+++ b/internal/weightstore/weightstore.go
@@ -1,7 +1,8 @@
 // Package weightstore estimates how many concurrent loads of weights the store carries at full
 // speed, from the duration of loads compared with their nominal time. The store fixes the
-// duration of a load at its begin, by the number of loads active then: beyond its capacity it
-// grows in proportion to that number. The package does no I/O and doesn't read the clock.
+// duration of a load when it begins, by the number of loads active then: beyond the store's
+// capacity it grows in proportion to that number. The package does no I/O and doesn't read the
+// clock.
 //
 // The estimate works like congestion control for a network path. Until a load is slow, the
 // limit on concurrent loads is twice the number that was seen to keep the nominal time. A slow
@@ -37,7 +38,7 @@
 	minCapacity = 0.25
 )
 
-// Estimate is the estimate for a store.
+// Estimate is what is known about a store's capacity.
 type Estimate struct {
 	// Limit is the number of concurrent loads allowed.
 	Limit int
@@ -49,7 +50,7 @@
 // load is an active load.
 type load struct {
 	nominal time.Duration
-	// concurrency is the number of active loads at its begin, including itself.
+	// concurrency is the number of active loads when it began, including itself.
 	concurrency int
 	began       time.Time
 }
@@ -61,7 +62,7 @@
 	// onTime is the number of consecutive loads at the limit that kept their nominal time.
 	onTime int
 	loads  map[string]*load
-	// foreign is the number of loads that others may have active.
+	// foreign is the number of loads that may be active without having begun here.
 	foreign int
 }
 
@@ -77,13 +78,14 @@
 // Estimate returns the current estimate.
 func (e *Estimator) Estimate() Estimate { return e.estimate }
 
-// UnderWay returns the number of active loads, including those of others.
+// UnderWay returns the number of active loads, including foreign ones: those that may
+// be active without having begun here.
 func (e *Estimator) UnderWay() int { return len(e.loads) + e.foreign }
 
 // Free returns how many more loads may begin.
 func (e *Estimator) Free() int { return max(e.estimate.Limit-e.UnderWay(), 0) }
 
-// Follow sets the number of loads that others may have active and checks for overdue loads.
+// Follow sets the number of foreign loads and lowers the estimate if a load is overdue.
 func (e *Estimator) Follow(foreign int, now time.Time) {
 	e.foreign = foreign
 	for _, l := range e.loads {
@@ -93,7 +95,7 @@
 	}
 }
 
-// Begin records the begin of a load on a runner.
+// Begin records that a load with the nominal duration begins on a runner now.
 func (e *Estimator) Begin(runner string, nominal time.Duration, now time.Time) {
 	delete(e.loads, runner)
 	e.loads[runner] = &load{nominal: nominal, concurrency: e.UnderWay() + 1, began: now}
@@ -147,6 +149,7 @@
 	e.setCapacity(capacity)
 }
 
+// setCapacity sets the capacity and the limit that follows from it.
 func (e *Estimator) setCapacity(capacity float64) {
 	e.onTime = 0
 	e.estimate.Capacity = max(capacity, minCapacity)
@@ -187,7 +190,7 @@
 }
 
 // Slowdown returns the factor by which a load exceeds its nominal time if underWay loads,
-// including itself, are active at its begin.
+// including itself, are active when it begins.
 func (e *Estimator) Slowdown(underWay int) float64 {
 	if e.estimate.Capacity == 0 {
 		return 1
--- a/internal/weightstore/weightstore_test.go
+++ b/internal/weightstore/weightstore_test.go
@@ -14,7 +14,7 @@
 const step = 20 * time.Millisecond
 
 // store simulates a weight store with a capacity in virtual time. Like the real store, it
-// fixes the duration of a load at its begin, by the number of active loads.
+// fixes the duration of a load when it begins, by the number of active loads.
 type store struct {
 	capacity float64
 	ends     map[string]time.Time
@@ -170,17 +170,17 @@
 	for _, capacity := range []float64{2, 6, 13} {
 		e, s := New(Estimate{}), newStore(capacity)
 		s.run(e, nominal, 0, 20*nominal)
-		var off []float64
+		var errors []float64
 		for range 40 {
 			s.run(e, nominal, 0, nominal/3)
 			if e.Free() > 0 {
-				told := e.Slowdown(e.UnderWay() + 1)
-				off = append(off, math.Abs(told/max(1, float64(len(s.ends)+1)/capacity)-1))
+				predicted := e.Slowdown(e.UnderWay() + 1)
+				errors = append(errors, math.Abs(predicted/max(1, float64(len(s.ends)+1)/capacity)-1))
 				s.begin(e, nominal)
 			}
 		}
-		slices.Sort(off)
-		assert.Assert(t, len(off) == 0 || off[len(off)/2] <= 0.15, "capacity %v: %v", capacity, off)
+		slices.Sort(errors)
+		assert.Assert(t, len(errors) == 0 || errors[len(errors)/2] <= 0.15, "capacity %v: %v", capacity, errors)
 	}
 }
 
