--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -19,8 +19,8 @@
 	// there: making a connection may take 350 ms (see package upstream), and the transfer
 	// some ms.
 	sendMargin = 500 * time.Millisecond
-	// maxAnswerAge is the maximum age of the information in an answer: a relay that heard of
-	// the store 0.9 s ago still answers (see package relay), and the answer takes a moment.
+	// maxAnswerAge is the maximum age of the information in an answer: a relay still answers
+	// 0.9 s after the store last answered it (see package relay), and its answer takes a moment.
 	maxAnswerAge = time.Second
 	// returnRamp is the time in which a zone's share rises from zero to one. A runner that
 	// has just started is slow for some seconds, and the first requests show its capacity.
@@ -28,7 +28,7 @@
 	returnRamp = 3 * time.Second
 )
 
-// State is how far a zone is out.
+// State is the state of a zone: in use, out, or on the way between these.
 type State uint8
 
 // States of a zone.
@@ -82,10 +82,10 @@
 	// revision is the revision of the latest row of the zone.
 	revision uint64
 	out      bool
-	// heardAt is when this node learned that the zone is out. leftAt is when the zone
-	// becomes Out.
-	heardAt time.Time
-	leftAt  time.Time
+	// learnedAt is when this node learned that the zone is out. leftAt is when the zone becomes
+	// Out.
+	learnedAt time.Time
+	leftAt    time.Time
 	// returnedAt is when this node learned that the zone was taken back.
 	returnedAt time.Time
 }
@@ -134,6 +134,7 @@
 	return next
 }
 
+// copy returns a table that may be changed; an empty one for a nil Table.
 func (t *Table) copy() *Table {
 	if t == nil {
 		return &Table{zones: make(map[place.Zone]entry)}
@@ -152,10 +153,11 @@
 	case seen && row.Revision <= known.revision:
 		// The zone was taken back after this row.
 	default:
-		t.zones[row.Zone] = entry{revision: row.Revision, out: true, heardAt: now, leftAt: leftAt, returnedAt: known.returnedAt}
+		t.zones[row.Zone] = entry{revision: row.Revision, out: true, learnedAt: now, leftAt: leftAt, returnedAt: known.returnedAt}
 	}
 }
 
+// markReturned returns the entry with its zone taken back at now.
 func (e entry) markReturned(revision uint64, now time.Time) entry {
 	e.revision, e.out, e.returnedAt = revision, false, now
 	return e
@@ -174,13 +176,13 @@
 	}
 }
 
-// Read reports whether the zones have been read in full.
+// Read reports whether the zones have ever been read in full.
 func (t *Table) Read() bool { return t != nil }
 
-// Quiet reports whether the zones were read and none was ever out.
+// Quiet reports whether the zones have been read in full and none was ever out.
 func (t *Table) Quiet() bool { return t != nil && len(t.zones) == 0 }
 
-// State returns how far a zone is out.
+// State returns the state of a zone; Out if the zones have not been read in full.
 func (t *Table) State(zone place.Zone, now time.Time) State {
 	if t == nil {
 		return Out
@@ -237,7 +239,7 @@
 	statuses := make([]Status, 0, len(t.zones))
 	for zone, known := range t.zones {
 		statuses = append(statuses, Status{
-			Zone: zone, State: known.state(now), Revision: known.revision, HeardAt: known.heardAt, LeftAt: known.leftAt, ReturnedAt: known.returnedAt,
+			Zone: zone, State: known.state(now), Revision: known.revision, HeardAt: known.learnedAt, LeftAt: known.leftAt, ReturnedAt: known.returnedAt,
 		})
 	}
 	slices.SortFunc(statuses, func(a, b Status) int { return cmp.Compare(a.Zone, b.Zone) })
--- a/internal/evacuation/evacuation_test.go
+++ b/internal/evacuation/evacuation_test.go
@@ -22,6 +22,8 @@
 
 func emptyTable() *Table { return (*Table)(nil).ApplySnapshot(nil, start) }
 
+// TestNothingIsKnownBeforeTheWholeRead checks that any zone counts as Out until the zones have
+// been read in full, even if changes arrive before.
 func TestNothingIsKnownBeforeTheWholeRead(t *testing.T) {
 	var unread *Table
 	assert.Equal(t, unread.State("a", start), Out)
@@ -31,6 +33,7 @@
 	assert.Equal(t, emptyTable().State("a", start), In)
 }
 
+// TestZoneGoesOutAndComesBack follows a zone through all states, with its share of requests.
 func TestZoneGoesOutAndComesBack(t *testing.T) {
 	table := emptyTable().ApplyChanges([]Row{{Zone: "a", Revision: 4}}, shortGap, bounds, start)
 	assert.Equal(t, table.State("a", start), Leaving)
@@ -79,6 +82,8 @@
 	assert.Assert(t, !returned)
 }
 
+// TestOutdatedRowsAreIgnored checks that a row older than the known one changes nothing, in
+// changes and in full reads.
 func TestOutdatedRowsAreIgnored(t *testing.T) {
 	table := emptyTable().ApplyChanges([]Row{{Zone: "a", Revision: 4}}, shortGap, bounds, start)
 	assert.Equal(t, table.ApplyChanges([]Row{{Zone: "a", Revision: 3, Returned: true}}, shortGap, bounds, start).State("a", start), Leaving)
@@ -90,6 +95,8 @@
 	}
 }
 
+// TestMissingInWholeReadIsTakenBack checks that a zone missing from a full read counts as taken
+// back.
 func TestMissingInWholeReadIsTakenBack(t *testing.T) {
 	table := emptyTable().ApplySnapshot([]Row{{Zone: "a", Revision: 4}, {Zone: "b", Revision: 5}}, start)
 	assert.Equal(t, table.CountOut(), 2)
@@ -164,16 +171,16 @@
 
 // rowsAt returns the rows present after the first end changes.
 func rowsAt(history []tableChange, end int) []Row {
-	standing := make(map[place.Zone]Row)
+	present := make(map[place.Zone]Row)
 	for _, change := range history[:end] {
 		if change.row.Returned {
-			delete(standing, change.row.Zone)
+			delete(present, change.row.Zone)
 		} else {
-			standing[change.row.Zone] = change.row
+			present[change.row.Zone] = change.row
 		}
 	}
 	var rows []Row
-	for _, row := range standing {
+	for _, row := range present {
 		rows = append(rows, row)
 	}
 	return rows
@@ -227,6 +234,7 @@
 	})
 }
 
+// checkAgainst compares a node's table with the history that the node has read.
 func checkAgainst(t *rapid.T, node *follower, history []tableChange, zones []place.Zone, now time.Time) {
 	for _, zone := range zones {
 		state := node.table.State(zone, now)
