--- a/internal/sleep/gaps.go
+++ b/internal/sleep/gaps.go
@@ -9,15 +9,21 @@
 )
 
 const (
-	gapBuckets   = 40
-	firstGap     = time.Second
-	gapFactor    = 1.3
-	decay        = 0.98
-	minGaps      = 3.0
+	// The histogram has gapBuckets buckets. The first one ends at firstGap, each other one at
+	// gapFactor times the end of the one before, and the last one also holds all longer gaps.
+	gapBuckets = 40
+	firstGap   = time.Second
+	gapFactor  = 1.3
+	// decay multiplies the weight of the older observations at each new one.
+	decay = 0.98
+	// minGaps is the total weight from which the histogram is used.
+	minGaps = 3.0
+	// minKeepAlive is the shortest keep-alive time, unless the limit is shorter.
 	minKeepAlive = 2 * time.Second
 )
 
-// Gaps is a decaying histogram of the idle times between two uses of a unit.
+// Gaps is a decaying histogram of the idle times between two uses of a unit. The zero value has
+// no observations.
 type Gaps struct {
 	weights [gapBuckets]float64
 	total   float64
@@ -28,6 +34,7 @@
 	return time.Duration(float64(firstGap) * math.Pow(gapFactor, float64(bucket)))
 }
 
+// gapBucket returns the bucket of a gap.
 func gapBucket(gap time.Duration) int {
 	if gap <= firstGap {
 		return 0
@@ -72,6 +79,7 @@
 	return clamp(best, limit)
 }
 
+// clamp limits a keep-alive time to the range from minKeepAlive to limit.
 func clamp(keep, limit time.Duration) time.Duration {
 	return min(max(keep, minKeepAlive), limit)
 }
--- a/internal/sleep/keeper.go
+++ b/internal/sleep/keeper.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Replica is a model on a runner where it is or would be loaded.
+// Replica is a unit on a runner where it is or would be loaded.
 type Replica struct {
+	// Name identifies the unit.
 	Name string
 	// LoadTime is the duration of a load there.
 	LoadTime time.Duration
@@ -34,7 +35,7 @@
 	return s.IdlePerColdSecond * math.Pow(r.LoadTime.Seconds(), s.TailPower) / max(r.Share, minShare)
 }
 
-// minShare limits how cheap it is to keep a small unit.
+// minShare is the smallest share that counts: it limits how cheap it is to keep a small unit.
 const minShare = 0.001
 
 // Keeper learns the idle times of units and decides how long they stay loaded. It is safe for
@@ -105,8 +106,8 @@
 	return true
 }
 
-// WakeAhead reports whether a model should be loaded now because it is usually used at about
-// this time.
+// WakeAhead reports whether a unit should be loaded now because it is usually used at about
+// this local time. It is false if the keep-alive time is fixed.
 func (k *Keeper) WakeAhead(replica Replica, local time.Time) bool {
 	if k.settings.Fixed > 0 {
 		return false
--- a/internal/sleep/pattern.go
+++ b/internal/sleep/pattern.go
@@ -6,8 +6,10 @@
 )
 
 const (
-	slotLength   = 10 * time.Minute
-	slotsPerDay  = int(24 * time.Hour / slotLength)
+	slotLength  = 10 * time.Minute
+	slotsPerDay = int(24 * time.Hour / slotLength)
+	// minSmoothing is the weight of a new observation of a slot once there are many; the first
+	// ones count equally.
 	minSmoothing = 0.15
 	daysPerWeek  = 7
 	// minWeeks is the number of observations of a weekday from which its own share is used.
@@ -18,8 +20,10 @@
 // time.
 type Pattern struct {
 	// daily are the slots of all days, weekly those of each weekday.
-	daily       [slotsPerDay]slotShare
-	weekly      [daysPerWeek][slotsPerDay]slotShare
+	daily  [slotsPerDay]slotShare
+	weekly [daysPerWeek][slotsPerDay]slotShare
+	// weekday and currentSlot name the slot of the latest observation. used is set if the unit
+	// was used in it, started once there is an observation.
 	weekday     time.Weekday
 	currentSlot int
 	used        bool
@@ -42,6 +46,7 @@
 	return p
 }
 
+// slotOf returns the slot of a local time.
 func slotOf(local time.Time) int {
 	midnight := time.Duration(local.Hour())*time.Hour + time.Duration(local.Minute())*time.Minute
 	return int(midnight / slotLength)
@@ -88,6 +93,7 @@
 	days  uint16
 }
 
+// observe adds a day; seen is 1 if the slot was used on it, else 0.
 func (s *slotShare) observe(seen float64) {
 	smoothing := max(minSmoothing, 1/float64(s.days+1))
 	s.share = float32((1-smoothing)*float64(s.share) + smoothing*seen)
