--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -17,14 +17,18 @@
 
 // Limits of a program.
 const (
+	// MaximumBytes is the maximum length of its source.
 	MaximumBytes = 4096
-	costLimit    = 10000
+	// costLimit is the maximum cost of a run, in CEL cost units.
+	costLimit = 10000
 )
 
+// stepCheck is the step named in errors of Compile.
 const stepCheck = "check policy"
 
 // Input is the input of a program.
 type Input struct {
+	// Model and Region are the names of the model and of the region.
 	Model  string
 	Region string
 	// Time must be in the time zone in which hour, minute and weekday are read.
@@ -54,6 +58,7 @@
 	return env
 }
 
+// noEstimates leaves all cost estimates to the CEL library.
 type noEstimates struct{}
 
 func (noEstimates) EstimateSize(cost.AstNode) *cost.SizeEstimate { return nil }
@@ -61,8 +66,8 @@
 	return nil
 }
 
-// Compile compiles a program and checks its syntax, types and cost. Errors contain the line
-// and column.
+// Compile compiles a program and checks its length, syntax, types and maximum cost. Errors have
+// fault.CodeInvalid; those about syntax, types and cost name the line and column.
 func Compile(source string) (*Program, error) {
 	if len(source) > MaximumBytes {
 		return nil, fault.New(fault.CodeInvalid, stepCheck, "program has %d bytes, at most %d are allowed", len(source), MaximumBytes)
@@ -88,13 +93,15 @@
 	return &Program{program: program}, nil
 }
 
+// positionError returns the first of the issues as an error with its line and column.
 func positionError(issues *cel.Issues) error {
 	first := issues.Errors()[0]
 	text := fmt.Sprintf("line %d, column %d: %s", first.Location.Line(), first.Location.Column()+1, first.Message)
 	return fault.New(fault.CodeInvalid, stepCheck, "%s", text)
 }
 
-// Ready runs the program. The result is limited to the range from 0 to api.MaximumReplicas.
+// Ready runs the program and returns the number of replicas to keep ready, limited to the range
+// from 0 to api.MaximumReplicas. It fails if the run does, as by a division by zero.
 func (p *Program) Ready(input Input) (int, error) {
 	const step = "run policy"
 	value, _, err := p.program.Eval(map[string]any{
--- a/internal/policy/set.go
+++ b/internal/policy/set.go
@@ -27,12 +27,14 @@
 	failures    map[string]string
 }
 
+// compiledPolicy is the program of one generation of a policy.
 type compiledPolicy struct {
 	generation uint64
 	models     []string
 	program    *Program
 }
 
+// resultKey identifies the results of a policy for a model.
 type resultKey struct {
 	policy string
 	model  string
@@ -113,7 +115,7 @@
 	return ready
 }
 
-// Failures returns the errors of policies that don't compile or run, by name.
+// Failures returns the latest errors of policies that don't compile or run, by policy name.
 func (s *Set) Failures() map[string]string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
