--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -11,20 +11,22 @@
 
 // Log is a ring buffer of decisions. It is safe for concurrent use.
 type Log struct {
-	mutex   sync.Mutex
+	mutex sync.Mutex
+	// node is the name of the node that decides.
 	node    string
 	entries []wire.Decision
-	next    int
+	// next is the index of the oldest entry, which the next one replaces once the log is full.
+	next int
 }
 
-// NewLog returns a log that keeps a node's newest decisions, as many as capacity says.
+// NewLog returns a log that keeps the newest decisions of a node, at most capacity of them.
 func NewLog(node string, capacity int) *Log {
 	return &Log{node: node, entries: make([]wire.Decision, 0, capacity)}
 }
 
-// Add records a decision and sets its time and node. The subject is model/NAME,
-// replica/RUNNER, zone/NAME or request/ID; the revision is that of the configuration on
-// which the decision was based.
+// Add records a decision and sets its time and node. The caller sets the subject, which is
+// model/NAME, replica/RUNNER, zone/NAME or request/ID, and the revision of the configuration
+// on which the decision was based.
 func (l *Log) Add(entry wire.Decision) {
 	entry.Time, entry.Node = time.Now().UTC(), l.node
 	l.mutex.Lock()
