--- a/internal/node/backoff.go
+++ b/internal/node/backoff.go
@@ -30,39 +30,39 @@
 }
 
 // recordFailure records that a peer did not answer. Requests that failed concurrently count once.
-func (m *peerBackoff) recordFailure(address string) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	peer := m.peers[address]
-	if m.now().Before(peer.until) && !peer.probing {
+func (b *peerBackoff) recordFailure(address string) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	peer := b.peers[address]
+	if b.now().Before(peer.until) && !peer.probing {
 		return
 	}
 	peer.probing = false
-	peer.pause = min(max(2*peer.pause, m.initial), m.maxPause)
-	peer.until = m.now().Add(peer.pause)
-	m.peers[address] = peer
+	peer.pause = min(max(2*peer.pause, b.initial), b.maxPause)
+	peer.until = b.now().Add(peer.pause)
+	b.peers[address] = peer
 }
 
 // clear records that a peer answered.
-func (m *peerBackoff) clear(address string) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	delete(m.peers, address)
+func (b *peerBackoff) clear(address string) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	delete(b.peers, address)
 }
 
 // blocked reports whether a peer must be skipped now. Once a pause is over, one caller may probe
 // the peer while the others keep skipping it.
-func (m *peerBackoff) blocked(address string) bool {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	peer, known := m.peers[address]
+func (b *peerBackoff) blocked(address string) bool {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	peer, known := b.peers[address]
 	if !known {
 		return false
 	}
-	if m.now().Before(peer.until) {
+	if b.now().Before(peer.until) {
 		return true
 	}
-	peer.until, peer.probing = m.now().Add(m.initial), true
-	m.peers[address] = peer
+	peer.until, peer.probing = b.now().Add(b.initial), true
+	b.peers[address] = peer
 	return false
 }
--- a/internal/node/cold.go
+++ b/internal/node/cold.go
@@ -18,12 +18,12 @@
 	if configuration == nil || configuration.Services[service] == nil {
 		return coldstart.Terms{}
 	}
-	s, described := n.settings.Load(), configuration.Services[service]
-	var way coldstart.Strategy = coldstart.Lent{}
-	if described.Engine == nil {
-		way = coldstart.Randomized{Node: s.Node, Nodes: int(n.nodes.Load())}
+	s, definition := n.settings.Load(), configuration.Services[service]
+	var strategy coldstart.Strategy = coldstart.Lent{}
+	if definition.Engine == nil {
+		strategy = coldstart.Randomized{Node: s.Node, Nodes: int(n.nodes.Load())}
 	}
-	return coldstart.NewTerms(described.ColdRate, s.ColdStart.Share, s.ColdStart.Slack, described.ColdStart, way)
+	return coldstart.NewTerms(definition.ColdRate, s.ColdStart.Share, s.ColdStart.Slack, definition.ColdStart, strategy)
 }
 
 // limitTerms returns the rules for a runner that limits itself to rate requests per second. Permits
@@ -95,9 +95,9 @@
 			"bound", int(terms.Bound), "startMs", terms.Start.Milliseconds())
 	}
 	if len(warm) > 0 {
-		metrics := c.node.fleet.ColdFigures()
+		figures := c.node.fleet.ColdFigures()
 		c.node.log.Info("runners warm", "runners", warm, "rate", terms.Rate, "bound", int(terms.Bound),
-			"permitsLent", metrics.Lent, "permitsSpent", metrics.Spent, "permitsRefused", metrics.Refused)
+			"permitsLent", figures.Lent, "permitsSpent", figures.Spent, "permitsRefused", figures.Refused)
 	}
 	if next == 0 {
 		return maxColdCheckInterval
--- a/internal/node/controls.go
+++ b/internal/node/controls.go
@@ -35,8 +35,10 @@
 	services map[string]*serviceControl
 }
 
+// serviceControl holds what controls one service: the elector competes for its control lease, and
+// the controller acts while the lease is held.
 type serviceControl struct {
-	lessor     *lease.Elector
+	elector    *lease.Elector
 	controller *control.Controller
 	end        context.CancelFunc
 }
@@ -79,24 +81,24 @@
 	ctx, end := context.WithCancel(c.ctx)
 	var syncer *control.Syncer
 	options.Heard = func() bool { return syncer.Heard() }
-	lessor := lease.New(n.platform.Leases, leasePrefix+service, s.Node, s.Listen.PeerAddress(), n.process, options, n.log.Logger)
+	elector := lease.New(n.platform.Leases, leasePrefix+service, s.Node, s.Listen.PeerAddress(), n.process, options, n.log.Logger)
 	controller := control.NewController(control.Options{
-		Service: service, Node: s.Node, Lessor: lessor, Runners: n.platform.Control, Fleet: n.fleet, Rules: placementRules{(*operatorRules)(n)}, Statements: n.statements, Stated: (*statementExchange)(n), NeedList: n.requireFullList, ListRevision: n.followers.runners.AppliedRevision, Configuration: n.configuration.Load,
+		Service: service, Node: s.Node, Lessor: elector, Runners: n.platform.Control, Fleet: n.fleet, Rules: placementRules{(*operatorRules)(n)}, Statements: n.statements, Stated: (*statementExchange)(n), NeedList: n.requireFullList, ListRevision: n.followers.runners.AppliedRevision, Configuration: n.configuration.Load,
 		Policies: n.policies, Sleeper: newSleeper(s.Sleep, n.policies.Zone()), ObserveLoad: n.metrics.ObserveLoad, Divide: n.limits.divide, CountCrashes: n.quarantine.AddReport, Terms: n.coldTerms, RecordDecision: n.recordDecision, Log: n.log.Logger,
 	})
 	self := wire.Member{Node: s.Node, Zone: s.Zone, Region: s.Region, Address: s.Listen.PeerAddress()}
-	syncer = control.NewSyncer(service, self, s.Capacity.Spare(), lessor, controller, n.client, n.demand, n.fleet, n.limits.forService(service), n.quarantine.ReportsFor(service), (*statementExchange)(n), n.observeFleet, n.log.Logger)
-	c.work.Go(func() { lessor.Run(ctx) })
+	syncer = control.NewSyncer(service, self, s.Capacity.Spare(), elector, controller, n.client, n.demand, n.fleet, n.limits.forService(service), n.quarantine.ReportsFor(service), (*statementExchange)(n), n.observeFleet, n.log.Logger)
+	c.work.Go(func() { elector.Run(ctx) })
 	c.work.Go(func() { controller.Run(ctx) })
 	c.work.Go(func() { syncer.Run(ctx) })
-	return &serviceControl{lessor: lessor, controller: controller, end: end}
+	return &serviceControl{elector: elector, controller: controller, end: end}
 }
 
 // countHeld returns how many control leases this node holds.
 func (c *controls) countHeld() int {
 	held := 0
 	for _, s := range c.all() {
-		if s.lessor.Holds() {
+		if s.elector.Holds() {
 			held++
 		}
 	}
@@ -137,16 +139,16 @@
 func (c *controls) peerLeaseReader(service string) func(context.Context) ([]byte, uint64, bool) {
 	lastAnswer := time.Now()
 	return func(ctx context.Context) ([]byte, uint64, bool) {
-		informant := c.node.relay.LeaseQueryPeer()
-		if informant == "" {
+		address := c.node.relay.LeaseQueryPeer()
+		if address == "" {
 			return nil, 0, false
 		}
 		ctx, cancel := context.WithTimeout(ctx, leaseReadTimeout)
 		defer cancel()
 		request := wire.LeaseRequest{Service: service, Spare: c.node.settings.Load().Capacity.Spare()}
 		var response wire.LeaseResponse
-		if err := c.node.client.Call(ctx, informant, wire.MethodLease, request, &response); err != nil {
-			c.node.log.Info("lease not told by a peer", "service", service, "peer", informant, "error", err.Error())
+		if err := c.node.client.Call(ctx, address, wire.MethodLease, request, &response); err != nil {
+			c.node.log.Info("lease not told by a peer", "service", service, "peer", address, "error", err.Error())
 			return nil, 0, time.Since(lastAnswer) < leaseFallbackDelay
 		}
 		lastAnswer = time.Now()
@@ -164,8 +166,8 @@
 	if s == nil {
 		return wire.LeaseResponse{}, nil
 	}
-	value, revision, err := s.lessor.Row()
-	_, held := s.lessor.Holder()
+	value, revision, err := s.elector.Row()
+	_, held := s.elector.Holder()
 	free := !held && request.Spare >= c.node.settings.Load().Capacity.Spare()
 	return wire.LeaseResponse{Value: value, Revision: revision, Free: free}, err
 }
@@ -179,7 +181,7 @@
 // holds reports whether this node holds the control lease of a service.
 func (c *controls) holds(service string) bool {
 	s := c.get(service)
-	return s != nil && s.lessor.Holds()
+	return s != nil && s.elector.Holds()
 }
 
 func (c *controls) all() map[string]*serviceControl {
@@ -216,10 +218,10 @@
 	if s == nil {
 		return wire.FleetResponse{}, fault.New(fault.CodeNotFound, "describe fleet", "no service %s", service)
 	}
-	if s.lessor.Holds() {
+	if s.elector.Holds() {
 		return s.controller.Describe()
 	}
-	record, known := s.lessor.Holder()
+	record, known := s.elector.Holder()
 	if !known {
 		return wire.FleetResponse{}, fault.New(fault.CodeNotHolder, "describe fleet", "no node holds the lease of %s", service)
 	}
@@ -256,7 +258,7 @@
 func (c *controls) release(ctx context.Context) {
 	var releases sync.WaitGroup
 	for _, s := range c.all() {
-		releases.Go(func() { s.lessor.Release(ctx) })
+		releases.Go(func() { s.elector.Release(ctx) })
 	}
 	releases.Wait()
 }
--- a/internal/node/division.go
+++ b/internal/node/division.go
@@ -61,7 +61,7 @@
 // step moves shares once.
 func (l *limits) step(ctx context.Context) error {
 	control := l.node.controls.get(*l.service.Load())
-	if control == nil || !control.lessor.Acting() {
+	if control == nil || !control.elector.Acting() {
 		l.mutex.Lock()
 		l.divider = nil
 		l.mutex.Unlock()
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -75,8 +75,8 @@
 }
 
 // run follows all tables until ctx ends.
-func (k *followers) run(ctx context.Context, work *sync.WaitGroup) {
-	for _, follower := range []*feed.Follower{k.configuration, k.objects, k.runners, k.poison} {
+func (f *followers) run(ctx context.Context, work *sync.WaitGroup) {
+	for _, follower := range []*feed.Follower{f.configuration, f.objects, f.runners, f.poison} {
 		work.Go(func() { follower.Run(ctx) })
 	}
 }
@@ -84,8 +84,8 @@
 // configurationHandler applies the platform's part of the configuration.
 type configurationHandler Node
 
-// ApplySnapshot applies the whole table. Zones come first, so that no request is served before it is known
-// which zones are evacuated.
+// ApplySnapshot applies the whole table. Zones come first, so that no request is served before it
+// is known which zones are evacuated.
 func (h *configurationHandler) ApplySnapshot(rows []feed.Row, _ time.Duration) {
 	h.zones.applySnapshot(h.evacuationRows(rows))
 	h.configure(rows)
@@ -234,8 +234,8 @@
 	h.fleet.SetListRevision(h.followers.runners.DeliveringRevision())
 	h.fleet.Apply(changed, append(removed, unusable...), doubtful)
 	// One line per batch, as each of hundreds of nodes reports hundreds of runners.
-	if leaving := drainingRunners(changed); len(leaving) > 0 {
-		h.log.Info("runners leaving", "runners", leaving)
+	if draining := drainingRunners(changed); len(draining) > 0 {
+		h.log.Info("runners leaving", "runners", draining)
 	}
 	if len(removed) > 0 {
 		h.log.Info("runners gone", "runners", removed, "doubtful", doubtful)
@@ -256,13 +256,13 @@
 
 // listPace is how long this node batches changes of runners. A node that controls a service does
 // not batch: other nodes trust what it reports about runners only if its list is as new as theirs.
-func (n *Node) listPace() time.Duration { return gatherInterval(n.fleet, n.relay.Pace) }
+func (n *Node) listPace() time.Duration { return batchInterval(n.fleet, n.relay.Pace) }
 
-func gatherInterval(known *fleet.Fleet, reader func() time.Duration) time.Duration {
-	if known.KeepsAll() {
+func batchInterval(runners *fleet.Fleet, pace func() time.Duration) time.Duration {
+	if runners.KeepsAll() {
 		return 0
 	}
-	return reader()
+	return pace()
 }
 
 // requireFullList makes this node keep all runners while it controls a service.
@@ -275,16 +275,17 @@
 
 // drainingRunners lists the runners that are draining.
 func drainingRunners(runners []backend.Runner) []string {
-	var leaving []string
+	var draining []string
 	for _, runner := range runners {
 		if runner.Draining {
-			leaving = append(leaving, runner.ID)
+			draining = append(draining, runner.ID)
 		}
 	}
-	return leaving
+	return draining
 }
 
-// afterListChange closes connections to runners that left and wakes the controllers.
+// afterListChange closes connections to runners that are no longer listed and wakes the
+// controllers.
 func (h *runnerHandler) afterListChange() {
 	h.pool.Forget(h.fleet.Named)
 	h.cold.checkSoon()
--- a/internal/node/follow_test.go
+++ b/internal/node/follow_test.go
@@ -13,12 +13,12 @@
 // an older list than theirs, other nodes would not trust what it reports about runners.
 func TestLeaseHolderReadsRunnersWithoutDelay(t *testing.T) {
 	const pace = 985 * time.Millisecond
-	known := fleet.New("zone", time.Now, nil)
-	known.SetBound("node", fleet.DefaultBound)
-	at := func() time.Duration { return gatherInterval(known, func() time.Duration { return pace }) }
-	assert.Equal(t, at(), pace)
-	known.KeepAll(true)
-	assert.Equal(t, at(), time.Duration(0))
-	known.KeepAll(false)
-	assert.Equal(t, at(), pace)
+	runners := fleet.New("zone", time.Now, nil)
+	runners.SetBound("node", fleet.DefaultBound)
+	interval := func() time.Duration { return batchInterval(runners, func() time.Duration { return pace }) }
+	assert.Equal(t, interval(), pace)
+	runners.KeepAll(true)
+	assert.Equal(t, interval(), time.Duration(0))
+	runners.KeepAll(false)
+	assert.Equal(t, interval(), pace)
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -18,7 +18,7 @@
 		Resting:     func() int { return n.statements.CountResting() },
 		Quarantined: func() int { return n.quarantine.CountRefused() },
 		ZonesOut:    func() int { return n.zones.table.Load().CountOut() },
-		Cold:        n.fleet.ColdFigures, LogDropped: n.log.Dropped, Revision: n.revisionInForce,
+		Cold:        n.fleet.ColdFigures, LogDropped: n.log.Dropped, Revision: n.activeRevision,
 		Store:      func(value func(wire.StoreStatus) float64) float64 { return n.controls.sumStores(value) },
 		LeasesHeld: func() int { return n.controls.countHeld() },
 		Links:      n.platform.Links,
@@ -36,15 +36,15 @@
 // listAge returns how long ago the list of runners was last confirmed, or false if it was never
 // read.
 func (n *Node) listAge() (time.Duration, bool) {
-	heard := n.followers.runners.LastResponse()
-	return time.Since(heard), !heard.IsZero()
+	lastResponse := n.followers.runners.LastResponse()
+	return time.Since(lastResponse), !lastResponse.IsZero()
 }
 
 // configurationAge returns how long ago the store last confirmed the configuration, or false if it
 // was never read.
 func (n *Node) configurationAge() (time.Duration, bool) {
-	told := n.followers.configuration.AsOf()
-	return time.Since(told), !told.IsZero()
+	asOf := n.followers.configuration.AsOf()
+	return time.Since(asOf), !asOf.IsZero()
 }
 
 // configurationOrigin returns the current age and source of the configuration.
@@ -53,8 +53,8 @@
 	return dispatch.ConfigurationOrigin{Age: age, Source: n.relay.Upstream().String()}
 }
 
-// revisionInForce returns the revision of the active configuration, or zero if there is none.
-func (n *Node) revisionInForce() uint64 {
+// activeRevision returns the revision of the active configuration, or zero if there is none.
+func (n *Node) activeRevision() uint64 {
 	if configuration := n.configuration.Load(); configuration != nil {
 		return configuration.Revision
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -93,7 +93,8 @@
 	settings atomic.Pointer[settings.Settings]
 	platform Platform
 	log      *logging.Bounded
-	process  string
+	// process identifies this process: its ID and start time, as process IDs are reused.
+	process string
 
 	configuration atomic.Pointer[config.Configuration]
 	followers     *followers
@@ -135,7 +136,7 @@
 
 // New returns a node that is not running yet.
 func New(s settings.Settings, platform Platform, log *logging.Bounded) (*Node, error) {
-	zone, err := time.LoadLocation(s.TimeZone)
+	timeZone, err := time.LoadLocation(s.TimeZone)
 	if err != nil {
 		return nil, fault.New(fault.CodeInvalid, "start node", "time zone: %v", err)
 	}
@@ -156,7 +157,7 @@
 	n.fleet.SetColdStarts(fleet.ColdStarts{Terms: n.coldTerms, Limit: n.limitTerms, Returned: n.zones.returnedAt})
 	n.fleet.SetRegion(place.Region(s.Region))
 	n.committer = commit.New(platform.Objects, n.catalog)
-	n.policies = policy.NewSet(n.catalog, s.Region, zone)
+	n.policies = policy.NewSet(n.catalog, s.Region, timeZone)
 	n.closing, n.close = context.WithCancel(context.Background())
 	n.metrics = newMetrics(n)
 	meter := traffic.NewMeter(place.Region(s.Region), n.metrics.CountRegion)
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -323,7 +323,7 @@
 
 func (n *Node) holdsAny() bool {
 	for _, s := range n.controls.all() {
-		if s.lessor.Holds() {
+		if s.elector.Holds() {
 			return true
 		}
 	}
--- a/internal/node/pause.go
+++ b/internal/node/pause.go
@@ -13,10 +13,10 @@
 	// pauseThreshold is the time between two ticks above which the process is considered to have
 	// been paused.
 	pauseThreshold = 1200 * time.Millisecond
-	// shortPauseThreshold is the time between two ticks above which runners' answers may be waiting
-	// unread that ask for fewer requests.
+	// shortPauseThreshold is the time between two ticks above which the process may not have read
+	// answers in which runners ask for fewer requests.
 	shortPauseThreshold = 400 * time.Millisecond
-	// pendingReadTime is how long the node needs to read them.
+	// pendingReadTime suffices to read such answers after a pause.
 	pendingReadTime = 50 * time.Millisecond
 	// freshTimeout bounds how long a request waits for fresh tables after a pause.
 	freshTimeout      = 700 * time.Millisecond
@@ -66,8 +66,8 @@
 	p.lastTick.Store(int64(now))
 }
 
-// awaitPendingReads waits, after a pause, until the answers that arrived meanwhile are read. One of
-// them may be a runner's request to be left alone for a while.
+// awaitPendingReads waits, after a pause, until the answers that arrived meanwhile are read. In
+// one of them, a runner may ask for no requests for a while.
 func (p *pauseDetector) awaitPendingReads() {
 	p.tick()
 	if end := p.shortPauseEnd.Load(); end != 0 {
--- a/internal/node/sleeper.go
+++ b/internal/node/sleeper.go
@@ -12,17 +12,18 @@
 // sleeper tells the controller how long unused models stay loaded, based on what this node learned
 // while it held the lease.
 type sleeper struct {
-	enabled bool
-	keeper  *sleep.Keeper
-	zone    *time.Location
+	enabled  bool
+	keeper   *sleep.Keeper
+	timeZone *time.Location
 
 	mutex sync.Mutex
-	last  map[string]time.Time
+	// lastUse is when each model was last used.
+	lastUse map[string]time.Time
 }
 
-func newSleeper(s settings.Sleep, zone *time.Location) *sleeper {
+func newSleeper(s settings.Sleep, timeZone *time.Location) *sleeper {
 	return &sleeper{
-		enabled: s.FixedKeepAlive > 0 || s.IdleSecondsPerColdSecond > 0, zone: zone, last: make(map[string]time.Time),
+		enabled: s.FixedKeepAlive > 0 || s.IdleSecondsPerColdSecond > 0, timeZone: timeZone, lastUse: make(map[string]time.Time),
 		keeper: sleep.NewKeeper(sleep.Settings{
 			Fixed: s.FixedKeepAlive, IdlePerColdSecond: s.IdleSecondsPerColdSecond, TailPower: s.TailPower, Limit: s.Limit,
 		}),
@@ -39,18 +40,18 @@
 
 // WakeAhead reports whether a model is usually used around this time.
 func (s *sleeper) WakeAhead(model *config.Model, share float64, now time.Time) bool {
-	return s.keeper.WakeAhead(sleep.Replica{Name: model.Name, LoadTime: model.LoadTime, Share: share}, now.In(s.zone))
+	return s.keeper.WakeAhead(sleep.Replica{Name: model.Name, LoadTime: model.LoadTime, Share: share}, now.In(s.timeZone))
 }
 
 // Observe learns from the time of a model's last use.
 func (s *sleeper) Observe(model *config.Model, lastUse, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	before, known := s.last[model.Name]
+	before, known := s.lastUse[model.Name]
 	used := !known || lastUse.After(before)
 	if known && used {
 		s.keeper.ObserveGap(model.Name, lastUse.Sub(before))
 	}
-	s.last[model.Name] = lastUse
-	s.keeper.ObserveUse(model.Name, now.In(s.zone), used)
+	s.lastUse[model.Name] = lastUse
+	s.keeper.ObserveUse(model.Name, now.In(s.timeZone), used)
 }
--- a/internal/node/statements.go
+++ b/internal/node/statements.go
@@ -68,62 +68,62 @@
 const maxStatementAge = 24 * time.Hour
 
 // Own returns the statements that this node received itself.
-func (l *statementExchange) Own() ([]wire.RunnerLeaving, []wire.RunnerLimit) {
-	return l.leavingReports(l.statements.HeardLeaving()), l.limitReports(l.statements.HeardLimits())
+func (e *statementExchange) Own() ([]wire.RunnerLeaving, []wire.RunnerLimit) {
+	return e.leavingReports(e.statements.HeardLeaving()), e.limitReports(e.statements.HeardLimits())
 }
 
 // All also returns statements received from other nodes.
-func (l *statementExchange) All() ([]wire.RunnerLeaving, []wire.RunnerLimit) {
-	return l.leavingReports(l.statements.Leaving()), l.limitReports(l.statements.Limits())
+func (e *statementExchange) All() ([]wire.RunnerLeaving, []wire.RunnerLimit) {
+	return e.leavingReports(e.statements.Leaving()), e.limitReports(e.statements.Limits())
 }
 
 // limitReports returns the limits of listed runners, at most maxStatements.
-func (l *statementExchange) limitReports(heard []statement.LimitReport) []wire.RunnerLimit {
-	var told []wire.RunnerLimit
-	for _, limit := range heard {
-		if len(told) == maxStatements {
+func (e *statementExchange) limitReports(limits []statement.LimitReport) []wire.RunnerLimit {
+	var reports []wire.RunnerLimit
+	for _, limit := range limits {
+		if len(reports) == maxStatements {
 			break
 		}
-		if l.fleet.Known(limit.Runner) {
-			told = append(told, wire.RunnerLimit{Runner: limit.Runner, Rate: limit.Rate, AgeMs: limit.Age.Milliseconds()})
+		if e.fleet.Known(limit.Runner) {
+			reports = append(reports, wire.RunnerLimit{Runner: limit.Runner, Rate: limit.Rate, AgeMs: limit.Age.Milliseconds()})
 		}
 	}
-	return told
+	return reports
 }
 
 // leavingReports returns the leaving runners that the platform's list does not show as draining
 // yet, at most maxStatements.
-func (l *statementExchange) leavingReports(leaving []statement.LeavingReport) []wire.RunnerLeaving {
-	var told []wire.RunnerLeaving
-	for _, heard := range leaving {
-		runner, listed := l.fleet.Find(heard.Runner)
+func (e *statementExchange) leavingReports(leaving []statement.LeavingReport) []wire.RunnerLeaving {
+	var reports []wire.RunnerLeaving
+	for _, report := range leaving {
+		runner, listed := e.fleet.Find(report.Runner)
 		if !listed || runner.Draining {
 			continue
 		}
-		if len(told) == maxStatements {
+		if len(reports) == maxStatements {
 			break
 		}
-		told = append(told, wire.RunnerLeaving{Runner: heard.Runner, AgeMs: heard.Age.Milliseconds()})
+		reports = append(reports, wire.RunnerLeaving{Runner: report.Runner, AgeMs: report.Age.Milliseconds()})
 	}
-	return told
+	return reports
 }
 
-// Learn takes over statements from another node about listed runners.
-func (l *statementExchange) Learn(node string, leaving []wire.RunnerLeaving, limited []wire.RunnerLimit) {
-	var heard []statement.LeavingReport
-	for _, told := range leaving[:min(len(leaving), maxStatements)] {
-		if l.fleet.Known(told.Runner) {
-			heard = append(heard, statement.LeavingReport{Runner: told.Runner, Age: decodeAge(told.AgeMs)})
+// Learn records the statements about listed runners that another node reported.
+func (e *statementExchange) Learn(node string, leaving []wire.RunnerLeaving, limited []wire.RunnerLimit) {
+	var leavingReports []statement.LeavingReport
+	for _, report := range leaving[:min(len(leaving), maxStatements)] {
+		if e.fleet.Known(report.Runner) {
+			leavingReports = append(leavingReports, statement.LeavingReport{Runner: report.Runner, Age: decodeAge(report.AgeMs)})
 		}
 	}
-	l.statements.LearnLeaving(node, heard)
-	var limits []statement.LimitReport
-	for _, told := range limited[:min(len(limited), maxStatements)] {
-		if l.fleet.Known(told.Runner) {
-			limits = append(limits, statement.LimitReport{Runner: told.Runner, Rate: told.Rate, Age: decodeAge(told.AgeMs)})
+	e.statements.LearnLeaving(node, leavingReports)
+	var limitReports []statement.LimitReport
+	for _, report := range limited[:min(len(limited), maxStatements)] {
+		if e.fleet.Known(report.Runner) {
+			limitReports = append(limitReports, statement.LimitReport{Runner: report.Runner, Rate: report.Rate, Age: decodeAge(report.AgeMs)})
 		}
 	}
-	l.statements.LearnLimits(node, limits)
+	e.statements.LearnLimits(node, limitReports)
 }
 
 // decodeAge converts an age in milliseconds from another node.
--- a/internal/node/tenants.go
+++ b/internal/node/tenants.go
@@ -34,10 +34,10 @@
 	if control == nil {
 		return wire.DivisionResponse{}, nil
 	}
-	if control.lessor.Holds() {
+	if control.elector.Holds() {
 		return l.handleDivision(ctx, wire.Empty{})
 	}
-	holder, known := control.lessor.Holder()
+	holder, known := control.elector.Holder()
 	if !known {
 		return wire.DivisionResponse{}, fault.New(fault.CodeNotHolder, wire.MethodDivision, "no holder is known")
 	}
--- a/internal/node/zones_test.go
+++ b/internal/node/zones_test.go
@@ -13,9 +13,9 @@
 	"lilacvane/internal/settings"
 )
 
-// zonedNode returns a node that follows only zone evacuations. The key of a row is the name of the
-// zone.
-func zonedNode() *Node {
+// evacuationNode returns a node that follows only zone evacuations. The key of a row is the name of
+// the zone.
+func evacuationNode() *Node {
 	n := &Node{followers: &followers{}}
 	n.platform.EvacuatedZone = func(key string) (place.Zone, bool) { return place.Zone(key), key != "configuration" }
 	n.platform.ConfigurationKey = "none"
@@ -29,9 +29,9 @@
 // Every zone is out until the table was read completely. A complete read replaces the earlier
 // state.
 func TestZonesFollowTheOperatorsTable(t *testing.T) {
-	n := zonedNode()
-	handler, rules, staying := (*configurationHandler)(n), (*operatorRules)(n), placementRules{(*operatorRules)(n)}
-	assert.Assert(t, rules.ZoneOut("a") && staying.ZoneOut("a"))
+	n := evacuationNode()
+	handler, rules, placement := (*configurationHandler)(n), (*operatorRules)(n), placementRules{(*operatorRules)(n)}
+	assert.Assert(t, rules.ZoneOut("a") && placement.ZoneOut("a"))
 	handler.ApplySnapshot([]feed.Row{{Key: "configuration", Revision: 3}, {Key: "a", Revision: 4}}, 0)
 	assert.Assert(t, rules.ZoneOut("a") && !rules.ZoneOut("b"))
 	handler.ApplySnapshot([]feed.Row{{Key: "b", Revision: 7}}, time.Second)
@@ -43,7 +43,7 @@
 
 // While a zone is being evacuated, requests may still be sent there but models may not be loaded.
 func TestLoadsStopBeforeRequestsInLeavingZone(t *testing.T) {
-	n := zonedNode()
+	n := evacuationNode()
 	n.zones.applySnapshot(nil)
 	n.zones.applyChanges([]evacuation.Row{{Zone: "a", Revision: 4}}, 0)
 	assert.Assert(t, !(*operatorRules)(n).ZoneOut("a"))
--- a/internal/node/zonestatus_test.go
+++ b/internal/node/zonestatus_test.go
@@ -17,8 +17,9 @@
 	"lilacvane/internal/wire"
 )
 
-// zoneNode returns a node of zone a in region north, with zones a and b and a drain of one zone.
-func zoneNode(t *testing.T, drained place.Zone) *Node {
+// nodeWithDrain returns a node of zone a in region north, with zones a and b and a drain of one
+// zone.
+func nodeWithDrain(t *testing.T, drained place.Zone) *Node {
 	t.Helper()
 	log, err := logging.NewBounded("error", t.Output())
 	assert.NilError(t, err)
@@ -33,7 +34,7 @@
 
 // Zones of settings, runners, nodes and drains are all listed, with the start time of a drain.
 func TestZoneStatesIncludeEveryKnownZone(t *testing.T) {
-	n := zoneNode(t, "d")
+	n := nodeWithDrain(t, "d")
 	at := time.Date(2020, 1, 1, 0, 0, 0, 0, time.UTC)
 	object := api.NewObject(api.KindDrain, "any", zoneDrain("d"))
 	other := api.NewObject(api.KindDrain, "other", zoneDrain("c"))
@@ -55,7 +56,7 @@
 
 // The start and the end of a drain are recorded once each.
 func TestZoneDrainIsRecorded(t *testing.T) {
-	n := zoneNode(t, "b")
+	n := nodeWithDrain(t, "b")
 	drained, none := n.configuration.Load(), &config.Configuration{ObjectRevision: 8}
 	n.recordZoneDrains(nil, none)
 	n.recordZoneDrains(none, drained)
