--- a/internal/metrics/links.go
+++ b/internal/metrics/links.go
@@ -23,19 +23,19 @@
 }
 
 // Describe sends the descriptions of the metrics.
-func (m *linkCollector) Describe(descriptions chan<- *prometheus.Desc) {
-	descriptions <- m.dialed
-	descriptions <- m.dropped
+func (c *linkCollector) Describe(descriptions chan<- *prometheus.Desc) {
+	descriptions <- c.dialed
+	descriptions <- c.dropped
 }
 
 // Collect sends the metrics. It omits counters of dropped connections that are zero.
-func (m *linkCollector) Collect(metrics chan<- prometheus.Metric) {
-	m.links.Kinds(func(kind link.Kind, dialed uint64) {
-		metrics <- prometheus.MustNewConstMetric(m.dialed, prometheus.CounterValue, float64(dialed), kind.String())
+func (c *linkCollector) Collect(metrics chan<- prometheus.Metric) {
+	c.links.Kinds(func(kind link.Kind, dialed uint64) {
+		metrics <- prometheus.MustNewConstMetric(c.dialed, prometheus.CounterValue, float64(dialed), kind.String())
 	})
-	m.links.Each(func(kind link.Kind, reason link.Reason, count uint64) {
+	c.links.Each(func(kind link.Kind, reason link.Reason, count uint64) {
 		if count > 0 {
-			metrics <- prometheus.MustNewConstMetric(m.dropped, prometheus.CounterValue, float64(count), kind.String(), reason.String())
+			metrics <- prometheus.MustNewConstMetric(c.dropped, prometheus.CounterValue, float64(count), kind.String(), reason.String())
 		}
 	})
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -21,8 +21,8 @@
 type Sources struct {
 	// Active is the number of active requests.
 	Active func() int64
-	// Runners is the number of runners of the platform's list that the node keeps. RunnersByState
-	// is the same by state. Partial reports whether the node skipped other runners of the list.
+	// Runners is the number of runners of the platform's list that the node keeps, RunnersByState
+	// their number by state. Partial reports whether the node skipped other runners of the list.
 	Runners        func() int
 	RunnersByState func() map[string]int
 	Partial        func() bool
@@ -33,7 +33,8 @@
 	ConfigurationAge func() (age time.Duration, known bool)
 	// Resting is the number of runners that asked the node to send nothing for a while.
 	Resting func() int
-	// Quarantined is the number of request contents that are not run.
+	// Quarantined is the number of request contents that are not run because runners ended under
+	// them.
 	Quarantined func() int
 	// ZonesOut is the number of zones evacuated by operators.
 	ZonesOut func() int
--- a/internal/metrics/runners.go
+++ b/internal/metrics/runners.go
@@ -38,26 +38,26 @@
 }
 
 // Describe sends the description of the metric.
-func (s *runnerCollector) Describe(descriptions chan<- *prometheus.Desc) { descriptions <- s.desc }
+func (c *runnerCollector) Describe(descriptions chan<- *prometheus.Desc) { descriptions <- c.desc }
 
 // Collect sends the number of runners in each state.
-func (s *runnerCollector) Collect(metrics chan<- prometheus.Metric) {
-	for state, runners := range s.count() {
-		metrics <- prometheus.MustNewConstMetric(s.desc, prometheus.GaugeValue, float64(runners), state)
+func (c *runnerCollector) Collect(metrics chan<- prometheus.Metric) {
+	for state, runners := range c.count() {
+		metrics <- prometheus.MustNewConstMetric(c.desc, prometheus.GaugeValue, float64(runners), state)
 	}
 }
 
 // CountStates counts runners by state, given the counts of each zone and which zones are out.
 func CountStates(zones map[place.Zone]fleet.StateCounts, out func(place.Zone) bool) map[string]int {
 	counts := map[string]int{runnersReady: 0, runnersDraining: 0, runnersCold: 0, runnersZoneOut: 0}
-	for zone, standing := range zones {
+	for zone, zoneCounts := range zones {
 		if out(zone) {
-			counts[runnersZoneOut] += standing.Total()
+			counts[runnersZoneOut] += zoneCounts.Total()
 			continue
 		}
-		counts[runnersReady] += standing.Ready
-		counts[runnersDraining] += standing.Draining
-		counts[runnersCold] += standing.Cold
+		counts[runnersReady] += zoneCounts.Ready
+		counts[runnersDraining] += zoneCounts.Draining
+		counts[runnersCold] += zoneCounts.Cold
 	}
 	return counts
 }
