--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -29,7 +29,7 @@
 
 // Server serves client requests.
 type Server struct {
-	names         upstream.Names
+	headers       upstream.Names
 	dispatcher    *dispatch.Dispatcher
 	configuration func() *config.Configuration
 	log           logr.Logger
@@ -40,8 +40,8 @@
 }
 
 // New returns a server that is not serving yet.
-func New(names upstream.Names, dispatcher *dispatch.Dispatcher, log logr.Logger) *Server {
-	s := &Server{names: names, dispatcher: dispatcher, configuration: dispatcher.Configuration, log: log}
+func New(headers upstream.Names, dispatcher *dispatch.Dispatcher, log logr.Logger) *Server {
+	s := &Server{headers: headers, dispatcher: dispatcher, configuration: dispatcher.Configuration, log: log}
 	s.http = httpserver.New(&http.Server{
 		Handler: s, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout,
 		MaxHeaderBytes: defaultHeaderBytes, DisableGeneralOptionsHandler: true, ConnContext: withConnection,
@@ -97,13 +97,13 @@
 // read reads a whole request.
 func (s *Server) read(w http.ResponseWriter, r *http.Request) (*dispatch.Request, error) {
 	request := &dispatch.Request{
-		ID: r.Header.Get(s.names.RequestID), Method: r.Method, Target: r.RequestURI, Path: r.URL.EscapedPath(), Host: hostname(r.Host),
+		ID: r.Header.Get(s.headers.RequestID), Method: r.Method, Target: r.RequestURI, Path: r.URL.EscapedPath(), Host: hostname(r.Host),
 		Arrived: time.Now(),
 	}
 	if request.ID == "" {
-		return nil, fault.New(fault.CodeInvalid, "read request", "header %s is missing", s.names.RequestID)
+		return nil, fault.New(fault.CodeInvalid, "read request", "header %s is missing", s.headers.RequestID)
 	}
-	if err := parseHeaders(r.Header, s.names, request); err != nil {
+	if err := parseHeaders(r.Header, s.headers, request); err != nil {
 		return nil, err
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.bodyLimit()))
@@ -112,7 +112,7 @@
 	}
 	request.Body = body
 	dispatch.StripConnectionHeaders(r.Header)
-	for _, name := range s.names.Reserved {
+	for _, name := range s.headers.Reserved {
 		r.Header.Del(name)
 	}
 	request.Header = r.Header
