--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -25,14 +25,15 @@
 	bodyTimeout        = 60 * time.Second
 	idleTimeout        = 120 * time.Second
 	retryAfterNotReady = 2 * time.Second
-	// retryAfterNoReplica is when operators may have decided otherwise.
+	// retryAfterNoReplica is sent for a model without replicas, until operators allow one again.
 	retryAfterNoReplica = time.Minute
 	pathChat            = "/v1/chat/completions"
 	pathComplete        = "/v1/completions"
 	pathModels          = "/v1/models"
 	// maxAttempts is the number of runners that a repeatable call is sent to.
 	maxAttempts = 3
-	// startObjective is the latency objective for the first part of a response.
+	// startObjective is the latency objective for the first part of a response, pauseObjective
+	// that between two parts.
 	startObjective = 10 * time.Second
 	pauseObjective = 2 * time.Second
 )
@@ -46,7 +47,7 @@
 // Options are the dependencies of a Server.
 type Options struct {
 	Node          string
-	Names         upstream.Names
+	Headers       upstream.Names
 	Dispatcher    *dispatch.Dispatcher
 	Configuration func() *config.Configuration
 	Claims        Claims
@@ -114,7 +115,7 @@
 	if err != nil {
 		return nil, err
 	}
-	name, err := s.resolve(call.completion.Model)
+	target, err := s.resolve(call.completion.Model)
 	if err != nil {
 		return nil, err
 	}
@@ -123,7 +124,7 @@
 			return nil, err
 		}
 	}
-	s.setRoute(&call, name)
+	s.setRoute(&call, target)
 	return &call, nil
 }
 
@@ -134,19 +135,19 @@
 	if configuration == nil {
 		return config.ModelTarget{}, fault.New(fault.CodeNotReady, step, "no configuration is known yet")
 	}
-	name, known := configuration.Names[model]
+	target, known := configuration.Names[model]
 	if !known {
 		return config.ModelTarget{}, fault.New(fault.CodeUnknownModel, step, "there is no model or adapter %q", model)
 	}
-	if name.Replicas == 0 {
+	if target.Replicas == 0 {
 		return config.ModelTarget{}, fault.New(fault.CodeNoReplica, step, "the operators decided on no replica of %q", model).WithRetryAfter(retryAfterNoReplica)
 	}
-	return name, nil
+	return target, nil
 }
 
 // setRoute sets the service that the call goes to and the route options, which depend on whether it
 // may be repeated.
-func (s *Server) setRoute(call *parsedCall, name config.ModelTarget) {
+func (s *Server) setRoute(call *parsedCall, target config.ModelTarget) {
 	repeatable := call.key == ""
 	route := &config.Route{
 		Name: "completions", Kind: config.Unsafe, Resumable: repeatable && call.completion.Stream, Objective: startObjective,
@@ -162,18 +163,18 @@
 		route.Attempts = maxAttempts
 	}
 	request := &call.request
-	request.Route, request.Service, request.Unit, request.OwnErrors = route, name.Service, name.Unit, true
-	request.Header.Set(s.Names.Tokens, strconv.Itoa(request.TokensIn)+","+strconv.Itoa(request.TokensOut))
+	request.Route, request.Service, request.Unit, request.OwnErrors = route, target.Service, target.Unit, true
+	request.Header.Set(s.Headers.Tokens, strconv.Itoa(request.TokensIn)+","+strconv.Itoa(request.TokensOut))
 	for _, part := range request.Prompt {
-		request.Header.Set(s.Names.Prompt, part.ID+":"+strconv.Itoa(part.Tokens))
+		request.Header.Set(s.Headers.Prompt, part.ID+":"+strconv.Itoa(part.Tokens))
 	}
 	model := call.completion.Model
 	request.Resolve = func() (backend.Unit, error) {
-		name, err := s.resolve(model)
+		target, err := s.resolve(model)
 		if err == nil {
-			request.Header.Set(s.Names.Model, name.Unit.String())
+			request.Header.Set(s.Headers.Model, target.Unit.String())
 		}
-		return name.Unit, err
+		return target.Unit, err
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -176,7 +176,7 @@
 	n.dispatcher.Limits = n.limits
 	n.ingress = ingress.New(platform.Headers, n.dispatcher, log.Logger)
 	n.gateway = gateway.New(gateway.Options{
-		Node: s.Node, Names: platform.Headers, Dispatcher: n.dispatcher, Configuration: n.activeConfiguration, Claims: n.claims, Accept: n.accept,
+		Node: s.Node, Headers: platform.Headers, Dispatcher: n.dispatcher, Configuration: n.activeConfiguration, Claims: n.claims, Accept: n.accept,
 	})
 	n.operator = operator.New(n, n.catalog, s.Node, n.metrics.Handler())
 	n.client = peer.NewClient(s.Node, n.platform.Links)
