--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging provides the JSON-lines logger of all programs. It writes one line per event to
-// standard output, with the keys step, peer, request, model and revision where they apply.
+// Package logging provides the logger of a node. It writes one line of JSON per event, with the
+// keys step, peer, request, model and revision where they apply.
 package logging
 
 import (
@@ -36,7 +36,7 @@
 	sink  *boundedSink
 }
 
-// NewBounded returns a logger that writes JSON lines to out.
+// NewBounded returns a logger that writes JSON lines to out. The error is that of SetLevel.
 func NewBounded(level string, out io.Writer) (*Bounded, error) {
 	sink := newBoundedSink(out)
 	b := &Bounded{level: zap.NewAtomicLevel(), sink: sink}
@@ -51,7 +51,7 @@
 	return b, nil
 }
 
-// SetLevel sets the level: error, info or debug.
+// SetLevel sets the level: error, info or debug. It returns an error for an unknown level.
 func (b *Bounded) SetLevel(level string) error {
 	parsed, err := zapcore.ParseLevel(level)
 	if err != nil {
