--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -53,7 +53,7 @@
 	Lease Lease `yaml:"lease"`
 	// Stop sets the timing of a planned stop.
 	Stop Stop `yaml:"stop"`
-	// Sleep weighs cold starts against idle accelerators.
+	// Sleep sets how long unused models stay loaded.
 	Sleep Sleep `yaml:"sleep"`
 	// Log configures the log on standard output.
 	Log Log `yaml:"log"`
@@ -172,8 +172,8 @@
 	// LongestRest is the longest time without requests that a runner may ask for. It is longer than
 	// any queue of a runner takes to drain, as routes' timeouts are about ten seconds.
 	LongestRest time.Duration `yaml:"longestRest"`
-	// UnreadableRest is the rest of a runner that states no readable time: some of the longest
-	// answers.
+	// UnreadableRest is the time without requests for a runner that asks for some but states no
+	// readable time. It is as long as some of the longest answers take.
 	UnreadableRest time.Duration `yaml:"unreadableRest"`
 	// LeavingFor is how long a runner that stated that it is leaving gets no requests if it does
 	// not end. Platforms give runners about a minute to finish their requests.
@@ -221,7 +221,7 @@
 	Notice time.Duration `yaml:"notice"`
 }
 
-// Sleep weighs cold starts against idle accelerators.
+// Sleep sets how long unused models stay loaded. It weighs cold starts against idle accelerators.
 type Sleep struct {
 	// FixedKeepAlive is a fixed keep-alive time. Zero means that it is learned.
 	FixedKeepAlive time.Duration `yaml:"fixedKeepAlive"`
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const least = `
+const minimalSettings = `
 node: n
 zone: z
 listen: {ready: "127.0.0.1:1", peers: "127.0.0.1:2"}
@@ -15,7 +15,7 @@
 
 // All invalid settings of a file are reported, each with its field.
 func TestAllInvalidSettingsAreReported(t *testing.T) {
-	read, unknown, err := Parse([]byte(least + "relay: {scope: galaxy}\ncapacity: {cores: -1, linkMbps: -1, memoryMB: -1}\nretries: {ratio: 2}\nstop: {grace: 1s, notice: 2s}\n"))
+	read, unknown, err := Parse([]byte(minimalSettings + "relay: {scope: galaxy}\ncapacity: {cores: -1, linkMbps: -1, memoryMB: -1}\nretries: {ratio: 2}\nstop: {grace: 1s, notice: 2s}\n"))
 	assert.NilError(t, err)
 	assert.Equal(t, len(unknown), 0)
 	err = read.Validate()
@@ -26,7 +26,7 @@
 
 // An unknown field is reported, and the other fields apply.
 func TestUnknownFieldsChangeNothing(t *testing.T) {
-	read, unknown, err := Parse([]byte(least + "relay: {scope: zone, radius: 3}\n"))
+	read, unknown, err := Parse([]byte(minimalSettings + "relay: {scope: zone, radius: 3}\n"))
 	assert.NilError(t, err)
 	assert.Equal(t, len(unknown), 1)
 	assert.Equal(t, read.Relay.Scope, ScopeZone)
