--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -27,7 +27,8 @@
 const (
 	step              = "commit operation"
 	defaultRetryDelay = 50 * time.Millisecond
-	applyTimeout      = 5 * time.Second
+	// applyTimeout bounds all attempts of one operation together.
+	applyTimeout = 5 * time.Second
 	// callTimeout bounds one call of the table. A silent connection never answers;
 	// a slow table takes a second or more.
 	callTimeout = 2 * time.Second
@@ -83,8 +84,8 @@
 	retryDelay time.Duration
 }
 
-// New returns a committer for a table. It skips reads of rows where the node's own
-// copy of the configuration is up to date.
+// New returns a committer for a table. Where local, the node's copy of the
+// configuration, is up to date, the committer does not read rows.
 func New(t table.Table, local LocalCopy) *Committer {
 	return &Committer{table: table.WithTimeout(t, callTimeout), local: local, timeout: applyTimeout, retryDelay: defaultRetryDelay}
 }
--- a/internal/commit/read.go
+++ b/internal/commit/read.go
@@ -91,8 +91,9 @@
 }
 
 // Trim deletes the oldest log entries beyond MaximumLogEntries and their operation
-// rows. It is called by the node that committed a revision; deleting a row twice
-// is harmless.
+// rows, up to trimBatch entries in a call. It does nothing for most revisions; see
+// trimInterval. It is called by the node that committed revision head; deleting a
+// row twice is harmless.
 func (c *Committer) Trim(ctx context.Context, head uint64) error {
 	if head <= MaximumLogEntries || head%trimInterval != 0 {
 		return nil
