--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -19,8 +19,9 @@
 // maximumTotalBytes bounds the total size of the objects in the kept log entries.
 const maximumTotalBytes = 1 << 20
 
-// Catalog is safe for concurrent use. Its mutex guards every field; listeners
-// are called without holding it.
+// Catalog holds the objects of the configuration and its newest log entries. It is
+// safe for concurrent use. Its mutex guards every field; listeners are called
+// without holding it.
 type Catalog struct {
 	mutex    sync.RWMutex
 	revision uint64
