--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -20,7 +20,7 @@
 		"no slots":     NewObject(KindService, "s", Service{Engine: &Engine{MemoryMiB: 1, LoadsPerSecond: 1}}),
 		"bad prefix":   NewObject(KindRoute, "r", Route{Host: "h", PathPrefix: "/p", Kind: "safe", Attempts: 1}),
 		"no backends":  NewObject(KindRoute, "r", Route{Host: "h", PathPrefix: "/p/", Kind: "safe", Attempts: 1}),
-		"resumable mail": NewObject(KindRoute, "r", Route{
+		"resumable unsafe": NewObject(KindRoute, "r", Route{
 			Host: "h", PathPrefix: "/p/", Kind: "unsafe", Resumable: true, Attempts: 1, Backends: []Backend{{Service: "s", Weight: 1}},
 		}),
 		"bad name":      {Kind: KindModel, Name: "a/b", Spec: good.Spec},
