--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -158,13 +158,13 @@
 // Evaluate runs a policy program for a model, a region and a time.
 func Evaluate(evaluation Evaluation) (EvaluationResult, error) {
 	const step = "evaluate policy"
-	zone, err := time.LoadLocation(evaluation.TimeZone)
+	timeZone, err := time.LoadLocation(evaluation.TimeZone)
 	if err != nil {
 		return EvaluationResult{}, fault.New(fault.CodeInvalid, step, "timeZone: %v", err)
 	}
-	at := time.Now().In(zone)
+	at := time.Now().In(timeZone)
 	if evaluation.Time != "" {
-		at, err = time.ParseInLocation("2006-01-02T15:04", evaluation.Time, zone)
+		at, err = time.ParseInLocation("2006-01-02T15:04", evaluation.Time, timeZone)
 		if err != nil {
 			return EvaluationResult{}, fault.New(fault.CodeInvalid, step, "time must look like 2026-12-07T07:40")
 		}
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -95,9 +95,9 @@
 
 // LiftQuarantine allows a request to run again and returns the remaining entries.
 func (c *Client) LiftQuarantine(ctx context.Context, request string) ([]wire.PoisonStatus, error) {
-	var left []wire.PoisonStatus
-	err := c.call(ctx, http.MethodDelete, "/v1/quarantine/"+url.PathEscape(request), nil, &left, "lift quarantine")
-	return left, err
+	var remaining []wire.PoisonStatus
+	err := c.call(ctx, http.MethodDelete, "/v1/quarantine/"+url.PathEscape(request), nil, &remaining, "lift quarantine")
+	return remaining, err
 }
 
 // Status returns the state of the fleet as the node sees it.
@@ -142,8 +142,8 @@
 	return progress, err
 }
 
-// Watch calls each for every log entry after a revision, until ctx ends or each
-// returns an error.
+// Watch calls each for every log entry after a revision, until ctx ends, the
+// connection ends or each returns an error.
 func (c *Client) Watch(ctx context.Context, after uint64, each func(wire.Entry) error) error {
 	const step = "watch"
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.address+"/v1/watch?after="+strconv.FormatUint(after, 10), nil)
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -32,7 +32,7 @@
 
 // Backend is the node that the API serves.
 type Backend interface {
-	// Commit commits an operation and applies it at this node.
+	// Commit commits an operation and applies it to this node.
 	Commit(ctx context.Context, operation commit.Operation) (commit.Result, error)
 	// Operation returns the result of an earlier operation by its ID. It reports
 	// false if the operation is not known to have committed.
@@ -121,8 +121,9 @@
 	Reason string `json:"reason"`
 }
 
-// Progress is the state of a planned stop: Running and Replicas are what is left,
-// Finished is set when nothing is.
+// Progress is the state of a planned stop. Running is the number of requests in progress
+// at the runners concerned, Replicas the number of models and adapters listed for them.
+// Finished is set when nothing is left.
 type Progress struct {
 	Target   api.DrainTarget `json:"target"`
 	Name     string          `json:"name"`
