--- a/internal/command/node.go
+++ b/internal/command/node.go
@@ -3,14 +3,15 @@
 import (
 	"context"
 	"fmt"
-	"lilacvane/internal/commandline"
-	"lilacvane/internal/logging"
-	"lilacvane/internal/node"
-	"lilacvane/internal/settings"
 	"os"
 	"os/signal"
 	"runtime/debug"
 	"syscall"
+
+	"lilacvane/internal/commandline"
+	"lilacvane/internal/logging"
+	"lilacvane/internal/node"
+	"lilacvane/internal/settings"
 )
 
 // gcPercent makes the garbage collector run more often than by default, to trade CPU
--- a/internal/command/objects.go
+++ b/internal/command/objects.go
@@ -15,6 +15,7 @@
 	"text/tabwriter"
 
 	"go.yaml.in/yaml/v3"
+
 	"lilacvane/internal/api"
 	"lilacvane/internal/commandline"
 	"lilacvane/internal/fault"
--- a/internal/command/quarantine.go
+++ b/internal/command/quarantine.go
@@ -53,11 +53,11 @@
 	if err != nil {
 		return err
 	}
-	left, err := c.client().LiftQuarantine(ctx, request)
+	remaining, err := c.client().LiftQuarantine(ctx, request)
 	if err != nil {
 		return err
 	}
-	return c.print(s, left, func(w io.Writer) { fmt.Fprintf(w, "%s may run again\n", request) })
+	return c.print(s, remaining, func(w io.Writer) { fmt.Fprintf(w, "%s may run again\n", request) })
 }
 
 // find returns the only request that begins with the given digits.
