--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -86,11 +86,12 @@
 	}
 }
 
-// spendFromLenders lets another node spend. retryAfter is when this node's own share would suffice.
+// spendFromLenders lets another node spend. retryAfter is the time until this node's own share
+// suffices.
 func (l *limits) spendFromLenders(ctx context.Context, t *tenant.Tenant, request wire.SpendRequest, retryAfter time.Duration) dispatch.Admission {
-	lenders, dry := l.keeper.Lenders(t, request.Cost, request.Rank)
-	if dry > 0 {
-		return dispatch.Admission{Verdict: dispatch.OverLimit, RetryAfter: min(retryAfter, dry)}
+	lenders, refusedFor := l.keeper.Lenders(t, request.Cost, request.Rank)
+	if refusedFor > 0 {
+		return dispatch.Admission{Verdict: dispatch.OverLimit, RetryAfter: min(retryAfter, refusedFor)}
 	}
 	var answered []answeredLender
 	for _, lender := range lenders {
@@ -117,7 +118,8 @@
 	return dispatch.Admission{Verdict: dispatch.OverLimit, RetryAfter: retryAfter}
 }
 
-// answeredLender is a lender that cannot spend now, with the most that it can ever spend at once.
+// answeredLender is a lender that cannot spend now. holds is the most that it can ever spend at
+// once.
 type answeredLender struct {
 	address string
 	holds   float64
@@ -162,9 +164,9 @@
 	if l.backoff.blocked(lender) {
 		return response, false
 	}
-	asking, cancel := context.WithTimeout(ctx, spendTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, spendTimeout)
 	defer cancel()
-	if err := l.node.client.Call(asking, lender, wire.MethodSpend, request, &response); err != nil {
+	if err := l.node.client.Call(callCtx, lender, wire.MethodSpend, request, &response); err != nil {
 		if ctx.Err() != nil {
 			// The client disconnected, which says nothing about the lender.
 			l.log.V(1).Info("lender request canceled", "tenant", string(t.Name), "peer", lender, "error", err.Error())
--- a/internal/node/division.go
+++ b/internal/node/division.go
@@ -15,7 +15,7 @@
 	// divisionKey is the row that stores how limits are divided between nodes.
 	divisionKey = "division"
 	// divideInterval is how often shares are moved. A tenant whose traffic moves to other nodes has
-	// its shares there within two intervals, and uses its lender until then.
+	// its shares there within two intervals; until then, lenders spend for those nodes.
 	divideInterval = 700 * time.Millisecond
 	// beginInterval is how often a node checks whether it must divide limits. Until a node does,
 	// the lenders are unknown.
@@ -90,7 +90,8 @@
 	return nil
 }
 
-// begin reads the row and continues from it after a write has confirmed it.
+// begin reads the stored division, and continues from it once a write has shown that no other node
+// has changed it since.
 func (l *limits) begin(ctx context.Context) error {
 	record, readAt, err := l.read(ctx)
 	if err != nil {
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -20,9 +20,12 @@
 // limits is this node's part in enforcing tenant limits, which all nodes share. The holder of one
 // service's control lease divides them.
 type limits struct {
-	node    *Node
-	keeper  *limit.Keeper
-	rows    table.Table
+	node   *Node
+	keeper *limit.Keeper
+	// rows is the table that stores how limits are divided.
+	rows table.Table
+	// service is the name of the service whose lease holder divides limits. It is empty while no
+	// limits are enforced.
 	service atomic.Pointer[string]
 	log     logr.Logger
 	// backoff tracks lenders that recently did not answer.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -124,14 +124,16 @@
 	pauses        *pauseDetector
 	closing       context.Context
 	close         context.CancelFunc
-	// bestSpare holds the float64 bits of the largest spare capacity of any other node, or zero if
-	// unknown.
+	// bestSpare holds the float64 bits of the largest spare capacity of any node but the lease
+	// holder that reported it, or zero if unknown.
 	bestSpare atomic.Uint64
 	// nodes is the number of nodes as reported by a lease holder, or zero before the first report.
-	nodes         atomic.Int64
+	nodes atomic.Int64
+	// runnersListed is set once the list of runners was read.
 	runnersListed atomic.Bool
-	stopping      atomic.Bool
-	refusing      atomic.Bool
+	// stopping is set when a stop begins, and refusing when the load balancer had time to notice.
+	stopping atomic.Bool
+	refusing atomic.Bool
 }
 
 // New returns a node that is not running yet.
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -307,8 +307,8 @@
 		case <-ticker.C:
 		}
 		for n.holdsAny() {
-			call, cancel := context.WithTimeout(ctx, sweepTimeout)
-			next, err := n.claims.Sweep(call, after, time.Now())
+			callCtx, cancel := context.WithTimeout(ctx, sweepTimeout)
+			next, err := n.claims.Sweep(callCtx, after, time.Now())
 			cancel()
 			if err != nil {
 				n.log.Info("sweeping claims failed", "error", err.Error())
