--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -93,7 +93,8 @@
 	settings atomic.Pointer[settings.Settings]
 	platform Platform
 	log      *logging.Bounded
-	process  string
+	// process identifies this process: its ID and start time, as process IDs are reused.
+	process string
 
 	configuration atomic.Pointer[config.Configuration]
 	followers     *followers
@@ -123,19 +124,21 @@
 	pauses        *pauseDetector
 	closing       context.Context
 	close         context.CancelFunc
-	// bestSpare holds the float64 bits of the largest spare capacity of any other node, or zero if
-	// unknown.
+	// bestSpare holds the float64 bits of the largest spare capacity of any node but the lease
+	// holder that reported it, or zero if unknown.
 	bestSpare atomic.Uint64
 	// nodes is the number of nodes as reported by a lease holder, or zero before the first report.
-	nodes         atomic.Int64
+	nodes atomic.Int64
+	// runnersListed is set once the list of runners was read.
 	runnersListed atomic.Bool
-	stopping      atomic.Bool
-	refusing      atomic.Bool
+	// stopping is set when a stop begins, and refusing when the load balancer had time to notice.
+	stopping atomic.Bool
+	refusing atomic.Bool
 }
 
 // New returns a node that is not running yet.
 func New(s settings.Settings, platform Platform, log *logging.Bounded) (*Node, error) {
-	zone, err := time.LoadLocation(s.TimeZone)
+	timeZone, err := time.LoadLocation(s.TimeZone)
 	if err != nil {
 		return nil, fault.New(fault.CodeInvalid, "start node", "time zone: %v", err)
 	}
@@ -156,7 +159,7 @@
 	n.fleet.SetColdStarts(fleet.ColdStarts{Terms: n.coldTerms, Limit: n.limitTerms, Returned: n.zones.returnedAt})
 	n.fleet.SetRegion(place.Region(s.Region))
 	n.committer = commit.New(platform.Objects, n.catalog)
-	n.policies = policy.NewSet(n.catalog, s.Region, zone)
+	n.policies = policy.NewSet(n.catalog, s.Region, timeZone)
 	n.closing, n.close = context.WithCancel(context.Background())
 	n.metrics = newMetrics(n)
 	meter := traffic.NewMeter(place.Region(s.Region), n.metrics.CountRegion)
@@ -175,7 +178,7 @@
 	n.dispatcher.Limits = n.limits
 	n.ingress = ingress.New(platform.Headers, n.dispatcher, log.Logger)
 	n.gateway = gateway.New(gateway.Options{
-		Node: s.Node, Names: platform.Headers, Dispatcher: n.dispatcher, Configuration: n.activeConfiguration, Claims: n.claims, Accept: n.accept,
+		Node: s.Node, Headers: platform.Headers, Dispatcher: n.dispatcher, Configuration: n.activeConfiguration, Claims: n.claims, Accept: n.accept,
 	})
 	n.operator = operator.New(n, n.catalog, s.Node, n.metrics.Handler())
 	n.client = peer.NewClient(s.Node, n.platform.Links)
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -307,8 +307,8 @@
 		case <-ticker.C:
 		}
 		for n.holdsAny() {
-			call, cancel := context.WithTimeout(ctx, sweepTimeout)
-			next, err := n.claims.Sweep(call, after, time.Now())
+			callCtx, cancel := context.WithTimeout(ctx, sweepTimeout)
+			next, err := n.claims.Sweep(callCtx, after, time.Now())
 			cancel()
 			if err != nil {
 				n.log.Info("sweeping claims failed", "error", err.Error())
@@ -323,7 +323,7 @@
 
 func (n *Node) holdsAny() bool {
 	for _, s := range n.controls.all() {
-		if s.lessor.Holds() {
+		if s.elector.Holds() {
 			return true
 		}
 	}
