--- a/internal/relay/mirror.go
+++ b/internal/relay/mirror.go
@@ -37,12 +37,12 @@
 	log changeLog
 	// size is the size of the rows in bytes.
 	size int
-	// rowsDropped is set while only removed is kept, from which fill can restore a mirror that
-	// serves readers what they missed.
+	// rowsDropped is set while rows is empty and only removed is kept up to date. fill restores rows;
+	// with removed, the mirror can then send readers the deletions that they missed.
 	rowsDropped bool
 	// position is the revision up to which all changes are applied. Deletions below floor are not
-	// known. After a gap the table was read anew, so a reader whose revision lies between gapStart
-	// and gapEnd cannot be told of rows that were added and deleted in that range.
+	// known. If the table was read anew after a gap, a reader whose revision lies between gapStart
+	// and gapEnd may have rows that were added and deleted in that range; their deletion is unknown.
 	position uint64
 	floor    uint64
 	gapStart uint64
--- a/internal/relay/mirror_test.go
+++ b/internal/relay/mirror_test.go
@@ -13,7 +13,7 @@
 	"lilacvane/internal/feed"
 )
 
-// endedContext returns a canceled context, for requests that are not mirror.
+// endedContext returns a canceled context, for requests that must not wait for a change.
 func endedContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -61,7 +61,7 @@
 	rows[row.Key] = row.Revision
 }
 
-func (s *storeModel) whole(revision uint64) feed.Batch {
+func (s *storeModel) snapshot(revision uint64) feed.Batch {
 	batch := feed.Batch{Revision: revision}
 	for key, at := range s.present(revision) {
 		batch.Rows = append(batch.Rows, feed.Row{Key: key, Revision: at, Value: s.changes[at-1].Value})
@@ -71,9 +71,9 @@
 
 // TestMirrorTellsReadersTheTable drives a mirror and a reader of it through writes, stale reads,
 // change batches of any size and a mirror that lags behind its reader, and checks that the reader
-// always has the table as of its position. It guards against a mirror that does not tell a reader
-// of a row which was added and deleted between the position of the mirror and a new read, although
-// the reader has seen the row. That failed in one of five runs of a hundred schedules.
+// always has the table as of its position. It guards against a mirror that does not send a reader
+// the deletion of a row which was added and deleted between the position of the mirror and a new
+// read, although the reader has the row. That failed in one of five runs of a hundred schedules.
 func TestMirrorTellsReadersTheTable(t *testing.T) {
 	const rounds = 30
 	for range rounds {
@@ -92,7 +92,7 @@
 			case "write":
 				store.write(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "key"), rapid.Bool().Draw(t, "deleted"))
 			case "read":
-				m.replace(store.whole(rapid.Uint64Range(0, store.revision).Draw(t, "as of")))
+				m.replace(store.snapshot(rapid.Uint64Range(0, store.revision).Draw(t, "as of")))
 			case "watch":
 				m.apply(store.since(m.position))
 			case "lighten":
@@ -101,7 +101,7 @@
 				// Rows may be newer than the position of the mirror until the changes arrive, which
 				// are requested at once.
 				if m.rowsDropped {
-					assert.NilError(t, m.fill(store.whole(store.revision)))
+					assert.NilError(t, m.fill(store.snapshot(store.revision)))
 					m.apply(store.since(m.position))
 				}
 			case "direct":
@@ -178,7 +178,7 @@
 
 	store.remove("a-key-7")
 	relay.Release(t.Context())
-	waitUntil(t, func() bool { return follower.lessor.Holds() })
+	waitUntil(t, func() bool { return follower.elector.Holds() })
 	_, err = follower.source.Watch(t.Context(), batch.Revision, time.Second)
 	assert.NilError(t, err)
 	assert.Equal(t, len(followerMirror.rows), rows-1)
--- a/internal/relay/pages.go
+++ b/internal/relay/pages.go
@@ -22,6 +22,7 @@
 
 // page is a part of the rows of a table, ordered by key.
 type page struct {
+	// first is the key of the first row.
 	first string
 	rows  []feed.Row
 	// packed holds the compressed rows instead of rows if they are large.
@@ -32,8 +33,9 @@
 // moment are served the same pages.
 type pages struct {
 	revision uint64
-	at       time.Time
-	list     []page
+	// at is when the rows were split into pages.
+	at   time.Time
+	list []page
 }
 
 // pager caches the pages of a mirror. It is safe for concurrent use.
--- a/internal/relay/seek.go
+++ b/internal/relay/peers.go
@@ -15,10 +15,10 @@
 	maxPeers = 16
 	// maxPeersSent is the maximum number of addresses sent to a reader.
 	maxPeersSent = 4
-	// seekInterval is the minimum time between two searches for a replacement, and seekTimeout
-	// bounds one.
-	seekInterval = 250 * time.Millisecond
-	seekTimeout  = 300 * time.Millisecond
+	// replacementInterval is the minimum time between two searches for a replacement of the relay.
+	// queryTimeout bounds such a search and each query of another node.
+	replacementInterval = 250 * time.Millisecond
+	queryTimeout        = 300 * time.Millisecond
 )
 
 // addressSet holds the most recently added addresses, at most maxPeers.
@@ -59,28 +59,28 @@
 	return r.peers.pick(count)
 }
 
-// seekDue reports whether peers may be queried again, and records the time if so. The interval
-// grows with the number of nodes, because all query the same few standbys.
-func (r *Relay) seekDue() bool {
+// replacementDue reports whether peers may be queried for a replacement again, and records the time
+// if so. The interval grows with the number of nodes, because all query the same few standbys.
+func (r *Relay) replacementDue() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if time.Since(r.lastSeek) < max(seekInterval, r.pace()/2) {
+	if time.Since(r.lastReplacementSearch) < max(replacementInterval, r.pace()/2) {
 		return false
 	}
-	r.lastSeek = time.Now()
+	r.lastReplacementSearch = time.Now()
 	return true
 }
 
-// seekReplacement searches for another node to read from when this node or its relay does not reach
-// the store, which may still answer others. The relay is dropped as soon as a replacement is found.
-func (r *Relay) seekReplacement(ctx context.Context, relay Peer) {
-	if !r.seekDue() {
+// findReplacement queries peers for another node to read from when this node or its relay does not
+// reach the store, which may still answer others. The relay is dropped as soon as one is found.
+func (r *Relay) findReplacement(ctx context.Context, relay Peer) {
+	if !r.replacementDue() {
 		return
 	}
 	r.mu.Lock()
 	addresses := r.searchCandidates()
 	r.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, seekTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	var queries sync.WaitGroup
 	for _, address := range addresses {
@@ -112,7 +112,7 @@
 
 // queryUpstream asks one node what it reads the tables from.
 func (r *Relay) queryUpstream(ctx context.Context, address string) (Peer, error) {
-	ctx, cancel := context.WithTimeout(ctx, seekTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	var response wire.RelayResponse
 	err := r.client.Call(ctx, address, wire.MethodRelay, wire.Empty{}, &response)
@@ -149,8 +149,8 @@
 	case Peer:
 		return wire.RelayResponse{Address: up.Address, Token: up.Token}, nil
 	case Store:
-		record, known := r.lessor.Holder()
-		if known && r.lessor.Valid() {
+		record, known := r.elector.Holder()
+		if known && r.elector.Valid() {
 			return wire.RelayResponse{Address: r.address, Token: record.Token}, nil
 		}
 		r.mu.Lock()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -35,7 +35,7 @@
 	leaseTimeout  = 800 * time.Millisecond
 	// callMargin is how much longer than its hold time the response of a relay may take.
 	callMargin = 350 * time.Millisecond
-	// wholeMargin is the same for a page of a whole table, which hundreds of readers may request at
+	// wholeMargin is the margin for a page of a whole table, which hundreds of readers may request at
 	// once. Other calls detect the loss of a relay sooner.
 	wholeMargin = 2 * time.Second
 	// maxAge is the maximum time since a relay last got an answer from the store.
@@ -122,7 +122,7 @@
 // Relay is the member of a group that runs on one node, as a reader or as the relay. It is safe for
 // concurrent use.
 type Relay struct {
-	lessor  *lease.Elector
+	elector *lease.Elector
 	client  Caller
 	address string
 	log     logr.Logger
@@ -149,10 +149,10 @@
 	// staleRelay is the relay whose data was too old when this node last called it.
 	staleRelay Peer
 	// peers are addresses of other readers, used when the store is lost. namedRelay is the relay
-	// that they named, lastSeek when they were last queried.
-	peers      addressSet
-	namedRelay Peer
-	lastSeek   time.Time
+	// that they named, lastReplacementSearch when they were last queried for a replacement.
+	peers                 addressSet
+	namedRelay            Peer
+	lastReplacementSearch time.Time
 	// firstStart and standbys decide whether this node reads the store on its own; see
 	// FallsBackToStore.
 	firstStart bool
@@ -178,7 +178,7 @@
 		client: o.Client, address: o.Address, log: o.Log.WithValues("group", o.Group), mirrors: make(map[Table]*mirror), upstreamLost: make(chan struct{}), found: make(chan struct{}),
 		firstStart: o.FirstStart, processStarted: time.Now(),
 	}
-	r.lessor = lease.New(o.Leases, o.Group.LeaseKey(), o.Node, o.Address, o.Process, lease.Options{
+	r.elector = lease.New(o.Leases, o.Group.LeaseKey(), o.Node, o.Address, o.Process, lease.Options{
 		Validity: leaseValidity, Interval: leaseInterval, CallTimeout: leaseTimeout, TakeoverDelay: o.TakeoverDelay, Heard: r.skipLeaseCheck,
 		Nodes: r.Nodes, ReadStoreOnce: true, ReadAtStart: !o.FirstStart, Regained: r.storeRecovered, Now: o.Now,
 	}, o.Log)
@@ -186,7 +186,7 @@
 }
 
 // Run takes part in the group until ctx ends.
-func (r *Relay) Run(ctx context.Context) { r.lessor.Run(ctx) }
+func (r *Relay) Run(ctx context.Context) { r.elector.Run(ctx) }
 
 // Release gives up the group lease and rejects readers from then on, so that another node takes
 // over. This node then reads from that node or from another reader.
@@ -194,16 +194,16 @@
 	r.mu.Lock()
 	r.stopped = true
 	r.mu.Unlock()
-	r.lessor.Release(ctx)
+	r.elector.Release(ctx)
 }
 
 // Upstream returns what this node currently reads the tables from.
 func (r *Relay) Upstream() Upstream {
-	record, known := r.lessor.Holder()
-	holds, looked := r.lessor.Holds(), r.lessor.RowKnown()
+	record, known := r.elector.Holder()
+	holds, rowKnown := r.elector.Holds(), r.elector.RowKnown()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.leaseRowRead = r.leaseRowRead || looked
+	r.leaseRowRead = r.leaseRowRead || rowKnown
 	if r.nodes == 0 {
 		r.nodes = record.Nodes
 	}
@@ -216,8 +216,8 @@
 }
 
 // choose selects the upstream. other is set if the newest known lease is held by another process. A
-// relay named by peers takes precedence over an older lease, even one that this node believes to
-// hold. The caller holds mu.
+// relay named by peers takes precedence over an older lease, even one that this node believes it
+// holds. The caller holds mu.
 func (r *Relay) choose(record lease.Record, other bool) Upstream {
 	relay := Peer{Address: record.Address, Token: record.Token}
 	if r.namedRelay.Token > record.Token {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -58,7 +58,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.model.whole(s.model.revision), nil
+	return s.model.snapshot(s.model.revision), nil
 }
 
 func (s *fakeStore) Watch(_ context.Context, after uint64, _ time.Duration) (feed.Batch, error) {
@@ -158,7 +158,7 @@
 func startPair(t *testing.T, store *fakeStore) (relay, follower *member) {
 	t.Helper()
 	relay = startMember(t, store, "one")
-	waitUntil(t, func() bool { return relay.lessor.Holds() })
+	waitUntil(t, func() bool { return relay.elector.Holds() })
 	_, err := relay.source.Read(t.Context())
 	assert.NilError(t, err)
 	follower = startMember(t, store, "two")
@@ -203,17 +203,17 @@
 	relay, follower := startPair(t, store)
 	batch, err := follower.source.Read(t.Context())
 	assert.NilError(t, err)
-	before, asked := store.reads.Load(), relay.followCalls.Load()
+	before, calls := store.reads.Load(), relay.followCalls.Load()
 	done := make(chan error)
 	go func() {
 		_, err := follower.source.Watch(t.Context(), batch.Revision, 400*time.Millisecond)
 		done <- err
 	}()
-	waitUntil(t, func() bool { return relay.followCalls.Load() > asked })
+	waitUntil(t, func() bool { return relay.followCalls.Load() > calls })
 	relay.listener.reset()
 	assert.NilError(t, <-done)
 	assert.Equal(t, store.reads.Load(), before)
-	assert.Equal(t, relay.followCalls.Load(), asked+2)
+	assert.Equal(t, relay.followCalls.Load(), calls+2)
 }
 
 // TestStoreIsReadWhenRelayIsOld checks that a relay which has not reached the store for too long is
@@ -278,7 +278,7 @@
 	_, err := follower.source.Read(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, store.reads.Load(), before+1)
-	waitUntil(t, func() bool { return follower.lessor.Holds() })
+	waitUntil(t, func() bool { return follower.elector.Holds() })
 }
 
 // TestManyRowsArePackedOnce checks that a batch of many rows reaches the followers completely, and
--- a/internal/relay/search.go
+++ b/internal/relay/search.go
@@ -53,7 +53,7 @@
 // fleet only some nodes do and the others read from them, because the store should not have to
 // serve hundreds of nodes at once.
 func (r *Relay) FallsBackToStore() bool {
-	if r.lessor.Holds() {
+	if r.elector.Holds() {
 		return true
 	}
 	r.mu.Lock()
--- a/internal/relay/search_test.go
+++ b/internal/relay/search_test.go
@@ -55,7 +55,7 @@
 	store := &fakeStore{}
 	store.write("a")
 	relay := startMember(t, store, "one", firstStart)
-	waitUntil(t, func() bool { return relay.lessor.Holds() })
+	waitUntil(t, func() bool { return relay.elector.Holds() })
 	_, err := relay.source.Read(t.Context())
 	assert.NilError(t, err)
 	reads, leaseReads := store.reads.Load(), store.leaseReads.Load()
@@ -185,7 +185,7 @@
 	store := &fakeStore{}
 	store.write("a")
 	relay := startMember(t, store, "one", firstStart)
-	waitUntil(t, func() bool { return relay.lessor.Holds() })
+	waitUntil(t, func() bool { return relay.elector.Holds() })
 	relay.SetStandbys([]string{"127.0.0.1:1"})
 	relay.SetNodes(300)
 	_, err := relay.source.Read(t.Context())
@@ -220,7 +220,7 @@
 	store := &fakeStore{}
 	store.write("a")
 	relay := startMember(t, store, "one")
-	waitUntil(t, func() bool { return relay.lessor.Holds() })
+	waitUntil(t, func() bool { return relay.elector.Holds() })
 	_, err = relay.source.Read(t.Context())
 	assert.NilError(t, err)
 	reads := store.reads.Load()
@@ -263,12 +263,12 @@
 		store := &fakeStore{}
 		store.write("a")
 		relay := startMember(t, store, "one")
-		waitUntil(t, func() bool { return relay.lessor.Holds() })
+		waitUntil(t, func() bool { return relay.elector.Holds() })
 		_, err := relay.source.Read(t.Context())
 		assert.NilError(t, err)
 		relay.SetNodes(test.nodes)
 		waitUntil(t, func() bool {
-			record, _ := relay.lessor.Holder()
+			record, _ := relay.elector.Holder()
 			return record.Nodes == test.nodes
 		})
 		if test.reads > 0 {
@@ -289,10 +289,10 @@
 	store := &fakeStore{}
 	store.write("a")
 	lost := startMember(t, store, "lost")
-	waitUntil(t, func() bool { return lost.lessor.Holds() })
+	waitUntil(t, func() bool { return lost.elector.Holds() })
 	lost.SetNodes(500)
 	waitUntil(t, func() bool {
-		record, _ := lost.lessor.Holder()
+		record, _ := lost.elector.Holder()
 		return record.Nodes == 500
 	})
 	lost.kill()
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -56,6 +56,7 @@
 	return response, nil
 }
 
+// read returns all rows of a mirror, or its changes after the revision in the request.
 func read(ctx context.Context, m *mirror, request wire.FollowRequest) (feed.Batch, error) {
 	if request.Whole {
 		return m.awaitSnapshot(ctx)
--- a/internal/relay/simulation_test.go
+++ b/internal/relay/simulation_test.go
@@ -58,7 +58,7 @@
 	return s.tables[name].revision
 }
 
-// storeView is the store as seen by one node.
+// storeView is the lease table and one data table of the store as seen by one node.
 type storeView struct {
 	*simulatedStore
 	table Table
@@ -109,7 +109,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	model := v.tables[v.table]
-	return model.whole(model.revision), nil
+	return model.snapshot(model.revision), nil
 }
 
 func (v storeView) Watch(ctx context.Context, after uint64, hold time.Duration) (feed.Batch, error) {
@@ -238,7 +238,7 @@
 // holder returns the node that holds the lease of the group.
 func (g *simulatedGroup) holder() *simulatedNode {
 	for _, n := range g.nodes {
-		if !n.gone.Load() && n.lessor.Valid() {
+		if !n.gone.Load() && n.elector.Valid() {
 			return n
 		}
 	}
--- a/internal/relay/source.go
+++ b/internal/relay/source.go
@@ -64,14 +64,15 @@
 	return s.store.Watch(ctx, after, 0)
 }
 
-// dropMirrorRows drops the rows of a large mirror if this node serves them to nobody.
+// dropMirrorRows drops the rows of a large mirror unless this node reads the store itself and so may
+// serve them to others.
 func (s *Source) dropMirrorRows() {
 	if _, reads := s.relay.Upstream().(Store); !reads {
 		s.mirror.dropRows(maxKeptBytes)
 	}
 }
 
-// fill reads the rows of a mirror that has dropped them, before this node serves them to others.
+// fill restores the rows of a mirror that has dropped them, before this node serves them to others.
 func (s *Source) fill(ctx context.Context) error {
 	if !s.mirror.lacksRows() {
 		return nil
@@ -104,7 +105,7 @@
 		if fault.IsCode(err, fault.CodeStale) {
 			s.relay.recordStaleRelay(relay, s.table, err)
 			if !s.relay.FallsBackToStore() || !s.relay.mayProbeStore() {
-				s.relay.seekReplacement(ctx, relay)
+				s.relay.findReplacement(ctx, relay)
 				return batch, err
 			}
 		}
@@ -138,7 +139,7 @@
 		return s.readStore(ctx, store)
 	case !fault.IsCode(err, fault.CodeCompacted):
 		s.relay.recordStoreFailure(s.table)
-		s.relay.seekReplacement(context.WithoutCancel(ctx), s.relay.failedRelay())
+		s.relay.findReplacement(context.WithoutCancel(ctx), s.relay.failedRelay())
 	}
 	return batch, err
 }
