--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -1,5 +1,5 @@
 // Package feed follows a table of the platform: it reads the whole table, then its
-// changes, and never goes back behind the newest revision that it has seen.
+// changes, and applies no data older than the newest revision that it has seen.
 package feed
 
 import (
@@ -67,10 +67,11 @@
 	RetrySignal func() <-chan struct{}
 	// Timeout is how long a call may take beyond its wait.
 	Timeout time.Duration
-	// ReadTimeout is the same for a read of the whole table, if that takes longer.
+	// ReadTimeout bounds a read of the whole table if it is longer than Timeout.
 	ReadTimeout time.Duration
 }
 
+// The pause after an error doubles from minBackoff to maxBackoff; up to half of it is random.
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 800 * time.Millisecond
@@ -85,21 +86,22 @@
 
 	// newestRevision is the newest revision seen; older data is not applied.
 	newestRevision uint64
-	// position is the revision up to which changes were applied, if whole is set: the whole table
-	// was read.
-	position uint64
-	whole    bool
-	// mutex guards the fields up to cancelCall. heard is when the source last answered, and asOf
-	// when the store provided that answer. applied is the revision up to which the handler has
+	// position is the revision up to which snapshot and changes were applied. It is valid if
+	// hasSnapshot is set; otherwise the whole table is read next.
+	position    uint64
+	hasSnapshot bool
+	// mutex guards the fields up to cancelCall. lastResponse is when the source last answered, and
+	// asOf when the store provided that answer. applied is the revision up to which the handler has
 	// processed changes, and delivering that of the newest rows passed to it. reread is set when
-	// the table is to be read anew. cancelCall cancels the current call.
-	mutex      sync.Mutex
-	heard      time.Time
-	asOf       time.Time
-	applied    uint64
-	delivering uint64
-	reread     bool
-	cancelCall context.CancelFunc
+	// the table is to be read anew. cancelCall cancels the current watch call.
+	mutex        sync.Mutex
+	lastResponse time.Time
+	asOf         time.Time
+	applied      uint64
+	delivering   uint64
+	reread       bool
+	cancelCall   context.CancelFunc
+	// sourceLost is set while calls fail, backoff is the current pause after an error.
 	sourceLost bool
 	backoff    time.Duration
 }
@@ -112,18 +114,18 @@
 // Run follows the table until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		started, woken := time.Now(), f.retrySignal()
+		started, retry := time.Now(), f.retrySignal()
 		err := f.step(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if f.consumeReread() {
-			f.whole = false
+			f.hasSnapshot = false
 			continue
 		}
 		f.logSourceState(err)
 		if err != nil {
-			f.backOff(ctx, woken)
+			f.backOff(ctx, retry)
 			continue
 		}
 		if pause := f.interval() - time.Since(started); pause > 0 {
@@ -139,8 +141,9 @@
 	return f.options.RetrySignal()
 }
 
-// backOff pauses after an error until woken is closed, but at least for minBackoff.
-func (f *Follower) backOff(ctx context.Context, woken <-chan struct{}) {
+// backOff pauses after an error for nextBackoff, or until retry is closed, but at least for
+// minBackoff.
+func (f *Follower) backOff(ctx context.Context, retry <-chan struct{}) {
 	pause := f.nextBackoff()
 	wait.For(ctx, min(pause, minBackoff))
 	timer := time.NewTimer(pause - min(pause, minBackoff))
@@ -148,7 +151,7 @@
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-woken:
+	case <-retry:
 	}
 }
 
@@ -170,8 +173,9 @@
 	return f.options.Pace()
 }
 
+// step reads the whole table or waits for its next changes, and passes them to the handler.
 func (f *Follower) step(ctx context.Context) error {
-	if !f.whole {
+	if !f.hasSnapshot {
 		return f.read(ctx)
 	}
 	return f.watch(ctx)
@@ -220,13 +224,13 @@
 		return fault.New(fault.CodeStale, "read table", "revision %d is older than %d", batch.Revision, f.newestRevision)
 	}
 	gap := time.Duration(0)
-	if heard := f.LastResponse(); !heard.IsZero() {
-		gap = time.Since(heard)
+	if last := f.LastResponse(); !last.IsZero() {
+		gap = time.Since(last)
 	}
 	f.log.Info("table read", "revision", batch.Revision, "rows", len(batch.Rows), "gapMs", gap.Milliseconds())
 	f.setDelivering(batch.Revision)
 	f.handler.ApplySnapshot(batch.Rows, gap)
-	f.whole = true
+	f.hasSnapshot = true
 	f.advance(batch)
 	return nil
 }
@@ -237,7 +241,7 @@
 	batch, err := f.source.Watch(ctx, f.position, f.wait())
 	if fault.IsCode(err, fault.CodeCompacted) {
 		f.log.Info("history gone, reading the table anew", "after", f.position)
-		f.whole = false
+		f.hasSnapshot = false
 		return nil
 	}
 	if err != nil {
@@ -276,8 +280,8 @@
 	f.newestRevision = max(f.newestRevision, batch.Revision)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.heard = time.Now()
-	f.asOf = f.heard.Add(-batch.Age)
+	f.lastResponse = time.Now()
+	f.asOf = f.lastResponse.Add(-batch.Age)
 	f.applied = batch.Revision
 }
 
@@ -307,7 +311,7 @@
 func (f *Follower) LastResponse() time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.heard
+	return f.lastResponse
 }
 
 // AsOf returns when the store provided the newest answer, as far as the source knows. The handler
@@ -338,6 +342,7 @@
 	f.sourceLost = true
 }
 
+// nextBackoff returns the pause after another error.
 func (f *Follower) nextBackoff() time.Duration {
 	f.backoff = min(max(2*f.backoff, minBackoff), maxBackoff)
 	return f.backoff/2 + rand.N(f.backoff/2)
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -39,13 +39,13 @@
 
 // recorder records what a handler receives.
 type recorder struct {
-	whole   int
-	changed []string
-	last    []Row
+	snapshots int
+	changed   []string
+	last      []Row
 }
 
 func (r *recorder) ApplySnapshot(rows []Row, _ time.Duration) {
-	r.whole++
+	r.snapshots++
 	r.last = rows
 }
 
@@ -75,9 +75,9 @@
 	assert.NilError(t, f.step(t.Context())) // history gone
 	err := f.step(t.Context())              // read at 3
 	assert.Assert(t, fault.IsCode(err, fault.CodeStale), "%v", err)
-	assert.Equal(t, got.whole, 1)
+	assert.Equal(t, got.snapshots, 1)
 	assert.NilError(t, f.step(t.Context())) // read at 9
-	assert.Equal(t, got.whole, 2)
+	assert.Equal(t, got.snapshots, 2)
 	assert.Equal(t, got.last[0].Key, "b")
 	assert.DeepEqual(t, got.changed, []string{"b"})
 }
@@ -124,24 +124,24 @@
 	return Batch{}, ctx.Err()
 }
 
-// wholeHandler signals each whole table.
-type wholeHandler struct{ whole chan struct{} }
+// snapshotHandler signals each snapshot.
+type snapshotHandler struct{ snapshots chan struct{} }
 
-func (h wholeHandler) ApplySnapshot([]Row, time.Duration) { h.whole <- struct{}{} }
-func (h wholeHandler) ApplyChanges([]Row)                 {}
+func (h snapshotHandler) ApplySnapshot([]Row, time.Duration) { h.snapshots <- struct{}{} }
+func (h snapshotHandler) ApplyChanges([]Row)                 {}
 
 // TestTableIsReadAnewAtOnce checks that Reread interrupts a watch call.
 func TestTableIsReadAnewAtOnce(t *testing.T) {
 	source := &heldSource{scriptedSource: scriptedSource{reads: []Batch{{Revision: 1}, {Revision: 1}}}, held: make(chan struct{})}
-	handler := wholeHandler{whole: make(chan struct{}, 1)}
+	handler := snapshotHandler{snapshots: make(chan struct{}, 1)}
 	f := NewFollower(source, handler, Options{Name: "test", Wait: time.Hour, Timeout: time.Hour}, logr.Discard())
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); f.Run(ctx) }()
-	<-handler.whole
+	<-handler.snapshots
 	<-source.held
 	f.Reread()
-	<-handler.whole
+	<-handler.snapshots
 	<-source.held
 	cancel()
 	<-done
@@ -185,15 +185,15 @@
 // it is signaled, and does not loop before that.
 func TestFollowerSleptThoughItsSourceWasBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		source, woken := &failingSource{}, make(chan struct{})
-		options := Options{Name: "test", Wait: time.Second, Timeout: time.Second, RetrySignal: func() <-chan struct{} { return woken }}
+		source, retry := &failingSource{}, make(chan struct{})
+		options := Options{Name: "test", Wait: time.Second, Timeout: time.Second, RetrySignal: func() <-chan struct{} { return retry }}
 		f := NewFollower(source, &recorder{}, options, logr.Discard())
 		ctx, cancel := context.WithCancel(t.Context())
 		go f.Run(ctx)
 		time.Sleep(10 * time.Second)
 		assert.Assert(t, source.calls.Load() < 40, "%d calls in 10 s", source.calls.Load())
 		source.repaired.Store(true)
-		close(woken)
+		close(retry)
 		time.Sleep(2 * minBackoff)
 		assert.Assert(t, f.Read())
 		cancel()
