--- a/internal/relay/health.go
+++ b/internal/relay/health.go
@@ -125,7 +125,7 @@
 	defer r.mu.Unlock()
 	r.relayAnswered, r.tableReceived = time.Now(), true
 	if r.staleRelay != (Peer{}) {
-		r.log.Info("dependency regained", "dependency", "store through the relay")
+		r.log.Info("dependency regained", "dependency", "relay's word of the store")
 		r.staleRelay = Peer{}
 		r.notifyFound()
 	}
@@ -139,7 +139,7 @@
 		return
 	}
 	r.staleRelay = relay
-	r.log.Info("dependency lost", "dependency", "store through the relay", "peer", relay.Address, "table", table, "error", err.Error())
+	r.log.Info("dependency lost", "dependency", "relay's word of the store", "peer", relay.Address, "table", table, "error", err.Error())
 }
 
 // age returns the time since the store last answered this node.
