--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -21,6 +21,7 @@
 	maximumElements     = 1 << 16
 )
 
+// envelope is the encoded form of every message.
 type envelope struct {
 	Version uint            `cbor:"1,keyasint"`
 	Body    cbor.RawMessage `cbor:"2,keyasint"`
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -36,7 +36,7 @@
 // TestBadMessages checks that corrupt, oversized, deeply nested and newer messages result in a
 // typed error that names the peer.
 func TestBadMessages(t *testing.T) {
-	whole, err := Encode(ExplainRequest{Subject: "s", Limit: 9})
+	valid, err := Encode(ExplainRequest{Subject: "s", Limit: 9})
 	assert.NilError(t, err)
 	newer, err := encoder.Marshal(envelope{Version: Version + 1, Body: []byte{0xa0}})
 	assert.NilError(t, err)
@@ -46,8 +46,8 @@
 		code    fault.Code
 	}{
 		{"empty", nil, fault.CodeInvalid},
-		{"truncated", whole[:len(whole)-1], fault.CodeInvalid},
-		{"trailing", append(bytes.Clone(whole), 0), fault.CodeInvalid},
+		{"truncated", valid[:len(valid)-1], fault.CodeInvalid},
+		{"trailing", append(bytes.Clone(valid), 0), fault.CodeInvalid},
 		{"oversized", make([]byte, MaximumMessageBytes+1), fault.CodeTooLarge},
 		{"nested", bytes.Repeat([]byte{0x81}, 1000), fault.CodeInvalid},
 		{"newer", newer, fault.CodeUnsupportedVersion},
--- a/internal/wire/limits.go
+++ b/internal/wire/limits.go
@@ -35,7 +35,7 @@
 	Spent bool `cbor:"1,keyasint,omitempty"`
 	// InMs is otherwise the time, in milliseconds, until the share of the lender holds the cost.
 	InMs int64 `cbor:"2,keyasint,omitempty"`
-	// Holds is the capacity of the lender's share.
+	// Holds is the capacity of the lender's share: the most that it can ever hold.
 	Holds float64 `cbor:"3,keyasint,omitempty"`
 }
 
--- a/internal/wire/messages.go
+++ b/internal/wire/messages.go
@@ -59,9 +59,11 @@
 type Obstacle struct {
 	Reason  string `cbor:"1,keyasint" json:"reason"`
 	Runners int    `cbor:"2,keyasint" json:"runners"`
-	// Holding is how many of the runners held what the request names.
+	// Holding is how many of the runners are believed to have the model or adapter of the request
+	// loaded; all of them if it names none.
 	Holding int `cbor:"3,keyasint" json:"holding"`
-	// AgeMs is the longest time since the node last heard of one of these runners.
+	// AgeMs is the longest time since the node last received data about one of these runners, in
+	// milliseconds.
 	AgeMs int64 `cbor:"4,keyasint" json:"ageMs"`
 }
 
@@ -122,15 +124,15 @@
 	State string `cbor:"5,keyasint" json:"state"`
 	// Running is the number of requests that nodes have in progress there.
 	Running int `cbor:"6,keyasint" json:"running"`
-	// FreeMB is the memory that is not in use and cannot come into use.
+	// FreeMB is the memory, in MB, that is not in use and that no outstanding order may use.
 	FreeMB   float64         `cbor:"7,keyasint" json:"freeMB"`
 	Sequence uint64          `cbor:"8,keyasint" json:"sequence"`
 	Units    []ReplicaStatus `cbor:"9,keyasint,omitempty" json:"units"`
-	// ColdMs is how much longer it stays cold according to the node that was asked; zero if it is
-	// not cold.
+	// ColdMs is how much longer it stays cold according to the node that was asked, in milliseconds;
+	// zero if it is not cold.
 	ColdMs int64 `cbor:"10,keyasint,omitempty" json:"coldMs,omitempty"`
-	// RestMs is how much longer it accepts nothing from the node that was asked; zero if it does
-	// not rest.
+	// RestMs is how much longer it accepts nothing from the node that was asked, in milliseconds; zero
+	// if it does not rest.
 	RestMs int64 `cbor:"11,keyasint,omitempty" json:"restMs,omitempty"`
 }
 
--- a/internal/wire/poison.go
+++ b/internal/wire/poison.go
@@ -33,7 +33,7 @@
 	State string `json:"state"`
 	// Runners are the runners that crashed under it, in order.
 	Runners []string `json:"runners"`
-	// RefusedMs is how long it has been refused, as far as the node knows.
+	// RefusedMs is how long it has been refused, as far as the node knows, in milliseconds.
 	RefusedMs int64 `json:"refusedMs,omitempty"`
 }
 
--- a/internal/wire/relay.go
+++ b/internal/wire/relay.go
@@ -7,7 +7,7 @@
 // FollowRequest asks for the rows of a table, or for its changes.
 type FollowRequest struct {
 	Table string `cbor:"1,keyasint"`
-	// Whole asks for all rows; otherwise the rows that changed after After are requested.
+	// Whole asks for all rows; otherwise the rows that changed after revision After are requested.
 	Whole bool   `cbor:"2,keyasint,omitempty"`
 	After uint64 `cbor:"3,keyasint,omitempty"`
 	// HoldMs is how long the answer may wait for a change, in milliseconds.
--- a/internal/wire/sync.go
+++ b/internal/wire/sync.go
@@ -20,7 +20,9 @@
 	Token   uint64 `cbor:"3,keyasint"`
 	Version uint64 `cbor:"4,keyasint"`
 	// HoldMs is how long the answer may wait for a change, in milliseconds.
-	HoldMs  int64         `cbor:"5,keyasint"`
+	HoldMs int64 `cbor:"5,keyasint"`
+	// Waiting are the requests that wait at the node, Usage those since its last report, and Running
+	// those in progress at runners.
 	Waiting []UnitWaiting `cbor:"6,keyasint,omitempty"`
 	Usage   []UnitUsage   `cbor:"7,keyasint,omitempty"`
 	Running []RunnerUsage `cbor:"8,keyasint,omitempty"`
@@ -40,8 +42,8 @@
 	Poison *PoisonReport `cbor:"17,keyasint,omitempty"`
 	// Partial is set while the node knows only some of the runners.
 	Partial bool `cbor:"19,keyasint,omitempty"`
-	// Leaving are runners that announced in answers that they are leaving, which the list of the
-	// platform does not show yet.
+	// Leaving are runners that announced in answers that they are leaving although the list of the
+	// platform does not show it yet.
 	Leaving []RunnerLeaving `cbor:"18,keyasint,omitempty"`
 	// Limited are runners that stated limits in answers.
 	Limited []RunnerLimit `cbor:"20,keyasint,omitempty"`
@@ -53,7 +55,7 @@
 	Runner string `cbor:"1,keyasint"`
 	// Rate is the number of requests per second that it accepts from all nodes together.
 	Rate float64 `cbor:"2,keyasint"`
-	// AgeMs is how long ago it said so last, in milliseconds.
+	// AgeMs is how long ago it last stated the limit, in milliseconds.
 	AgeMs int64 `cbor:"3,keyasint,omitempty"`
 }
 
@@ -61,7 +63,7 @@
 type RunnerLeaving struct {
 	// Runner identifies the incarnation.
 	Runner string `cbor:"1,keyasint"`
-	// AgeMs is how long ago it said so last, in milliseconds.
+	// AgeMs is how long ago it last announced that, in milliseconds.
 	AgeMs int64 `cbor:"2,keyasint,omitempty"`
 }
 
@@ -74,8 +76,8 @@
 	Rate float64 `cbor:"3,keyasint,omitempty"`
 }
 
-// PermitsLent is the number of permits that the holder lends for such a runner. They may be spent
-// within a fixed time (coldstart.Validity) after the node sent its request.
+// PermitsLent is the number of permits that the holder lends for a runner that is cold or stated a
+// limit. They may be spent within a fixed time (coldstart.Validity) after the node sent its request.
 type PermitsLent struct {
 	Runner string `cbor:"1,keyasint"`
 	Count  int    `cbor:"2,keyasint,omitempty"`
@@ -122,8 +124,8 @@
 	// ListRevision is the revision of the list of the platform up to which the holder has applied
 	// all changes; see RunnerView.Listed.
 	ListRevision uint64 `cbor:"19,keyasint,omitempty"`
-	// Planned are the models that the node waits for and that are not being loaded yet, with the
-	// time until they are expected.
+	// Planned are the models that requests at the node wait for and that are not being loaded yet,
+	// with the time until they are expected.
 	Planned []PendingUnit `cbor:"9,keyasint,omitempty"`
 	// Nodes is the number of nodes that reported recently.
 	Nodes int `cbor:"5,keyasint"`
@@ -132,8 +134,8 @@
 	// Standbys are addresses of the nodes that fall back to the store first when a holder is lost.
 	// Sent in answer to reports.
 	Standbys []string `cbor:"15,keyasint,omitempty"`
-	// LeaseRenewal, LeaseYielded and LeaseQuietMs are what the holder reports about its lease
-	// (lease.Word), the one with Token.
+	// LeaseRenewal, LeaseYielded and LeaseQuietMs are the status of the holder's lease
+	// (lease.HolderStatus), the one with Token.
 	LeaseRenewal uint64 `cbor:"10,keyasint,omitempty"`
 	LeaseYielded bool   `cbor:"11,keyasint,omitempty"`
 	LeaseQuietMs int64  `cbor:"12,keyasint,omitempty"`
@@ -153,7 +155,7 @@
 	Limits *limit.Grant `cbor:"16,keyasint,omitempty"`
 	// Permits answers the Permits of the request.
 	Permits []PermitsLent `cbor:"17,keyasint,omitempty"`
-	// Leaving and Limited are those known to the holder, from its own answers and from other nodes.
+	// Leaving and Limited are the runners that stated so to the holder itself or to other nodes.
 	Leaving []RunnerLeaving `cbor:"18,keyasint,omitempty"`
 	Limited []RunnerLimit   `cbor:"20,keyasint,omitempty"`
 }
