--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -142,6 +142,7 @@
 // tcpUserTimeout is the number of TCP_USER_TIMEOUT on Linux.
 const tcpUserTimeout = 0x12
 
+// control sets AckTimeout on a new socket. It is a net.Dialer.Control function.
 func (b Bounds) control(_, _ string, raw syscall.RawConn) error {
 	return setAckTimeoutRaw(raw, b.AckTimeout)
 }
@@ -174,5 +175,5 @@
 	_ = setAckTimeoutRaw(raw, limit)
 }
 
-// AckTimedOut reports whether an error means that the other machine stopped acknowledging.
+// AckTimedOut reports whether an error means that AckTimeout ended the connection.
 func AckTimedOut(err error) bool { return errors.Is(err, syscall.ETIMEDOUT) }
--- a/internal/link/transport.go
+++ b/internal/link/transport.go
@@ -47,10 +47,12 @@
 // CloseIdleConnections closes the idle connections.
 func (t *Transport) CloseIdleConnections() { t.base.CloseIdleConnections() }
 
-// connectionUse is the use of a connection by a request.
+// connectionUse is the use of a connection by a request. It is safe for concurrent use.
 type connectionUse struct {
-	mutex    sync.Mutex
-	takenAt  time.Time
+	mutex sync.Mutex
+	// takenAt is when the request got the connection; zero if it got none.
+	takenAt time.Time
+	// wasIdle is set if the connection was idle before, answered once a response has begun.
 	wasIdle  bool
 	answered bool
 }
@@ -70,7 +72,7 @@
 	}
 }
 
-// RoundTrip sends a request.
+// RoundTrip sends a request. It implements http.RoundTripper.
 func (t *Transport) RoundTrip(request *http.Request) (*http.Response, error) {
 	ctx := request.Context()
 	u := &connectionUse{}
@@ -81,7 +83,8 @@
 	return response, err
 }
 
-// checkSilence determines from a failed call whether its connection was silent.
+// checkSilence determines from a failed call whether its connection was silent, and if so drops the
+// idle connections.
 func (t *Transport) checkSilence(ctx context.Context, request *http.Request, u *connectionUse, err error) {
 	u.mutex.Lock()
 	at, mute := u.takenAt, u.wasIdle && !u.answered
--- a/internal/link/trust.go
+++ b/internal/link/trust.go
@@ -20,7 +20,7 @@
 
 // The scopes.
 const (
-	// NoPeer: the connections were already dropped after the silent one was taken.
+	// NoPeer is no peer: the connections were already dropped after the silent one was taken.
 	NoPeer Scope = iota
 	// OnePeer is the peer whose connection was silent.
 	OnePeer
--- a/internal/link/trust_test.go
+++ b/internal/link/trust_test.go
@@ -57,16 +57,16 @@
 
 // TestAnswerOnAConnectionMadeDuringTheSilenceShowsNothing checks that an answer is ignored if its
 // connection was made after the silent one was taken and became idle before the silence was
-// detected. It works as all new ones do.
+// detected: new connections work although all older ones may be silent.
 func TestAnswerOnAConnectionMadeDuringTheSilenceShowsNothing(t *testing.T) {
 	c := newClock()
 	trust := NewTrust(c.now)
 	taken := c.now()
 	c.advance(100 * time.Millisecond)
-	rested := c.now()
+	idleSince := c.now()
 	c.advance(time.Second)
 	assert.Equal(t, trust.Silent("a", taken), OnePeer)
-	trust.Answered(rested)
+	trust.Answered(idleSince)
 	assert.Equal(t, trust.Silent("b", taken), AllPeers)
 }
 
