--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -22,21 +22,25 @@
 	headerFrom = "From-Node"
 	// headerRegion asks a peer for its region, and carries the answer, in the first call to it.
 	headerRegion = "Node-Region"
-	maximumIdle  = 64
-	// idlePerHost is enough for the held calls of one node at another.
-	idlePerHost      = 8
-	idleTimeout      = 30 * time.Second
-	readTimeout      = 30 * time.Second
+	// maximumIdle is the maximum number of idle connections of a client, idlePerHost that to one
+	// node. It is enough for the calls that one node holds open at another.
+	maximumIdle = 64
+	idlePerHost = 8
+	idleTimeout = 30 * time.Second
+	readTimeout = 30 * time.Second
+	// statusPeerFailed is the status of a response whose body is a failure.
 	statusPeerFailed = http.StatusUnprocessableEntity
 )
 
+// failure is the encoded form of a fault.Error.
 type failure struct {
-	Code       fault.Code `cbor:"1,keyasint"`
-	Step       string     `cbor:"2,keyasint"`
-	Peer       string     `cbor:"3,keyasint"`
-	Ran        string     `cbor:"4,keyasint"`
-	Message    string     `cbor:"5,keyasint"`
-	RetryAfter int64      `cbor:"6,keyasint"`
+	Code    fault.Code `cbor:"1,keyasint"`
+	Step    string     `cbor:"2,keyasint"`
+	Peer    string     `cbor:"3,keyasint"`
+	Ran     string     `cbor:"4,keyasint"`
+	Message string     `cbor:"5,keyasint"`
+	// RetryAfter is in milliseconds.
+	RetryAfter int64 `cbor:"6,keyasint"`
 }
 
 // Server answers the calls of other nodes. All handlers must be added with Handle before Serve.
@@ -59,7 +63,7 @@
 // SetRegion sets the region of the node. It must be called before Serve.
 func (s *Server) SetRegion(region place.Region) { s.region = region }
 
-// Handle registers the handler of a message.
+// Handle registers the handler of a method. An error that it returns is sent to the caller.
 func Handle[Request, Response any](s *Server, method string, handler func(context.Context, Request) (Response, error)) {
 	s.mux.HandleFunc("POST "+pathPrefix+method, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get(headerRegion) != "" {
@@ -88,7 +92,7 @@
 	return wire.Decode(content, from, target)
 }
 
-// writeMessage responds with a message.
+// writeMessage responds with a message, without the headers that peers do not use.
 func writeMessage(w http.ResponseWriter, status int, message any) {
 	content, err := wire.Encode(message)
 	if err != nil {
@@ -101,6 +105,7 @@
 	_, _ = w.Write(content)
 }
 
+// writeFailure responds with an error. node replaces fault.Self as its peer.
 func writeFailure(w http.ResponseWriter, node string, e *fault.Error) {
 	peer := e.Peer
 	if peer == fault.Self {
@@ -146,8 +151,9 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Call sends a message and decodes the answer into response, a pointer. Errors state whether the
-// peer may have acted.
+// Call sends a message and decodes the answer into response, a pointer. Errors are of type
+// *fault.Error and state whether the peer may have acted. If the peer cannot be reached, the code is
+// fault.CodeNotReady.
 func (c *Client) Call(ctx context.Context, address, method string, request, response any) error {
 	content, err := wire.Encode(request)
 	if err != nil {
@@ -213,6 +219,7 @@
 	}
 }
 
+// readFailure returns the error in the body of a response.
 func readFailure(body io.Reader, address string) error {
 	var f failure
 	if err := readMessage(body, address, &f); err != nil {
