--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -15,8 +15,11 @@
 // The possible outcomes of a remote operation. Unknown is the zero value, so that an outcome that
 // was not set is never mistaken for a definite one.
 const (
+	// Unknown means that the operation may or may not have been carried out, or may still be.
 	Unknown Outcome = iota
+	// Done means that it was carried out.
 	Done
+	// NotDone means that it was not and will not be carried out.
 	NotDone
 )
 
--- a/internal/fault/http.go
+++ b/internal/fault/http.go
@@ -39,6 +39,7 @@
 	}}
 }
 
+// statusByCode maps codes to HTTP statuses; see Status for the others.
 var statusByCode = map[Code]int{
 	CodeInvalid: http.StatusBadRequest, CodeTooLarge: http.StatusRequestEntityTooLarge,
 	CodeUnknownModel: http.StatusNotFound, CodeNotFound: http.StatusNotFound,
@@ -69,6 +70,7 @@
 	_ = json.NewEncoder(w).Encode(ToBody(e))
 }
 
+// maximumErrorBody is the maximum number of bytes of an error body that are read.
 const maximumErrorBody = 64 << 10
 
 // Read decodes the error body of an HTTP response from peer. Any other body becomes an internal
@@ -97,8 +99,9 @@
 	}
 }
 
-// Transport classifies a failed HTTP exchange. Only if no connection was established is it certain
-// that the request had no effect.
+// Transport returns the error of an HTTP exchange that failed without a response, with
+// CodeStoreUnavailable. The outcome is NotDone if no connection was established, and Unknown
+// otherwise, because the request may have had an effect.
 func Transport(err error, step, peer string) *Error {
 	ran := Unknown
 	var operation *net.OpError
