--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -15,6 +15,7 @@
 )
 
 const (
+	// step is the step in the errors of this package.
 	step = "claim key"
 	// Lifetime is how long a key is remembered.
 	Lifetime = 8 * time.Hour
@@ -23,12 +24,13 @@
 	callTimeout  = 800 * time.Millisecond
 	// sweepBatch is the maximum number of old claims deleted at once.
 	sweepBatch = 80
-	prefix     = "key/"
+	// prefix is the prefix of the row keys of claims.
+	prefix = "key/"
 )
 
 // record is the value of a row.
 type record struct {
-	// Attempt is the request that holds the key.
+	// Attempt identifies the attempt that holds the key, At is the time of its claim.
 	Attempt string    `json:"attempt"`
 	At      time.Time `json:"at"`
 }
@@ -78,7 +80,8 @@
 	return unavailable(cause, fault.NotDone)
 }
 
-// checkHolder returns nil if the attempt holds the key.
+// checkHolder returns nil if the attempt holds the key. It fails with fault.CodeDuplicate if another
+// one does, and with fault.CodeClaimsUnavailable if that is not known.
 func (c *Claims) checkHolder(ctx context.Context, rowKey, attempt string) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -101,6 +104,7 @@
 	return duplicate
 }
 
+// unavailable returns the error of an attempt that is not made because its claim is uncertain.
 func unavailable(cause error, ran fault.Outcome) error {
 	failed := fault.At(fault.CodeClaimsUnavailable, step, fault.Self, ran, cause)
 	return failed.WithRetryAfter(time.Second)
