--- a/internal/lab/faultproxy/faultproxy.go
+++ b/internal/lab/faultproxy/faultproxy.go
@@ -151,7 +151,7 @@
 }
 
 // dial connects to the target from the proxy's own IP address, so that the target can
-// tell its clients apart.
+// distinguish its clients.
 func (p *Proxy) dial() (net.Conn, error) {
 	dialer := net.Dialer{}
 	if listenAddress, ok := p.listener.Addr().(*net.TCPAddr); ok {
@@ -166,7 +166,7 @@
 	delete(p.connections, connection)
 }
 
-// copy forwards one direction; fromTarget says whether it is that from the target.
+// copy forwards one direction; fromTarget is set for that from the target to the client.
 func (p *Proxy) copy(destination io.Writer, origin io.Reader, s *connectionState, fromTarget bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buffer := make([]byte, chunkSize)
--- a/internal/lab/journal/journal.go
+++ b/internal/lab/journal/journal.go
@@ -16,14 +16,21 @@
 
 // The events of a runner.
 const (
-	EventStart     Event = "start"
-	EventLoad      Event = "load"
-	EventReady     Event = "ready"
-	EventUnloaded  Event = "gone"
-	EventRun       Event = "run"
-	EventFinished  Event = "finished"
-	EventCanceled  Event = "canceled"
-	EventRefused   Event = "refused"
+	EventStart Event = "start"
+	// EventLoad is the start of the load of a model or adapter, EventReady its end, and
+	// EventUnloaded the time at which the unit's memory is free again.
+	EventLoad     Event = "load"
+	EventReady    Event = "ready"
+	EventUnloaded Event = "gone"
+	// EventRun is the start of a request, EventFinished its normal end, and EventCanceled any
+	// other end.
+	EventRun      Event = "run"
+	EventFinished Event = "finished"
+	EventCanceled Event = "canceled"
+	// EventRefused is an order whose expected sequence number was not the current one.
+	EventRefused Event = "refused"
+	// EventViolation is an order or a request that exceeds a limit of the runner, which then
+	// refuses all further requests.
 	EventViolation Event = "violation"
 	EventDraining  Event = "role"
 	EventRevoked   Event = "revoked"
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -37,12 +37,12 @@
 
 // Result sums up the responses. Latencies are in microseconds and of served requests
 // only: FirstEvent from the scheduled time of a request to the first event of its
-// response, BetweenEvents between two successive events, and Whole from the scheduled
+// response, BetweenEvents between two successive events, and Total from the scheduled
 // time to the end.
 type Result struct {
 	FirstEvent    *hdrhistogram.Histogram
 	BetweenEvents *hdrhistogram.Histogram
-	Whole         *hdrhistogram.Histogram
+	Total         *hdrhistogram.Histogram
 	// Outcomes counts requests by outcome: "served", an HTTP status other than 200, "broken"
 	// for a failed or incomplete response, or "invalid" for a request that could not be built.
 	Outcomes map[string]int
@@ -63,7 +63,7 @@
 	histogram := func() *hdrhistogram.Histogram {
 		return hdrhistogram.New(minMicroseconds, maxMicroseconds, significantDigits)
 	}
-	return &recorder{result: Result{FirstEvent: histogram(), BetweenEvents: histogram(), Whole: histogram(), Outcomes: make(map[string]int)}}
+	return &recorder{result: Result{FirstEvent: histogram(), BetweenEvents: histogram(), Total: histogram(), Outcomes: make(map[string]int)}}
 }
 
 // outcome describes the response to one request.
@@ -84,7 +84,7 @@
 	if o.kind != "served" {
 		return
 	}
-	record(r.result.Whole, o.end.Sub(scheduled))
+	record(r.result.Total, o.end.Sub(scheduled))
 	for index, at := range o.events {
 		if index == 0 {
 			record(r.result.FirstEvent, at.Sub(scheduled))
@@ -139,6 +139,7 @@
 	return read(response)
 }
 
+// read reads a stream of events. Its outcome is "served" if it contains the end marker.
 func read(response *http.Response) outcome {
 	result := outcome{kind: "broken"}
 	reader := bufio.NewReader(response.Body)
--- a/internal/lab/runnerstub/cold.go
+++ b/internal/lab/runnerstub/cold.go
@@ -16,11 +16,12 @@
 // are counted.
 const coldWindow = time.Second
 
-// Cold makes a runner cold from now on for a duration; zero makes it warm.
+// Cold makes a runner cold from now on.
 type Cold struct {
+	// ForMs is how long the runner is cold, in milliseconds; zero makes it warm.
 	ForMs int64 `json:"forMs"`
 	// Collapse is the number of requests within coldWindow above which the runner collapses,
-	// that is refuses all further requests; zero for no such number.
+	// that is, refuses all further requests; zero for no limit.
 	Collapse int `json:"collapse"`
 }
 
@@ -44,7 +45,7 @@
 	r.SetCold(cold)
 }
 
-// SetCold makes the runner cold or warm and publishes its row, which says so.
+// SetCold makes the runner cold or warm and publishes its row, which contains that state.
 func (r *Runner) SetCold(cold Cold) {
 	duration := time.Duration(cold.ForMs) * time.Millisecond
 	r.mutex.Lock()
--- a/internal/lab/runnerstub/cold_test.go
+++ b/internal/lab/runnerstub/cold_test.go
@@ -10,7 +10,7 @@
 	"lilacvane/platform/protocol"
 )
 
-// TestColdRunnerCountsArrivals checks that a cold runner says in its row for how much
+// TestColdRunnerCountsArrivals checks that the row of a cold runner states for how much
 // longer it is cold, and that it counts the requests within a second only while it is cold.
 func TestColdRunnerCountsArrivals(t *testing.T) {
 	var row protocol.ListedRunner
--- a/internal/lab/runnerstub/http.go
+++ b/internal/lab/runnerstub/http.go
@@ -53,7 +53,7 @@
 	})
 }
 
-// checkIncarnation returns whether a call is meant for this incarnation of the runner. If
+// checkIncarnation reports whether a call is meant for this incarnation of the runner. If
 // not, it responds with 421 (Misdirected Request).
 func (r *Runner) checkIncarnation(w http.ResponseWriter, request *http.Request) bool {
 	wanted := request.Header.Get(protocol.HeaderExpectRunner)
@@ -166,7 +166,7 @@
 	r.serve(w, request, j, body, &finished)
 }
 
-// crashDelay is how long a request that crashes the runner runs before the crash.
+// crashDelay is the time between the start of a request that crashes the runner and the crash.
 const crashDelay = 60 * time.Millisecond
 
 // crashesBy reports whether a request crashes the runner when it is run.
@@ -254,6 +254,7 @@
 	}
 }
 
+// chance returns true with the probability share.
 func (r *Runner) chance(share float64) bool {
 	if share <= 0 {
 		return false
@@ -263,6 +264,7 @@
 	return r.random.Float64() < share
 }
 
+// serve responds to an admitted request and sets finished if it ran to its end.
 func (r *Runner) serve(w http.ResponseWriter, request *http.Request, j *job, body []byte, finished *bool) {
 	ctx := request.Context()
 	r.mutex.Lock()
@@ -307,6 +309,7 @@
 	return r.slowed(time.Duration(tokens) * r.settings.PromptTime)
 }
 
+// sleep waits for a duration. It returns false if ctx ended before.
 func (r *Runner) sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/lab/runnerstub/runner.go
+++ b/internal/lab/runnerstub/runner.go
@@ -73,15 +73,15 @@
 	// Rest is the value of Retry-After in refusals with 503: a number of seconds or, to test
 	// malformed values, any text. Empty for none.
 	Rest string `json:"rest,omitempty"`
-	// Leaving announces in all responses that the runner is about to leave, while its row
-	// does not say so.
+	// Leaving announces in all responses that the runner is about to leave. Its row remains
+	// unchanged.
 	Leaving bool `json:"leaving,omitempty"`
 	// Limit is announced in all responses as the requests per second that the runner accepts;
 	// a number or, to test malformed values, any text. Empty for none.
 	Limit string `json:"limit,omitempty"`
 	// BreakShare of the streams are aborted in the middle of an event.
 	BreakShare float64 `json:"breakShare,omitempty"`
-	// RestMs is how long streams pause halfway.
+	// RestMs is how long streams pause halfway, in milliseconds.
 	RestMs int `json:"restMs,omitempty"`
 	// Extra sends each response that is not streamed twice, Unframed sends it without a
 	// length, Early responds with 500 before the body of a request is read.
@@ -92,11 +92,14 @@
 	SlowFactor float64 `json:"slowFactor,omitempty"`
 }
 
+// model is a model on the runner, from its load order until it is unloaded.
 type model struct {
 	ready     bool
 	unloading bool
-	active    int
-	adapters  map[string]bool
+	// active is the number of its requests in progress.
+	active int
+	// adapters maps its adapters to whether they are loaded.
+	adapters map[string]bool
 }
 
 // Runner is an emulated runner. Its mutex guards the fields below it.
@@ -120,6 +123,7 @@
 	reports        []pastReport
 	// changedAt is when the current report last changed.
 	changedAt time.Time
+	// collapsed is set after a violation: the runner refuses all further requests.
 	collapsed bool
 	cold      coldPeriod
 }
@@ -185,6 +189,7 @@
 	return r.settings.Default
 }
 
+// slowed returns a duration multiplied by SlowFactor.
 func (r *Runner) slowed(d time.Duration) time.Duration {
 	if r.faults.SlowFactor > 0 {
 		return time.Duration(float64(d) * r.faults.SlowFactor)
@@ -211,6 +216,7 @@
 	return models
 }
 
+// available returns the models whose weights are in host memory and on disk.
 func (r *Runner) available() protocol.CachedModels {
 	return protocol.CachedModels{Resident: slices.Clone(r.onHost), OnDisk: slices.Clone(r.onDisk)}
 }
@@ -242,6 +248,7 @@
 	r.changedAt = time.Now()
 }
 
+// pending returns the adapters that are being loaded.
 func (r *Runner) pending() []string {
 	pending := []string{}
 	for name, m := range r.models {
@@ -280,6 +287,8 @@
 	}
 }
 
+// load executes an order to load a model. An order that exceeds the runner's memory is a
+// violation, after which the runner collapses.
 func (r *Runner) load(o protocol.Order) int {
 	if r.models[o.Model] != nil {
 		return http.StatusOK
--- a/internal/lab/runnerstub/statements.go
+++ b/internal/lab/runnerstub/statements.go
@@ -54,7 +54,8 @@
 type Arrival struct {
 	// Status is the HTTP status of the refusal; zero if the request ran.
 	Status int `json:"status"`
-	// Leaving, Rest and Limit are the announcements, Born tells incarnations apart.
+	// Leaving, Rest and Limit are the announcements. Born, the start time in Unix milliseconds,
+	// distinguishes incarnations.
 	Leaving bool   `json:"leaving"`
 	Rest    string `json:"rest"`
 	Limit   string `json:"limit"`
--- a/internal/lab/storestub/store.go
+++ b/internal/lab/storestub/store.go
@@ -42,8 +42,8 @@
 	Only []string `json:"only,omitempty"`
 	// DelayMs delays each call.
 	DelayMs int `json:"delayMs,omitempty"`
-	// LostShare of the writes are executed and get no response; LateShare of the writes
-	// get no response and are executed 1 to 3 seconds later, if their conditions still hold.
+	// LostShare of the writes are executed but get no response. LateShare of the others get no
+	// response and are executed 1 to 3 seconds later, if their conditions still hold.
 	LostShare float64 `json:"lostShare,omitempty"`
 	LateShare float64 `json:"lateShare,omitempty"`
 	// StaleMs is the age of the state that reads return; the feed is not affected.
--- a/internal/lab/world/places.go
+++ b/internal/lab/world/places.go
@@ -31,7 +31,7 @@
 	return protocol.Row{Table: protocol.OperatorTable, Key: protocol.EvacuationPrefix + string(zone), Value: []byte("{}"), Deleted: deleted}
 }
 
-// MakeRunnerCold makes a runner cold for a duration, as its row then says.
+// MakeRunnerCold makes a runner cold for a duration. Its row states that.
 func (w *World) MakeRunnerCold(id string, duration time.Duration) error {
 	return w.SetRunnerCold(id, runnerstub.Cold{ForMs: duration.Milliseconds()})
 }
--- a/internal/lab/world/runners.go
+++ b/internal/lab/world/runners.go
@@ -43,19 +43,19 @@
 	// ModelMB is the size that the runner assumes for each model.
 	ModelMB float64
 	// CrashBy is a text that crashes the runner's process: in a request when it is run, in the
-	// name of a model when it is loaded. Empty for none. Restart says whether and how the
-	// process is restarted.
+	// name of a model when it is loaded. Empty for none. Restart determines whether and how
+	// the process is restarted.
 	CrashBy string
 	Restart RestartPolicy
 }
 
-// RestartPolicy says how a runner whose process has ended, as by a crash, is restarted, at
-// the same address and with nothing loaded.
+// RestartPolicy determines how a runner whose process has ended, for example by a crash, is
+// restarted, at the same address and with nothing loaded.
 type RestartPolicy struct {
 	// After is the delay until the restart; zero for no restart.
 	After time.Duration
-	// Renamed gives it a new identifier each time, as runners have after most ends of
-	// their process.
+	// Renamed gives it a new identifier each time, as runners of the platform have after most
+	// restarts.
 	Renamed bool
 }
 
@@ -144,7 +144,7 @@
 }
 
 // CrashRunner kills a runner's process as a crash would: the platform's list is not updated,
-// and the runner is restarted if its options say so.
+// and the runner is restarted if its RestartPolicy has a delay.
 func (w *World) CrashRunner(id string) { w.Runners[id].currentProcess().Kill() }
 
 // KillRunner kills a runner and removes it from the platform's list.
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -69,8 +69,9 @@
 	StoreRate float64
 	// Engine describes the runners of EngineService in the configuration.
 	Engine protocol.Engine
-	// ColdStart is how long a runner of EngineService is cold after its start, ColdRate how
-	// many requests per second it can take then; zero if runners do not start cold.
+	// ColdStart is how long a runner of EngineService is cold after its start, ColdRate the
+	// number of requests per second that it can take while cold; zero if runners do not start
+	// cold.
 	ColdStart time.Duration
 	ColdRate  float64
 	// Seed is the seed of the random numbers of the emulated store and runners.
@@ -307,8 +308,8 @@
 	return err
 }
 
-// RestartNode starts a node that has ended again, with the same settings, and waits until
-// it is ready.
+// RestartNode starts a new process for a node whose process has ended, with the same
+// settings, and waits until it is ready.
 func (w *World) RestartNode(node *Node) error {
 	if err := w.startNodeProcess(node); err != nil {
 		return err
--- a/internal/labcommand/load.go
+++ b/internal/labcommand/load.go
@@ -3,12 +3,13 @@
 import (
 	"context"
 	"fmt"
-	"lilacvane/internal/api"
-	"lilacvane/internal/commandline"
-	"lilacvane/internal/lab/load"
 	"net/http"
 	"strings"
 	"time"
+
+	"lilacvane/internal/api"
+	"lilacvane/internal/commandline"
+	"lilacvane/internal/lab/load"
 )
 
 type loadCommand struct {
@@ -48,7 +49,7 @@
 	for _, quantile := range []float64{50, 95, 99} {
 		fmt.Fprintf(s.Out, "p%g: first part %.1f ms, between parts %.1f ms, whole %.1f ms\n", quantile,
 			float64(result.FirstEvent.ValueAtQuantile(quantile))/microsecondsPerMillisecond, float64(result.BetweenEvents.ValueAtQuantile(quantile))/microsecondsPerMillisecond,
-			float64(result.Whole.ValueAtQuantile(quantile))/microsecondsPerMillisecond)
+			float64(result.Total.ValueAtQuantile(quantile))/microsecondsPerMillisecond)
 	}
 	return nil
 }
