--- a/internal/labcommand/experiment.go
+++ b/internal/labcommand/experiment.go
@@ -12,6 +12,7 @@
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
+
 	"lilacvane/internal/commandline"
 	"lilacvane/internal/lab/experiment"
 )
@@ -38,6 +39,7 @@
 	} `yaml:"configurations"`
 }
 
+// experimentReport is the content of a report file.
 type experimentReport struct {
 	Scenario   string                `json:"scenario"`
 	Deployment experiment.Deployment `json:"deployment"`
@@ -99,8 +101,8 @@
 
 const plotSize = 14 * vg.Centimeter
 
-// plotOutcomes plots the p99 wait of all requests over the idle hours, with a point for
-// each configuration.
+// plotOutcomes writes an SVG plot of the p99 wait of all requests over the idle hours, with a
+// point for each configuration.
 func plotOutcomes(path string, report experimentReport) error {
 	p := plot.New()
 	p.Title.Text = report.Scenario
--- a/internal/labcommand/up.go
+++ b/internal/labcommand/up.go
@@ -5,12 +5,6 @@
 	"context"
 	"fmt"
 	"io"
-	"lilacvane/internal/api"
-	"lilacvane/internal/commandline"
-	"lilacvane/internal/lab/world"
-	"lilacvane/internal/operator"
-	"lilacvane/internal/tenant"
-	"lilacvane/platform/protocol"
 	"net/http"
 	"os"
 	"os/signal"
@@ -18,6 +12,13 @@
 	"strings"
 	"syscall"
 	"time"
+
+	"lilacvane/internal/api"
+	"lilacvane/internal/commandline"
+	"lilacvane/internal/lab/world"
+	"lilacvane/internal/operator"
+	"lilacvane/internal/tenant"
+	"lilacvane/platform/protocol"
 )
 
 type upCommand struct {
