--- a/test/client_test.go
+++ b/test/client_test.go
@@ -81,7 +81,7 @@
 	return answer
 }
 
-// expectedEvents is the body of a complete stream.
+// expectedEvents returns the body of a complete stream with this number of events.
 func expectedEvents(id string, events int) string {
 	var text strings.Builder
 	for index := range events {
--- a/test/cold_test.go
+++ b/test/cold_test.go
@@ -104,8 +104,8 @@
 }
 
 // maxSentAndRunInSecond returns the largest number of requests that were sent to a runner
-// and run there within the same second, and the number of all requests that ran, between
-// two times.
+// and began to run there within the same second, and the number of all requests that ran,
+// between two times.
 func maxSentAndRunInSecond(t *testing.T, w *world.World, runner string, from, to time.Time) (most, all int) {
 	t.Helper()
 	type exchange struct{ sent, ran time.Time }
--- a/test/configuration_test.go
+++ b/test/configuration_test.go
@@ -265,8 +265,8 @@
 	frozen := anyNodeExcept(nodes, nodes[0], leaseHolder(t, w, nodes[0]))
 	first := call{Model: "alpha", Prompt: "first", Tokens: 2}
 	assertServed(t, first, ask(t.Context(), frozen, first, nil))
-	// No data may be left in the frozen node's socket, as it would tell the node of the
-	// change when it resumes.
+	// No data may be left in the frozen node's socket, as the node would read the change from
+	// it when it resumes.
 	frozen.StoreProxy.Reset()
 	assert.NilError(t, frozen.Freeze())
 	time.Sleep(1500 * time.Millisecond) // longer than a process can be paused without noticing
--- a/test/connections_test.go
+++ b/test/connections_test.go
@@ -60,7 +60,8 @@
 	return c
 }
 
-// mixedRequests returns requests of all kinds for the nodes, each of every kind per node.
+// mixedRequests returns requests for the nodes in turn: for each node, each requests of
+// every kind.
 func mixedRequests(nodes []*world.Node, each int) []clientRequest {
 	var requests []clientRequest
 	for number := range 4 * each {
@@ -93,16 +94,17 @@
 // next requests.
 func waitStreaming(t *testing.T, w *world.World, nodes int, requests []clientRequest) {
 	t.Helper()
-	of := make(map[string]int)
+	// nodeOf maps each stream's identifier to the index of its node.
+	nodeOf := make(map[string]int)
 	for index, c := range requests {
 		if c.Model != "" {
-			of[c.ID] = index % nodes
+			nodeOf[c.ID] = index % nodes
 		}
 	}
 	waitUntil(t, "a stream of each node runs", func() error {
 		streaming := make(map[int]int)
 		for _, record := range readHistory(t, w).records {
-			node, known := of[record.Request]
+			node, known := nodeOf[record.Request]
 			switch {
 			case !known:
 			case record.Event == journal.EventRun:
@@ -178,7 +180,7 @@
 
 var (
 	silenceSeed  = flag.Uint64("silence.seed", 1, "first seed of the moments at which connections go silent")
-	silenceSeeds = flag.Int("silence.seeds", 3, "how many seeds are played")
+	silenceSeeds = flag.Int("silence.seeds", 3, "number of seeds to run")
 )
 
 // TestAllConnectionsGoSilentAtAnyMoment is the same at moments drawn by seeds.
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -229,7 +229,8 @@
 	return w, started
 }
 
-// leaseHolder returns the node that holds the control lease, as another node reports it.
+// leaseHolder waits until a node holds the control lease, as from reports it, and returns
+// that node.
 func leaseHolder(t *testing.T, w *world.World, from *world.Node) *world.Node {
 	t.Helper()
 	var holder *world.Node
@@ -250,9 +251,9 @@
 }
 
 // anyNodeExcept returns a node that is not one of those given, or nil.
-func anyNodeExcept(nodes []*world.Node, not ...*world.Node) *world.Node {
+func anyNodeExcept(nodes []*world.Node, excluded ...*world.Node) *world.Node {
 	for _, node := range nodes {
-		if !slices.Contains(not, node) {
+		if !slices.Contains(excluded, node) {
 			return node
 		}
 	}
@@ -367,12 +368,12 @@
 }
 
 func readCompletion(response *http.Response, result outcome) outcome {
-	var whole completionChunk
-	if json.NewDecoder(response.Body).Decode(&whole) != nil || len(whole.Choices) == 0 {
+	var completion completionChunk
+	if json.NewDecoder(response.Body).Decode(&completion) != nil || len(completion.Choices) == 0 {
 		result.Broken = true
 		return result
 	}
-	result.Text = whole.Choices[0].Text
+	result.Text = completion.Choices[0].Text
 	result.Served = true
 	return result
 }
--- a/test/history_test.go
+++ b/test/history_test.go
@@ -24,6 +24,7 @@
 	kills   []runnerKill
 }
 
+// readHistory returns the records of all journals so far, in order of time.
 func readHistory(t *testing.T, w *world.World, kills ...runnerKill) history {
 	t.Helper()
 	records, err := w.Journals()
@@ -82,11 +83,11 @@
 // are at least gap apart.
 func (h history) assertOrderGap(t *testing.T, gap time.Duration) {
 	t.Helper()
-	type turn struct {
+	type order struct {
 		owner string
 		at    time.Time
 	}
-	last := make(map[string]turn)
+	last := make(map[string]order)
 	for _, record := range h.records {
 		_, owner, found := strings.Cut(record.Detail, " owner ")
 		if record.Event != journal.EventLoad || !found {
@@ -96,7 +97,7 @@
 		if known && before.owner != owner {
 			assert.Assert(t, record.Time.Sub(before.at) >= gap, "%s: %s ordered %s after %s", record.Runner, owner, record.Time.Sub(before.at), before.owner)
 		}
-		last[record.Runner] = turn{owner: owner, at: record.Time}
+		last[record.Runner] = order{owner: owner, at: record.Time}
 	}
 }
 
--- a/test/invariants_test.go
+++ b/test/invariants_test.go
@@ -60,7 +60,7 @@
 }
 
 // checkColdBound returns an error if a cold runner received more than most requests within
-// a second.
+// one second.
 func (h history) checkColdBound(most int) error {
 	for _, record := range h.records {
 		if record.Event != journal.EventColdPeak {
@@ -95,15 +95,15 @@
 		change(&r)
 		return history{records: []journal.Record{r}}
 	}
-	same := func(*journal.Record) {}
+	unchanged := func(*journal.Record) {}
 	for name, test := range map[string]struct {
 		h      history
 		passes bool
 	}{
-		"new in the outage":     {record(time.Millisecond, same), false},
+		"new in the outage":     {record(time.Millisecond, unchanged), false},
 		"load in the outage":    {record(0, func(r *journal.Record) { r.Event, r.Request, r.Detail = journal.EventLoad, "", "store owner node-1" }), false},
-		"before":                {record(-time.Millisecond, same), true},
-		"taken back":            {record(time.Second, same), true},
+		"before":                {record(-time.Millisecond, unchanged), true},
+		"taken back":            {record(time.Second, unchanged), true},
 		"another zone":          {record(0, func(r *journal.Record) { r.Runner = "r2" }), true},
 		"the end of an old one": {record(0, func(r *journal.Record) { r.Event = journal.EventFinished }), true},
 		"a node apart":          {record(0, func(r *journal.Record) { r.Request = "node-2-X" }), true},
@@ -113,11 +113,11 @@
 	} {
 		assert.Equal(t, test.h.checkOutage(o, zones) == nil, test.passes, name)
 	}
-	crowd := record(0, func(r *journal.Record) { r.Event, r.Detail = journal.EventColdPeak, "7" })
-	assert.NilError(t, crowd.checkColdBound(7))
-	assert.Assert(t, crowd.checkColdBound(6) != nil)
+	peak := record(0, func(r *journal.Record) { r.Event, r.Detail = journal.EventColdPeak, "7" })
+	assert.NilError(t, peak.checkColdBound(7))
+	assert.Assert(t, peak.checkColdBound(6) != nil)
 	south := func(string) place.Region { return "south" }
-	assert.NilError(t, record(0, same).checkHomes("club", place.NewHomes([]place.Region{"south"}), south))
-	assert.NilError(t, record(0, same).checkHomes("other", place.NewHomes([]place.Region{"north"}), south))
-	assert.Assert(t, record(0, same).checkHomes("club", place.NewHomes([]place.Region{"north"}), south) != nil)
+	assert.NilError(t, record(0, unchanged).checkHomes("club", place.NewHomes([]place.Region{"south"}), south))
+	assert.NilError(t, record(0, unchanged).checkHomes("other", place.NewHomes([]place.Region{"north"}), south))
+	assert.Assert(t, record(0, unchanged).checkHomes("club", place.NewHomes([]place.Region{"north"}), south) != nil)
 }
--- a/test/limit_soak_test.go
+++ b/test/limit_soak_test.go
@@ -82,7 +82,8 @@
 	return len(pairs)
 }
 
-// limitFaults are the groups of faults that affect nodes, their peers and the store.
+// limitFaults are the groups of faults that TestLimitSoak injects: those that affect nodes,
+// their peers and the store.
 var limitFaults = []string{groupLastNode, "freeze", "peers", "store"}
 
 // TestLimitSoak injects faults of nodes, links and the store on a schedule that the seed
--- a/test/names_test.go
+++ b/test/names_test.go
@@ -49,8 +49,8 @@
 		}
 		source, err := os.ReadFile(file)
 		assert.NilError(t, err)
-		for _, sign := range []string{"go func", "sync.", "time.Sleep", "time.Now", "rand."} {
-			assert.Check(t, !strings.Contains(string(source), sign), "%s has %q", file, sign)
+		for _, forbidden := range []string{"go func", "sync.", "time.Sleep", "time.Now", "rand."} {
+			assert.Check(t, !strings.Contains(string(source), forbidden), "%s has %q", file, forbidden)
 		}
 	}
 }
--- a/test/parts_soak_test.go
+++ b/test/parts_soak_test.go
@@ -16,7 +16,6 @@
 	"lilacvane/platform/protocol"
 )
 
-// What the world of the soak contains.
 const (
 	// soakColdRate is the number of requests per second that a cold runner can serve,
 	// coldDuration how long a runner is cold.
@@ -26,6 +25,7 @@
 	// know it.
 	zoneOutMargin = time.Second
 	// homedTenant is the tenant whose home is homeRegion, which contains only homeZone.
+	// freeTenant may be served in any region.
 	homedTenant = "homed"
 	freeTenant  = "free"
 	homeRegion  = "region-2"
@@ -58,7 +58,7 @@
 		func(zone place.Zone) { assert.NilError(s.t, s.w.EvacuateZone(zone)) }, func(zone place.Zone) { assert.NilError(s.t, s.w.RestoreZone(zone)) })
 }
 
-func (s *soak) chillRunner() func() {
+func (s *soak) makeRunnerCold() func() {
 	assert.NilError(s.t, s.w.MakeRunnerCold(s.pickRunner(), coldDuration))
 	return func() {}
 }
@@ -94,7 +94,7 @@
 		plan.roundKinds = append(plan.roundKinds, faultKind{"take out a zone", "store", (*soak).takeOutCheckedZone})
 	}
 	if hasPart("cold") {
-		plan.kinds = append(plan.kinds, faultKind{"a runner becomes cold", "runner", (*soak).chillRunner})
+		plan.kinds = append(plan.kinds, faultKind{"a runner becomes cold", "runner", (*soak).makeRunnerCold})
 	}
 	plan.adjust = func(o *world.Options) {
 		o.Zones = place.Map{homeZone: homeRegion}
--- a/test/persistent_client_test.go
+++ b/test/persistent_client_test.go
@@ -41,38 +41,38 @@
 // do sends a request and reads its answer. It returns false if no connection could be made
 // and nothing was sent.
 func (k *persistentClient) do(c clientRequest) (requestResult, bool) {
-	end := requestResult{request: c, node: k.node, used: k.conn != nil, answer: clientAnswer{ID: c.ID}}
+	result := requestResult{request: c, node: k.node, used: k.conn != nil, answer: clientAnswer{ID: c.ID}}
 	if k.conn == nil {
 		k.dialed = time.Now()
 		conn, err := net.DialTimeout("tcp", k.node.Clients, time.Second)
 		if err != nil {
-			return end, false
+			return result, false
 		}
 		k.conn, k.reader, k.connected = conn, bufio.NewReader(conn), time.Now()
 	}
-	end.dialed, end.connected = k.dialed, k.connected
-	end.sent = time.Now()
-	_ = k.conn.SetDeadline(end.sent.Add(c.Deadline + answerMargin))
-	if end.problem = newRequest(c, k.node).Write(k.conn); end.problem == nil {
-		k.read(&end)
+	result.dialed, result.connected = k.dialed, k.connected
+	result.sent = time.Now()
+	_ = k.conn.SetDeadline(result.sent.Add(c.Deadline + answerMargin))
+	if result.problem = newRequest(c, k.node).Write(k.conn); result.problem == nil {
+		k.read(&result)
 	} else {
 		k.close()
 	}
-	end.end = time.Now()
-	return end, true
+	result.end = time.Now()
+	return result, true
 }
 
 // read reads an answer and closes the connection unless it can be reused.
-func (k *persistentClient) read(end *requestResult) {
+func (k *persistentClient) read(result *requestResult) {
 	response, err := http.ReadResponse(k.reader, nil)
 	if err != nil {
-		end.problem = err
+		result.problem = err
 		k.close()
 		return
 	}
 	content, err := io.ReadAll(response.Body)
-	end.problem = err
-	end.answer.record(response, content, err)
+	result.problem = err
+	result.answer.record(response, content, err)
 	if err != nil || response.Close {
 		k.close()
 	}
--- a/test/persistent_soak_test.go
+++ b/test/persistent_soak_test.go
@@ -21,12 +21,12 @@
 )
 
 var (
-	keptSeed     = flag.Uint64("kept.seed", 2, "first seed of the soak of kept connections")
-	keptSeeds    = flag.Int("kept.seeds", 1, "how many seeds it plays, one after the other")
-	keptDuration = flag.Duration("kept.duration", 12*time.Second, "how long each seed's series last")
-	keptNodes    = flag.Int("kept.nodes", 4, "nodes of its world")
-	keptRunners  = flag.Int("kept.runners", 4, "runners of its world that hold the model")
-	keptClients  = flag.Int("kept.clients", 6, "clients of each node")
+	persistentSeed     = flag.Uint64("kept.seed", 2, "first seed of the soak of persistent connections")
+	persistentSeeds    = flag.Int("kept.seeds", 1, "number of seeds that it runs, one after the other")
+	persistentDuration = flag.Duration("kept.duration", 12*time.Second, "how long requests and changes of each seed last")
+	persistentNodes    = flag.Int("kept.nodes", 4, "nodes of its world")
+	persistentRunners  = flag.Int("kept.runners", 4, "runners of its world that hold the model")
+	persistentClients  = flag.Int("kept.clients", 6, "clients of each node")
 )
 
 // persistentSoak is a world whose clients reuse their connections while several kinds of
@@ -62,14 +62,14 @@
 
 // describeNear lists the intervals of a request's node that are close to the start of the
 // request, relative to it.
-func describeNear(end requestResult, spans map[string][]interval) string {
+func describeNear(result requestResult, spans map[string][]interval) string {
 	var text strings.Builder
-	for _, one := range spans[end.node.Name] {
-		from, to := one.from.Sub(end.sent).Round(time.Millisecond), one.to.Sub(end.sent).Round(time.Millisecond)
+	for _, one := range spans[result.node.Name] {
+		from, to := one.from.Sub(result.sent).Round(time.Millisecond), one.to.Sub(result.sent).Round(time.Millisecond)
 		if to > -reportRange && from < reportRange {
-			fmt.Fprintf(&text, "[%s to %s, hard %v", from, to, one.killed)
+			fmt.Fprintf(&text, "[%s to %s, killed %v", from, to, one.killed)
 			if !one.gone.IsZero() {
-				fmt.Fprintf(&text, ", gone at %s", one.gone.Sub(end.sent))
+				fmt.Fprintf(&text, ", gone at %s", one.gone.Sub(result.sent))
 			}
 			text.WriteString("]")
 		}
@@ -95,7 +95,7 @@
 	{"change settings", 300 * time.Millisecond, (*persistentSoak).changeSettings},
 	{"let runners pause, refuse and slow down", 700 * time.Millisecond, (*persistentSoak).changeRunner},
 	{"replace a runner", 4 * time.Second, (*persistentSoak).replaceRunner},
-	{"let a node stand still", 1500 * time.Millisecond, (*persistentSoak).pauseNode},
+	{"freeze a node", 1500 * time.Millisecond, (*persistentSoak).pauseNode},
 }
 
 // TestKeptConnectionsSoak: clients reuse their connections until the node has closed them
@@ -106,7 +106,7 @@
 // TestKeptConnectionsSoak -kept.seed=100 -kept.seeds=50 -timeout 1h
 func TestKeptConnectionsSoak(t *testing.T) {
 	t.Parallel()
-	for seed := *keptSeed; seed < *keptSeed+uint64(*keptSeeds); seed++ {
+	for seed := *persistentSeed; seed < *persistentSeed+uint64(*persistentSeeds); seed++ {
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) { runPersistentSoak(t, seed) })
 	}
 }
@@ -137,24 +137,24 @@
 			s.Log.Level = "info"
 		}
 	})
-	startRunners(t, w, *keptRunners)
+	startRunners(t, w, *persistentRunners)
 	startMailers(t, w, 2)
-	s := &persistentSoak{t: t, w: w, seed: seed, nodes: startNodes(t, w, *keptNodes), stops: make(map[string][]interval), pauses: make(map[string][]interval), changeCounts: make(map[string]int)}
-	for index := range *keptRunners {
+	s := &persistentSoak{t: t, w: w, seed: seed, nodes: startNodes(t, w, *persistentNodes), stops: make(map[string][]interval), pauses: make(map[string][]interval), changeCounts: make(map[string]int)}
+	for index := range *persistentRunners {
 		s.runners = append(s.runners, fmt.Sprintf("runner-%d", index+1))
 	}
-	apply(t, s.nodes[0], append(model("alpha", *keptRunners), readyPolicy("alpha", *keptRunners))...)
+	apply(t, s.nodes[0], append(model("alpha", *persistentRunners), readyPolicy("alpha", *persistentRunners))...)
 	waitKnown(t, "alpha", s.nodes...)
 	waitUntil(t, "all runners hold the model", func() error {
-		if got := len(runnersHolding(t, s.nodes[0], "alpha")); got < *keptRunners {
+		if got := len(runnersHolding(t, s.nodes[0], "alpha")); got < *persistentRunners {
 			return fmt.Errorf("%d hold it", got)
 		}
 		return nil
 	})
-	s.until = time.Now().Add(*keptDuration)
+	s.until = time.Now().Add(*persistentDuration)
 	var running, clients sync.WaitGroup
 	for index, node := range s.nodes {
-		for number := range *keptClients {
+		for number := range *persistentClients {
 			clients.Go(func() { s.useConnection(node, rand.New(rand.NewPCG(seed, uint64(1000+100*index+number)))) })
 		}
 	}
@@ -192,9 +192,9 @@
 		if c.Method == "" {
 			c.Method = http.MethodGet
 		}
-		if end, sent := k.do(c); sent {
+		if result, sent := k.do(c); sent {
 			s.mutex.Lock()
-			s.results = append(s.results, end)
+			s.results = append(s.results, result)
 			s.mutex.Unlock()
 		} else {
 			time.Sleep(20 * time.Millisecond)
@@ -203,8 +203,8 @@
 	}
 }
 
-// claimNode picks a node whose process nothing else is ending. It returns false if the node
-// drawn is being ended, or if too many nodes are.
+// claimNode picks a random node to stop or kill, and records the start of that. It returns
+// false if the node or too many other nodes are being stopped or killed already.
 func (s *persistentSoak) claimNode(random *rand.Rand, killed bool) (*world.Node, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -280,8 +280,8 @@
 	s.pauses[node.Name] = append(s.pauses[node.Name], interval{from: from, to: time.Now()})
 }
 
-// changeConfiguration changes time-outs, which stay longer than any request, and adds and
-// removes routes.
+// changeConfiguration changes time-outs, which remain longer than any request takes, and
+// adds and removes routes.
 func (s *persistentSoak) changeConfiguration(random *rand.Rand) {
 	routes := world.DefaultRoutes()
 	for index := range routes {
@@ -327,7 +327,7 @@
 
 // replaceRunner drains a runner and starts a new one in its place.
 func (s *persistentSoak) replaceRunner(random *rand.Rand) {
-	index := random.IntN(*keptRunners)
+	index := random.IntN(*persistentRunners)
 	s.worldMutex.Lock()
 	leaving := s.runners[index]
 	s.replacements++
@@ -347,17 +347,17 @@
 		}
 	}
 	counts := make(map[string]int)
-	for _, end := range s.results {
-		kind, problem := s.classify(end, runs[end.request.ID])
+	for _, result := range s.results {
+		kind, problem := s.classify(result, runs[result.request.ID])
 		counts[kind]++
 		assert.Check(s.t, problem == "", "seed %d: %s: %s %s at %s, used %v, sent %s, dialed %s and connected %s before, took %s, runs %d, stops %s, pauses %s: %v, status %d %.300s", s.seed, problem,
-			end.request.ID, end.request.Path, end.node.Name, end.used, end.sent.Format(time.RFC3339Nano), end.sent.Sub(end.dialed), end.sent.Sub(end.connected), end.end.Sub(end.sent).Round(time.Millisecond),
-			runs[end.request.ID], describeNear(end, s.stops), describeNear(end, s.pauses), end.problem, end.answer.Status, end.answer.Body)
+			result.request.ID, result.request.Path, result.node.Name, result.used, result.sent.Format(time.RFC3339Nano), result.sent.Sub(result.dialed), result.sent.Sub(result.connected), result.end.Sub(result.sent).Round(time.Millisecond),
+			runs[result.request.ID], describeNear(result, s.stops), describeNear(result, s.pauses), result.problem, result.answer.Status, result.answer.Body)
 		if problem != "" {
-			s.t.Logf("log of %s: %s", end.node.Name, strings.Join(linesContaining(readFile(s.t, s.w.LogPath(end.node)), end.request.ID), ""))
+			s.t.Logf("log of %s: %s", result.node.Name, strings.Join(linesContaining(readFile(s.t, s.w.LogPath(result.node)), result.request.ID), ""))
 		}
-		if strings.HasPrefix(end.request.Path, "/send/") {
-			assert.Check(s.t, runs[end.request.ID] <= 1, "seed %d: %s ran %d times", s.seed, end.request.ID, runs[end.request.ID])
+		if strings.HasPrefix(result.request.Path, "/send/") {
+			assert.Check(s.t, runs[result.request.ID] <= 1, "seed %d: %s ran %d times", s.seed, result.request.ID, runs[result.request.ID])
 		}
 	}
 	s.t.Logf("seed %d: %d requests %v, changes %v", s.seed, len(s.results), counts, s.changeCounts)
@@ -369,12 +369,12 @@
 const maxCloseRace = 200 * time.Millisecond
 
 // classify names the result of a request, and what is wrong with it.
-func (s *persistentSoak) classify(end requestResult, runs int) (kind, problem string) {
-	got := end.answer
+func (s *persistentSoak) classify(result requestResult, runs int) (kind, problem string) {
+	got := result.answer
 	switch {
 	case got.Status == http.StatusOK && got.Complete:
-		stream := end.request.Events > 0
-		if stream && got.Body != expectedEvents(got.ID, end.request.Events) || !stream && !strings.Contains(got.Body, got.ID) {
+		stream := result.request.Events > 0
+		if stream && got.Body != expectedEvents(got.ID, result.request.Events) || !stream && !strings.Contains(got.Body, got.ID) {
 			return "served", "the body is not the expected one"
 		}
 		return "served", ""
@@ -385,9 +385,9 @@
 		return "refused", ""
 	case got.Complete:
 		return fmt.Sprint(got.Status), "failed without a fault"
-	case s.ended(end, true):
+	case s.ended(result, true):
 		return "killed", ""
-	case got.Status == 0 && runs == 0 && end.end.Sub(end.sent)-s.paused(end) <= maxCloseRace && (end.used && s.ended(end, false) || s.listenerClosed(end)):
+	case got.Status == 0 && runs == 0 && result.end.Sub(result.sent)-s.paused(result) <= maxCloseRace && (result.used && s.ended(result, false) || s.listenerClosed(result)):
 		return "crossed", ""
 	default:
 		return "lost", "no complete answer"
@@ -395,15 +395,15 @@
 }
 
 // paused is how long a request's node was frozen while the request was in progress.
-func (s *persistentSoak) paused(end requestResult) time.Duration {
+func (s *persistentSoak) paused(result requestResult) time.Duration {
 	total := time.Duration(0)
-	for _, pause := range s.pauses[end.node.Name] {
+	for _, pause := range s.pauses[result.node.Name] {
 		from, to := pause.from, pause.to
-		if end.sent.After(from) {
-			from = end.sent
+		if result.sent.After(from) {
+			from = result.sent
 		}
-		if end.end.Before(to) {
-			to = end.end
+		if result.end.Before(to) {
+			to = result.end
 		}
 		total += max(to.Sub(from), 0)
 	}
@@ -414,13 +414,13 @@
 // closed its listener, which happens the notice time after a stop began. Connections that
 // the node had not accepted yet, as it may have been frozen, are reset then, and nothing
 // was read from them.
-func (s *persistentSoak) listenerClosed(end requestResult) bool {
+func (s *persistentSoak) listenerClosed(result requestResult) bool {
 	const early, late = 20 * time.Millisecond, 500 * time.Millisecond
-	for _, stop := range s.stops[end.node.Name] {
-		after := end.sent.Sub(stop.from) - stopNotice
-		before := early + s.paused(end)
-		beyond := late + s.paused(requestResult{node: end.node, sent: stop.from, end: end.end})
-		if !stop.killed && after > -before && after < beyond {
+	for _, stop := range s.stops[result.node.Name] {
+		after := result.sent.Sub(stop.from) - stopNotice
+		earlyMargin := early + s.paused(result)
+		lateMargin := late + s.paused(requestResult{node: result.node, sent: stop.from, end: result.end})
+		if !stop.killed && after > -earlyMargin && after < lateMargin {
 			return true
 		}
 	}
@@ -431,9 +431,9 @@
 // dialing the connection and the end of the request. A client learns that a connection
 // ended only when it next uses it, and that a connection was made some time after the
 // kernel made it.
-func (s *persistentSoak) ended(end requestResult, killed bool) bool {
-	for _, stop := range s.stops[end.node.Name] {
-		if stop.killed == killed && stop.gone.After(end.dialed) && stop.from.Before(end.end) {
+func (s *persistentSoak) ended(result requestResult, killed bool) bool {
+	for _, stop := range s.stops[result.node.Name] {
+		if stop.killed == killed && stop.gone.After(result.dialed) && stop.from.Before(result.end) {
 			return true
 		}
 	}
--- a/test/poison_soak_test.go
+++ b/test/poison_soak_test.go
@@ -17,8 +17,8 @@
 )
 
 var (
-	poisonSeed  = flag.Uint64("poison.seed", 1, "first seed of the soak of requests that end their runners")
-	poisonSeeds = flag.Int("poison.seeds", 1, "how many seeds it plays, one after the other")
+	poisonSeed  = flag.Uint64("poison.seed", 1, "first seed of the soak of requests that crash their runners")
+	poisonSeeds = flag.Int("poison.seeds", 1, "number of seeds that it runs, one after the other")
 )
 
 // TestPoisonSoak: two requests that crash their runners are sent again and again together
@@ -147,8 +147,8 @@
 			continue
 		}
 		third := crashes[maxCrashes-1]
-		// A node that was restarted or frozen knows as little as a new one: it may send
-		// once more.
+		// A node that was restarted or frozen may not know of the crashes: it may send once
+		// more.
 		allowed, late := maxSendsAfterCrashes+countAfter(s.disturbed, third), countAfter(reached, laterTime(third, s.storeBackAt).Add(propagationBound))
 		t.Logf("%s: %d crashes, %d sends after the bound of at most %d; harmless: %v", word, len(crashes), late, allowed, s.harmlessAnswers)
 		assert.Check(t, late <= allowed)
--- a/test/poison_test.go
+++ b/test/poison_test.go
@@ -37,8 +37,8 @@
 const (
 	// poisonText in a request or a model's name makes the emulated runner crash.
 	poisonText = "ends-its-runner"
-	// propagationBound is the platform's bound on how soon nodes must learn each other's
-	// news.
+	// propagationBound is the platform's bound on the time until all nodes know what one of
+	// them learned.
 	propagationBound = 3 * time.Second
 	// After maxCrashes crashes a request may not be sent on. It may still be sent
 	// maxSendsAfterCrashes times once propagationBound has passed since the last of these
@@ -53,10 +53,10 @@
 	harmlessTries = 3
 )
 
-// TestRequestThatEndsRunnersIsNotSentOn: such a request is sent again and again, to all
-// nodes, together with harmless ones in the same batches. Runners come back under another
-// identifier or under their own, and are reached directly or through a proxy that accepts
-// connections for them while they are down.
+// TestRequestThatEndsRunnersIsNotSentOn: a request that crashes its runners is sent
+// repeatedly to all nodes, together with harmless ones in the same batches. Runners are
+// restarted under another identifier or under their own, and are reached directly or
+// through a proxy that accepts connections for them while they are down.
 func TestRequestThatEndsRunnersIsNotSentOn(t *testing.T) {
 	t.Parallel()
 	stream := clientRequest{Path: "/reply/x", Model: "alpha", Events: 30}
@@ -86,7 +86,7 @@
 // poisonTest describes a request that crashes runners, and its world.
 type poisonTest struct {
 	request clientRequest
-	// renamed is set if runners come back under another identifier, proxied if they are
+	// renamed is set if runners are restarted under another identifier, proxied if they are
 	// reached through a proxy.
 	renamed, proxied bool
 	// harmlessPause is the time between harmless requests; the constant harmlessPause if
@@ -139,7 +139,7 @@
 		third = crashes[maxCrashes-1]
 		return nil
 	})
-	// Attempts continue for as long again as nodes may take to learn of it.
+	// Attempts continue for twice as long as nodes may take to learn of the third crash.
 	time.Sleep(time.Until(third.Add(2 * propagationBound)))
 	end()
 	senders.Wait()
@@ -163,16 +163,16 @@
 	p := &poisonWorld{world: w, poisonTest: test, harmlessAnswers: make(map[string]int)}
 	p.harmlessPause = cmp.Or(p.harmlessPause, harmlessPause)
 	p.poisonPause = cmp.Or(p.poisonPause, poisonPause)
-	returns := world.RestartPolicy{After: cmp.Or(test.downtime, time.Second), Renamed: test.renamed}
+	restart := world.RestartPolicy{After: cmp.Or(test.downtime, time.Second), Renamed: test.renamed}
 	for index := range runners {
 		options := engineOptions(w, fmt.Sprintf("runner-%d", index+1), zones[index%len(zones)])
-		options.CrashBy, options.Restart = poisonText, returns
+		options.CrashBy, options.Restart = poisonText, restart
 		_, err := w.StartRunner(options)
 		assert.NilError(t, err)
 	}
 	for index := range cmp.Or(test.mailers, runners) {
 		options := mailerOptions(fmt.Sprintf("mailer-%d", index+1), zones[index%len(zones)])
-		options.CrashBy, options.Restart = poisonText, returns
+		options.CrashBy, options.Restart = poisonText, restart
 		_, err := w.StartRunner(options)
 		assert.NilError(t, err)
 	}
@@ -221,7 +221,8 @@
 	return send(ctx, node, p.poison("please"))
 }
 
-// poison returns a request that crashes runners. Its content depends on word.
+// poison returns a request that crashes runners. Its content begins with word, so that
+// requests with different words count separately.
 func (p *poisonWorld) poison(word string) clientRequest {
 	request := p.request
 	request.ID, request.Method, request.Body, request.Deadline = newID(), http.MethodPost, []byte(word+" "+poisonText), 4*time.Second
@@ -414,7 +415,7 @@
 }
 
 // endsSeed determines how long the holder is frozen.
-var endsSeed = flag.Uint64("ends.seed", 1, "seed of the pause of the holder while a model ends its runners")
+var endsSeed = flag.Uint64("ends.seed", 1, "seed of the pause of the holder while a model crashes its runners")
 
 // crashingModelRunners is the number of runners that a model may crash.
 const crashingModelRunners = 6
--- a/test/relay_test.go
+++ b/test/relay_test.go
@@ -52,10 +52,10 @@
 }
 
 // nodesExcept returns the nodes without one of them.
-func nodesExcept(nodes []*world.Node, left *world.Node) []*world.Node {
+func nodesExcept(nodes []*world.Node, excluded *world.Node) []*world.Node {
 	var others []*world.Node
 	for _, node := range nodes {
-		if node != left {
+		if node != excluded {
 			others = append(others, node)
 		}
 	}
@@ -197,9 +197,9 @@
 	w := newWorld(t, nil)
 	startMailers(t, w, 4)
 	nodes := startNodes(t, w, 3)
-	for runRound := range 3 {
+	for number := range 3 {
 		assert.NilError(t, w.LapseRunners())
-		applyConfiguration(t, w, runRound, nodes)
+		applyConfiguration(t, w, number, nodes)
 		for _, node := range nodes {
 			got := send(t.Context(), node, clientRequest{Path: "/read/x"})
 			assert.Equal(t, got.Status, 200, "%+v", got)
--- a/test/replicas_test.go
+++ b/test/replicas_test.go
@@ -76,8 +76,8 @@
 }
 
 // TestReplicaOnItsWayCountsForNextHolder: the lease holder is killed while a runner loads a
-// model, which the platform's list does not show. The next holder counts that replica and
-// does not load another.
+// model, which the platform's list does not show yet. The next holder counts that replica
+// and does not load another.
 func TestReplicaOnItsWayCountsForNextHolder(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
@@ -305,7 +305,7 @@
 		return nil
 	})
 	load.waitServed(t, 12) // requests that were already in progress
-	inForce := time.Now()
+	activeSince := time.Now()
 	assert.NilError(t, nodes[2].Thaw())
 	late := call{Model: "alpha", Prompt: "late", Tokens: 4, Deadline: 30 * time.Second}
 	assertServed(t, late, ask(t.Context(), nodes[2], late, nil))
@@ -314,7 +314,7 @@
 	h := readHistory(t, w)
 	for _, record := range h.records {
 		old := record.Event == journal.EventRun && record.Unit == "alpha"
-		assert.Assert(t, !old || record.Time.Before(inForce), "%+v", record)
+		assert.Assert(t, !old || record.Time.Before(activeSince), "%+v", record)
 	}
 	assert.Assert(t, h.maxLoaded("alpha", "alpha-2") <= 2)
 	h.assertMemoryNeverExceeded(t)
--- a/test/runner_limit_test.go
+++ b/test/runner_limit_test.go
@@ -18,8 +18,9 @@
 )
 
 const (
-	// limitBindsAfter is how long after a runner first named its limit the limit binds,
-	// limitAppliedAfter how long after a node forwarded such an answer it binds that node.
+	// limitBindsAfter is the time from a runner's first statement of its limit until the
+	// limit binds all nodes that know it, limitAppliedAfter the time from when a node first
+	// forwarded such an answer until the limit binds that node.
 	limitBindsAfter   = 3 * time.Second
 	limitAppliedAfter = 500 * time.Millisecond
 	// limitWindow is the sliding window of the bound. Within it, limitShare times the limit
@@ -27,11 +28,11 @@
 	limitWindow = 4 * time.Second
 	limitShare  = 1.5
 	limitSlack  = 5
-	// limitDuration is how long runners name their limits.
+	// limitDuration is how long runners state their limits.
 	limitDuration = 11 * time.Second
 )
 
-// TestRunnerGotMoreThanItsLimit: runners that name a limit receive no more than that from
+// TestRunnerGotMoreThanItsLimit: runners that state a limit receive no more than that from
 // all nodes together.
 func TestRunnerGotMoreThanItsLimit(t *testing.T) {
 	t.Parallel()
@@ -66,7 +67,7 @@
 	s.checkLimitWindows(t)
 }
 
-// checkLimitWindows checks each window of each runner that named a limit.
+// checkLimitWindows checks each window of each runner that stated a limit.
 func (s *statementWorld) checkLimitWindows(t *testing.T) {
 	t.Helper()
 	rate, err := strconv.ParseFloat(s.limit, 64)
@@ -76,7 +77,7 @@
 	for _, arrived := range s.arrivals(t) {
 		byRunner[arrived.runner] = append(byRunner[arrived.runner], arrived)
 	}
-	assert.Assert(t, len(byRunner) > 0, "no request reached a runner that names a limit")
+	assert.Assert(t, len(byRunner) > 0, "no request reached a runner that states a limit")
 	for runner, arrivals := range byRunner {
 		most := mostInWindow(arrivals)
 		t.Logf("%s received %d requests, at most %d in %v, allowed %d", runner, len(arrivals), most, limitWindow, allowed)
@@ -89,7 +90,7 @@
 func mostInWindow(arrivals []arrival) int {
 	knownSince := make(map[*world.Node]time.Time)
 	for _, arrived := range arrivals {
-		if known, heard := knownSince[arrived.node]; (!heard || arrived.end.Before(known)) && arrived.answer.Status != 0 {
+		if known, ok := knownSince[arrived.node]; (!ok || arrived.end.Before(known)) && arrived.answer.Status != 0 {
 			knownSince[arrived.node] = arrived.end
 		}
 	}
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -20,7 +20,7 @@
 var (
 	soakSeed   = flag.Uint64("soak.seed", 1, "seed of the schedule of faults")
 	soakRounds = flag.Int("soak.rounds", 4, "rounds of one or two faults at once")
-	soakParts  = flag.String("soak.parts", "zones,cold,homes", "parts of the product that TestSoakParts brings and checks beside planned stops of zones; empty for none")
+	soakParts  = flag.String("soak.parts", "zones,cold,homes", "parts of the product that TestSoakParts exercises and checks in addition to planned stops of zones; empty for none")
 )
 
 const (
@@ -208,7 +208,7 @@
 	{"stop a node", groupLastNode, (*soak).stopNode},
 	{"freeze a node", "freeze", (*soak).freezeNode},
 	{"cut a node from the store", "store", func(s *soak) func() { return s.cutFromStore(faultproxy.Silence) }},
-	{"a node hears no answers of the store", "store", func(s *soak) func() { return s.cutFromStore(faultproxy.SilenceResponses) }},
+	{"the store's answers to a node are lost", "store", func(s *soak) func() { return s.cutFromStore(faultproxy.SilenceResponses) }},
 	{"cut a node from its peers", "peers", (*soak).cutFromPeers},
 	{"store busy", "store", func(s *soak) func() { return s.storeFault(storestub.Faults{Down: storestub.Busy}) }},
 	{"store silent", "store", func(s *soak) func() { return s.storeFault(storestub.Faults{Down: storestub.Silent}) }},
@@ -221,7 +221,7 @@
 	{"runner slow", "runner", func(s *soak) func() { return s.runnerFault(runnerstub.Faults{SlowFactor: 8}) }},
 	{"kill a runner", "runner", (*soak).killRunner},
 	{"cut a runner off", "runner", func(s *soak) func() { return s.cutRunner(faultproxy.Silence) }},
-	{"a runner is not heard", "runner", func(s *soak) func() { return s.cutRunner(faultproxy.SilenceResponses) }},
+	{"answers of a runner are lost", "runner", func(s *soak) func() { return s.cutRunner(faultproxy.SilenceResponses) }},
 	{"reset connections of a runner", "runner", (*soak).resetRunner},
 	{"freeze a runner", "runner", (*soak).freezeRunner},
 	{"drain a runner", "store", (*soak).drainRunner},
@@ -329,13 +329,13 @@
 	}
 	first := s.pickFault(firsts)
 	second := s.pickFault(s.kinds)
-	brought := []faultKind{first}
+	faults := []faultKind{first}
 	if second.group != first.group {
-		brought = append(brought, second)
+		faults = append(faults, second)
 	}
 	var ends, restarts []func()
 	var names []string
-	for _, fault := range brought {
+	for _, fault := range faults {
 		names = append(names, fault.name)
 		end := fault.begin(s)
 		if fault.group == groupLastNode {
--- a/test/statements_soak_test.go
+++ b/test/statements_soak_test.go
@@ -18,15 +18,15 @@
 )
 
 var (
-	statedSeed  = flag.Uint64("stated.seed", 1, "first seed of the soak of runners that leave or want rest")
-	statedSeeds = flag.Int("stated.seeds", 1, "how many seeds it plays, one after the other")
+	statedSeed  = flag.Uint64("stated.seed", 1, "first seed of the soak of runners that leave or ask for rest")
+	statedSeeds = flag.Int("stated.seeds", 1, "number of seeds that it runs, one after the other")
 )
 
 // TestStatementSoak: runners announce that they leave, or reject requests and ask for rests
-// of all lengths, alone and many at once, end and come back under their names, while
+// of all lengths, alone and many at once, end and are restarted under their names, while
 // requests arrive on persistent and new connections and in bursts, nodes are killed and
 // restarted or frozen, and the store is down for all or for some nodes. No node sends a
-// runner what it has said that it does not want. To run more seeds: go test ./test -run
+// runner requests that it announced not to accept. To run more seeds: go test ./test -run
 // TestStatementSoak -stated.seed=100 -stated.seeds=50 -timeout 1h
 func TestStatementSoak(t *testing.T) {
 	t.Parallel()
@@ -35,7 +35,7 @@
 	}
 }
 
-// statementSoak is a world with such runners, under faults.
+// statementSoak is a world whose runners leave or ask for rest, under faults.
 type statementSoak struct {
 	*statementWorld
 	t      *testing.T
@@ -73,8 +73,8 @@
 	s.checkRunners(t)
 }
 
-// startRestartingWorld starts a world whose runners come back under their names after they
-// have ended.
+// startRestartingWorld starts a world whose runners are restarted under their names after
+// they have ended.
 func startRestartingWorld(t *testing.T) *statementWorld {
 	t.Helper()
 	return startStatementWorldWith(t, statementTest{}, world.RestartPolicy{After: 700 * time.Millisecond})
--- a/test/statements_test.go
+++ b/test/statements_test.go
@@ -33,8 +33,9 @@
 	// leavingAppliedWithin is how long after an answer announced that a runner leaves the
 	// runner may still receive requests from the node that forwarded the answer.
 	leavingAppliedWithin = 2 * time.Second
-	// restAppliedAfter is how long after the answer that asked for it a rest binds,
-	// maxSendsInRest how many requests of the node may still reach the runner.
+	// restAppliedAfter is the time from an answer that asks for a rest until the rest binds
+	// the node, maxSendsInRest how many requests of the node may still reach the runner
+	// during the rest.
 	restAppliedAfter = 500 * time.Millisecond
 	maxSendsInRest   = 2
 	// requestPause is the time between requests of a test.
@@ -46,7 +47,7 @@
 	// leave is set if runners leave; otherwise rest is what they ask for.
 	leave bool
 	rest  string
-	// limit is the number of requests per second that runners say they accept.
+	// limit is the number of requests per second that runners state as their limit.
 	limit string
 	// listed is set if the platform's list also shows that runners leave, unless the store
 	// is down.
@@ -98,8 +99,8 @@
 	}
 }
 
-// statementWorld is a world in which runners make statements about themselves, and all that
-// clients saw of it.
+// statementWorld is a world in which runners make statements about themselves, and a record
+// of all requests that clients sent and the answers that they received.
 type statementWorld struct {
 	statementTest
 	world *world.World
@@ -128,15 +129,15 @@
 	return startStatementWorldWith(t, test, world.RestartPolicy{})
 }
 
-// startStatementWorldWith starts such a world; returns sets whether and how its runners are
-// restarted.
-func startStatementWorldWith(t *testing.T, test statementTest, returns world.RestartPolicy) *statementWorld {
+// startStatementWorldWith starts a statementWorld; restart determines whether and how its
+// runners are restarted.
+func startStatementWorldWith(t *testing.T, test statementTest, restart world.RestartPolicy) *statementWorld {
 	t.Helper()
 	w := newWorld(t, nil)
 	for index := range runnersPerService {
 		zone := zones[index%len(zones)]
 		engine, mailer := engineOptions(w, fmt.Sprintf("runner-%d", index+1), zone), mailerOptions(fmt.Sprintf("mailer-%d", index+1), zone)
-		engine.Restart, mailer.Restart = returns, returns
+		engine.Restart, mailer.Restart = restart, restart
 		for _, options := range []world.RunnerOptions{engine, mailer} {
 			_, err := w.StartRunner(options)
 			assert.NilError(t, err)
@@ -186,7 +187,7 @@
 	return s.world.SetStoreFaults(storestub.Faults{Down: s.store, Only: hosts})
 }
 
-// statingRunners are the names of the runners that make the statement.
+// statingRunners returns the names of the runners that make the test's statement.
 func (s *statementWorld) statingRunners() []string {
 	count := runnersPerService / 2
 	if s.all {
@@ -199,7 +200,7 @@
 	return names
 }
 
-// beginStatements makes these runners begin to state it.
+// beginStatements makes the runners of statingRunners begin to make the statement.
 func (s *statementWorld) beginStatements(t *testing.T) {
 	t.Helper()
 	for _, name := range s.statingRunners() {
@@ -216,7 +217,7 @@
 	}
 }
 
-// acceptAgain makes runners that wanted rest accept requests again.
+// acceptAgain makes runners that asked for rest accept requests again.
 func (s *statementWorld) acceptAgain(t *testing.T) {
 	t.Helper()
 	for _, name := range s.statingRunners() {
@@ -262,17 +263,17 @@
 func (s *statementWorld) sendAndRecord(request clientRequest, node *world.Node) {
 	ctx, cancel := context.WithTimeout(context.Background(), request.Deadline+answerMargin)
 	defer cancel()
-	made := clientExchange{request: request, node: node, sent: time.Now()}
-	s.record(made)
-	made.answer = send(ctx, node, request)
-	made.end = time.Now()
-	s.record(made)
+	exchange := clientExchange{request: request, node: node, sent: time.Now()}
+	s.record(exchange)
+	exchange.answer = send(ctx, node, request)
+	exchange.end = time.Now()
+	s.record(exchange)
 }
 
-func (s *statementWorld) record(made clientExchange) {
+func (s *statementWorld) record(exchange clientExchange) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.exchanges[made.request.ID] = made
+	s.exchanges[exchange.request.ID] = exchange
 }
 
 // arrival is a request of a node that reached a runner which states something.
@@ -295,24 +296,25 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// arrivals are all such requests, in order of arrival.
+// arrivals returns all requests that reached a runner which states something, in order of
+// arrival.
 func (s *statementWorld) arrivals(t *testing.T) []arrival {
 	t.Helper()
 	var arrivals []arrival
 	for _, record := range readHistory(t, s.world).records {
-		made, known := s.exchanges[record.Request]
+		exchange, known := s.exchanges[record.Request]
 		if !known || record.Event != journal.EventArrival {
 			continue
 		}
-		arrived := arrival{clientExchange: made, at: record.Time, runner: record.Runner}
+		arrived := arrival{clientExchange: exchange, at: record.Time, runner: record.Runner}
 		assert.NilError(t, json.Unmarshal([]byte(record.Detail), &arrived.Arrival))
 		arrivals = append(arrivals, arrived)
 	}
 	return arrivals
 }
 
-// checkRunners checks that no node sent a runner requests that it had said it does not
-// want.
+// checkRunners checks that no node sent a runner requests that contradict the runner's
+// statements.
 func (s *statementWorld) checkRunners(t *testing.T) {
 	t.Helper()
 	arrivals := s.arrivals(t)
@@ -338,8 +340,8 @@
 	assert.Equal(t, len(late), 0)
 }
 
-// logViolation logs what a node knew of an answer when a later request of the node
-// contradicted it: how long after the runner gave the answer the node read it.
+// logViolation logs a statement, a later request that contradicted it, and the lines of the
+// node's log about both.
 func (s *statementWorld) logViolation(t *testing.T, statement, arrived arrival) {
 	t.Helper()
 	t.Logf("%s at %s: %s arrived at %s, %s after %s, which asked for a rest of %q, arrived", statement.node.Name, statement.runner, arrived.request.ID,
@@ -351,10 +353,10 @@
 }
 
 // linesContaining returns the lines of a log that contain all the words.
-func linesContaining(content string, words ...string) []string {
+func linesContaining(content string, texts ...string) []string {
 	var lines []string
 	for line := range strings.Lines(content) {
-		if !slices.ContainsFunc(words, func(word string) bool { return !strings.Contains(line, word) }) {
+		if !slices.ContainsFunc(texts, func(text string) bool { return !strings.Contains(line, text) }) {
 			lines = append(lines, line)
 		}
 	}
@@ -391,17 +393,17 @@
 	t.Helper()
 	statuses := make(map[int]int)
 	var held time.Duration
-	for _, made := range s.exchanges {
-		statuses[made.answer.Status]++
-		if made.answer.Status == http.StatusServiceUnavailable {
-			held += made.end.Sub(made.sent)
-			assert.Check(t, made.answer.RetryAfter != "", "%s: refused without a time to retry", made.request.Path)
+	for _, exchange := range s.exchanges {
+		statuses[exchange.answer.Status]++
+		if exchange.answer.Status == http.StatusServiceUnavailable {
+			held += exchange.end.Sub(exchange.sent)
+			assert.Check(t, exchange.answer.RetryAfter != "", "%s: refused without a time to retry", exchange.request.Path)
 		}
-		took := made.end.Sub(made.sent)
+		took := exchange.end.Sub(exchange.sent)
 		// A stream that began late is cut off at its client's deadline.
-		cutInTime := made.answer.Status == http.StatusOK && made.answer.Body != "" && took >= made.request.Deadline
-		assert.Check(t, made.answer.Complete || cutInTime, "%s: no complete answer after %s", made.request.Path, took)
-		assert.Check(t, made.end.Sub(made.sent) < made.request.Deadline+answerMargin, "%s", made.request.Path)
+		cutInTime := exchange.answer.Status == http.StatusOK && exchange.answer.Body != "" && took >= exchange.request.Deadline
+		assert.Check(t, exchange.answer.Complete || cutInTime, "%s: no complete answer after %s", exchange.request.Path, took)
+		assert.Check(t, exchange.end.Sub(exchange.sent) < exchange.request.Deadline+answerMargin, "%s", exchange.request.Path)
 	}
 	t.Logf("answers by status: %v; mean time of refused ones %s", statuses, held/time.Duration(max(statuses[http.StatusServiceUnavailable], 1)))
 }
@@ -425,13 +427,13 @@
 	})
 	leaving := runnersHolding(t, nodes[0], "alpha")[0]
 	assert.NilError(t, w.SetRunnerFaults(leaving, runnerstub.Faults{Leaving: true}))
-	hears := anyNodeExcept(nodes, leaseHolder(t, w, nodes[0]))
+	receiver := anyNodeExcept(nodes, leaseHolder(t, w, nodes[0]))
 	waitUntil(t, "a node knows that the runner leaves", func() error {
-		got := send(t.Context(), hears, request)
+		got := send(t.Context(), receiver, request)
 		if got.Signature == "" {
 			return fmt.Errorf("%+v", got)
 		}
-		return loggedBy(t, w, logLeaving, leaving, hears)
+		return loggedBy(t, w, logLeaving, leaving, receiver)
 	})
 	waitUntil(t, "all nodes know that the runner leaves", func() error { return loggedBy(t, w, logLeaving, leaving, nodes...) })
 	before := len(eventTimes(readHistory(t, w), journal.EventArrival))
@@ -454,12 +456,12 @@
 )
 
 // loggedBy returns nil once all nodes have logged a statement of a runner.
-func loggedBy(t *testing.T, w *world.World, statementWorld, runner string, nodes ...*world.Node) error {
+func loggedBy(t *testing.T, w *world.World, statement, runner string, nodes ...*world.Node) error {
 	t.Helper()
 	for _, node := range nodes {
 		found := false
 		for line := range strings.Lines(readFile(t, w.LogPath(node))) {
-			found = found || strings.Contains(line, statementWorld) && strings.Contains(line, runner)
+			found = found || strings.Contains(line, statement) && strings.Contains(line, runner)
 		}
 		if !found {
 			return fmt.Errorf("%s has not logged it", node.Name)
--- a/test/stops_test.go
+++ b/test/stops_test.go
@@ -143,7 +143,7 @@
 		}
 		return nil
 	})
-	inForce := time.Now()
+	activeSince := time.Now()
 	// A request that arrives during the drain waits until the replica has moved.
 	moved := call{Model: "alpha", Prompt: "moved", Tokens: 4, Deadline: 50 * time.Second}
 	movedResult := sendInBackground(t.Context(), nodes[0], moved, nil)
@@ -163,7 +163,7 @@
 	assertServed(t, moved, awaitOutcome(t, movedResult))
 	h := readHistory(t, w)
 	assert.Equal(t, h.maxReplicas("alpha"), 1)
-	assertNoRunFrom(t, h, runner, inForce)
+	assertNoRunFrom(t, h, runner, activeSince)
 }
 
 // assertNoRunFrom checks that a runner ran nothing new after an instant.
--- a/test/tenants_test.go
+++ b/test/tenants_test.go
@@ -88,6 +88,8 @@
 }
 
 const (
+	// hotRate and hotBurst are the limit of a tenant in these tests, in requests per second
+	// and requests. Within hotWindow, all nodes together may exceed it by hotShare.
 	hotRate   = 20.0
 	hotBurst  = 10.0
 	hotWindow = 2 * time.Second
@@ -169,10 +171,10 @@
 	sendAtRate(ctx, &group, nodes[2], "calm-key", hotRate/6, count(calm))
 	time.Sleep(5 * time.Second)
 	mutex.Lock()
-	served, asked := hot[http.StatusOK], hot[http.StatusOK]+hot[http.StatusTooManyRequests]
+	served, total := hot[http.StatusOK], hot[http.StatusOK]+hot[http.StatusTooManyRequests]
 	lost := calm[http.StatusTooManyRequests] + calm[http.StatusServiceUnavailable]
 	mutex.Unlock()
-	assert.Assert(t, float64(served) > 0.7*hotRate*5, "%d of %d served", served, asked)
+	assert.Assert(t, float64(served) > 0.7*hotRate*5, "%d of %d served", served, total)
 	assert.Equal(t, lost, 0, "%v", calm)
 
 	nodes[1].Proxy.Set(faultproxy.SilenceResponses)
--- a/test/zones_test.go
+++ b/test/zones_test.go
@@ -115,9 +115,9 @@
 
 // TestZoneOutThroughFaults: the zone is taken out while the store rejects one node, another
 // one is frozen, a third is killed right after and restarted, and the history is dropped.
-// No node that knows of it sends anything new there, and every node knows in the end,
-// without going back. Then a second zone is taken out, and the first is taken back in and
-// out again immediately.
+// No node that has read the change sends anything new there, and every node reads it
+// eventually and does not return to the older state. Then a second zone is taken out, and
+// the first is taken back in and out again immediately.
 func TestZoneOutThroughFaults(t *testing.T) {
 	t.Parallel()
 	w, nodes := startWithAlpha(t, 6, 4, append(model("alpha", 6), readyPolicy("alpha", 3))...)
@@ -146,8 +146,8 @@
 	assertNothingNewIn(t, h, zones[1], second, again)
 	setZoneOut(t, w, zones[0], true)
 	setZoneOut(t, w, zones[0], false)
-	// A node may not have heard of the change yet, so that its last logged state is from
-	// the first time.
+	// A node may not have read the change yet, so that its last logged state is from the
+	// first time.
 	third := time.Now().Add(settings.Default().Evacuation.Within)
 	waitUntil(t, "the zone must be out", func() error {
 		if left := time.Until(third); left > 0 {
@@ -165,7 +165,7 @@
 
 // TestAllZonesOut: with all zones out, requests are refused at once, as not run and with a
 // time to retry, and are served again when a zone is back. Nodes that are all killed right
-// after the zones went out know it when they serve again.
+// after the zones went out know that they are out when they serve again.
 func TestAllZonesOut(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, nil)
