--- a/internal/relay/health.go
+++ b/internal/relay/health.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// skipLeaseCheck reports whether the elector may skip reading the lease row: the holder still answers,
-// this node is searching for a reader, or other nodes check first.
+// skipLeaseCheck reports whether the elector may skip reading the lease row: the holder still
+// answers, this node is searching for a reader, or other nodes check first.
 func (r *Relay) skipLeaseCheck() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -233,10 +233,10 @@
 	assert.Equal(t, follower.Upstream(), Store{})
 }
 
-// TestManyNodesLeaveStoreThatIsAway checks that while the relay does not reach the store, a node
-// checks once for all of its tables whether it can reach the store itself, and that only some nodes
-// of a large fleet retry soon.
-func TestManyNodesLeaveStoreThatIsAway(t *testing.T) {
+// TestNodesDoNotAllProbeUnavailableStore checks that while the relay does not reach the store, a
+// node checks once for all of its tables whether it can reach the store itself, and that only some
+// nodes of a large fleet retry soon.
+func TestNodesDoNotAllProbeUnavailableStore(t *testing.T) {
 	store := &fakeStore{}
 	store.write("a")
 	relay, follower := startPair(t, store)
@@ -269,8 +269,8 @@
 	assert.Assert(t, fault.IsCode(err, fault.CodeNotReady), "%v", err)
 }
 
-// TestReleasedRelayRefuses checks that a stopping relay rejects its readers at once.
-func TestReleasedRelayRefuses(t *testing.T) {
+// TestReleasedRelayRejectsReaders checks that a stopping relay rejects its readers at once.
+func TestReleasedRelayRejectsReaders(t *testing.T) {
 	store := &fakeStore{}
 	relay, follower := startPair(t, store)
 	relay.Release(t.Context())
@@ -299,9 +299,9 @@
 	assert.Assert(t, &first[0] == &relay.mirror(testTable).pager.last.list[0].packed[0])
 }
 
-// TestReadersPaceThemselves checks that the time for which readers batch changes that are not
+// TestPaceGrowsWithNodes checks that the time for which readers batch changes that are not
 // urgent grows with the number of nodes up to a bound, and that the relay does not batch.
-func TestReadersPaceThemselves(t *testing.T) {
+func TestPaceGrowsWithNodes(t *testing.T) {
 	relay, follower := startPair(t, &fakeStore{})
 	for _, test := range []struct {
 		nodes int
--- a/internal/relay/search_test.go
+++ b/internal/relay/search_test.go
@@ -99,9 +99,9 @@
 	assert.Assert(t, store.reads.Load() <= reads+watches.Load()+2, "a node other than the standby read the store")
 }
 
-// TestStoreIsReadWhenNobodyIsFound checks that a node falls back to the store after a while if no
+// TestStoreIsReadWhenNoReaderIsFound checks that a node falls back to the store after a while if no
 // standby can be reached.
-func TestStoreIsReadWhenNobodyIsFound(t *testing.T) {
+func TestStoreIsReadWhenNoReaderIsFound(t *testing.T) {
 	store := &fakeStore{}
 	store.write("a")
 	alone := startMember(t, store, "alone", firstStart, func(o *Options) { o.TakeoverDelay = func() time.Duration { return time.Hour } })
@@ -193,10 +193,10 @@
 	assert.Equal(t, store.reads.Load(), int64(1))
 }
 
-// TestFewNodesLookAtTheLease checks that while the store is unavailable only some nodes of a large
-// fleet read the lease row, in case all nodes that should are gone. When all 295 nodes did, they
-// made 445 calls in four seconds.
-func TestFewNodesLookAtTheLease(t *testing.T) {
+// TestFewNodesCheckLeaseDuringOutage checks that while the store is unavailable only some nodes of
+// a large fleet read the lease row, in case all nodes that should are gone. When all 295 nodes did,
+// they made 445 calls in four seconds.
+func TestFewNodesCheckLeaseDuringOutage(t *testing.T) {
 	r := New(Options{Group: "group", Address: "10.0.0.1:1", FirstStart: true})
 	r.SetStandbys([]string{"10.0.0.2:1"})
 	r.SetNodes(300)
@@ -232,10 +232,10 @@
 	assert.Equal(t, store.reads.Load(), reads, "the relay was not found within searchTimeout")
 }
 
-// TestFewNodesTurnToAStoreThatIsAway checks that while no node can read the store, some nodes of a
+// TestFewNodesProbeUnavailableStore checks that while no node can read the store, some nodes of a
 // large fleet probe whether it is back: more as time passes, and finally all. When all 295 nodes
 // did so after 1.2 s, they made 1,620 calls in one second.
-func TestFewNodesTurnToAStoreThatIsAway(t *testing.T) {
+func TestFewNodesProbeUnavailableStore(t *testing.T) {
 	const nodes = 300
 	for searches, share := range map[int]float64{0: 8.0 / nodes, 1: 32.0 / nodes, 2: 128.0 / nodes, 3: 1} {
 		fallbacks := 0
--- a/internal/relay/source.go
+++ b/internal/relay/source.go
@@ -64,8 +64,8 @@
 	return s.store.Watch(ctx, after, 0)
 }
 
-// dropMirrorRows drops the rows of a large mirror unless this node reads the store itself and so may
-// serve them to others.
+// dropMirrorRows drops the rows of a large mirror unless this node reads the store itself and so
+// may serve them to others.
 func (s *Source) dropMirrorRows() {
 	if _, reads := s.relay.Upstream().(Store); !reads {
 		s.mirror.dropRows(maxKeptBytes)
--- a/internal/relay/stale_test.go
+++ b/internal/relay/stale_test.go
@@ -42,10 +42,10 @@
 	assert.Assert(t, time.Duration(response.AgeMs)*time.Millisecond > maxAge)
 }
 
-// TestReaderStayedWithStaleRelay checks that a node whose relay has not reached the store switches
+// TestNodeSwitchesFromStaleRelay checks that a node whose relay has not reached the store switches
 // to a reader that a peer names, that a peer which names the same relay changes nothing, and that a
 // newer relay takes precedence.
-func TestReaderStayedWithStaleRelay(t *testing.T) {
+func TestNodeSwitchesFromStaleRelay(t *testing.T) {
 	relay, reader, newer := Peer{Address: "10.0.0.2:1", Token: 3}, Peer{Address: "10.0.0.3:1"}, Peer{Address: "10.0.0.4:1", Token: 4}
 	r := New(Options{Group: "group", Address: "10.0.0.1:1", Log: logr.Discard()})
 	r.namedRelay = relay
