--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestNoProbeIsTheLast checks that a single lost probe does not reach the timeout. Otherwise
+// TestOneLostProbeIsTolerated checks that a single lost probe does not reach the timeout. Otherwise
 // healthy connections would be dropped on links with packet loss.
-func TestNoProbeIsTheLast(t *testing.T) {
+func TestOneLostProbeIsTolerated(t *testing.T) {
 	for _, kind := range []Kind{Store, Peer, Client} {
 		b := kind.Bounds()
 		assert.Assert(t, b.AckTimeout > b.ProbeIdle+b.ProbeInterval, "%s", kind)
@@ -59,9 +59,9 @@
 	assert.Assert(t, ackTimeout > probeIdle+probeInterval)
 }
 
-// TestWaitBearsLostProbes checks that a connection waiting for an answer has the longer timeout
-// until it sends again, and that closed connections are ignored.
-func TestWaitBearsLostProbes(t *testing.T) {
+// TestRelaxedAckTimeoutIsRestored checks that a connection waiting for an answer has the longer
+// timeout until it sends again, and that closed connections are ignored.
+func TestRelaxedAckTimeoutIsRestored(t *testing.T) {
 	listener, err := Peer.Listen(t.Context(), "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer listener.Close()
--- a/internal/link/transport_test.go
+++ b/internal/link/transport_test.go
@@ -74,9 +74,9 @@
 	assert.Equal(t, record.count(Peer, Mute), uint64(1))
 }
 
-// TestBrokenOffCallsTellNothing checks that calls which are canceled, or time out too early for an
-// answer, do not drop the idle connections.
-func TestBrokenOffCallsTellNothing(t *testing.T) {
+// TestCanceledCallsKeepIdleConnections checks that calls which are canceled, or time out too early
+// for an answer, do not drop the idle connections.
+func TestCanceledCallsKeepIdleConnections(t *testing.T) {
 	client, proxy, record := startSilenceable(t, Peer, 3)
 	proxy.Set(faultproxy.Silence)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/link/trust_test.go
+++ b/internal/link/trust_test.go
@@ -26,9 +26,9 @@
 	}
 }
 
-// TestSilenceAtSeveralPeersIsSilenceOfAll checks that two peers that are silent within the window
+// TestTwoSilentPeersDistrustAll checks that two peers that are silent within the window
 // stand for all. Two that are silent further apart do not, and the same two do not count twice.
-func TestSilenceAtSeveralPeersIsSilenceOfAll(t *testing.T) {
+func TestTwoSilentPeersDistrustAll(t *testing.T) {
 	c := newClock()
 	trust := NewTrust(c.now)
 	assert.Equal(t, trust.Silent("a", c.now()), OnePeer)
@@ -55,10 +55,10 @@
 	assert.Equal(t, trust.Silent("b", c.now()), OnePeer)
 }
 
-// TestAnswerOnAConnectionMadeDuringTheSilenceShowsNothing checks that an answer is ignored if its
+// TestAnswerOnNewerConnectionIsIgnored checks that an answer is ignored if its
 // connection was made after the silent one was taken and became idle before the silence was
 // detected: new connections work although all older ones may be silent.
-func TestAnswerOnAConnectionMadeDuringTheSilenceShowsNothing(t *testing.T) {
+func TestAnswerOnNewerConnectionIsIgnored(t *testing.T) {
 	c := newClock()
 	trust := NewTrust(c.now)
 	taken := c.now()
