--- a/internal/wire/numbers_test.go
+++ b/internal/wire/numbers_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// TestReportsTellRegionAndPermits checks that the report of a node carries both its region and the
+// TestReportsCarryRegionAndPermits checks that the report of a node carries both its region and the
 // permits it wants.
-func TestReportsTellRegionAndPermits(t *testing.T) {
+func TestReportsCarryRegionAndPermits(t *testing.T) {
 	sent := SyncRequest{Service: "s", Node: "n", Region: "north", Permits: []PermitsWanted{{Runner: "r", Count: 2}}}
 	content, err := Encode(sent)
 	assert.NilError(t, err)
--- a/internal/wire/sync.go
+++ b/internal/wire/sync.go
@@ -77,7 +77,8 @@
 }
 
 // PermitsLent is the number of permits that the holder lends for a runner that is cold or stated a
-// limit. They may be spent within a fixed time (coldstart.Validity) after the node sent its request.
+// limit. They may be spent within a fixed time (coldstart.Validity) after the node sent its
+// request.
 type PermitsLent struct {
 	Runner string `cbor:"1,keyasint"`
 	Count  int    `cbor:"2,keyasint,omitempty"`
