--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -152,8 +152,8 @@
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Call sends a message and decodes the answer into response, a pointer. Errors are of type
-// *fault.Error and state whether the peer may have acted. If the peer cannot be reached, the code is
-// fault.CodeNotReady.
+// *fault.Error and state whether the peer may have acted. If the peer cannot be reached, the code
+// is fault.CodeNotReady.
 func (c *Client) Call(ctx context.Context, address, method string, request, response any) error {
 	content, err := wire.Encode(request)
 	if err != nil {
