--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -80,8 +80,8 @@
 	return unavailable(cause, fault.NotDone)
 }
 
-// checkHolder returns nil if the attempt holds the key. It fails with fault.CodeDuplicate if another
-// one does, and with fault.CodeClaimsUnavailable if that is not known.
+// checkHolder returns nil if the attempt holds the key. It fails with fault.CodeDuplicate if
+// another one does, and with fault.CodeClaimsUnavailable if that is not known.
 func (c *Claims) checkHolder(ctx context.Context, rowKey, attempt string) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
