--- a/internal/lab/experiment/deployment.go
+++ b/internal/lab/experiment/deployment.go
@@ -28,9 +28,9 @@
 	Concurrency    int     `json:"concurrency"`
 	StoreMiB       float64 `json:"storeMiBPerSecond"`
 	DiskMiB        float64 `json:"diskMiBPerSecond"`
-	// Exchange is the number of idle seconds that one second of a cold start is worth.
-	Exchange  float64 `json:"idleSecondsPerColdSecond"`
-	TailPower float64 `json:"tailPower"`
+	// IdlePerColdSecond is the number of idle seconds that one second of a cold start is worth.
+	IdlePerColdSecond float64 `json:"idleSecondsPerColdSecond"`
+	TailPower         float64 `json:"tailPower"`
 	// Event is a recurring load peak over a share of the models, such as a match or a
 	// council's mailing, at Hour on the given weekdays.
 	Event Event `json:"event"`
@@ -48,13 +48,13 @@
 	Montevideo = Deployment{
 		Name: "montevideo", TimeZone: "America/Montevideo", Zones: []string{"mvd-cordon", "mvd-prado", "mvd-buceo", "mvd-cerro"},
 		Runners: 24, RunnerMiB: 81920, Slots: 16, Models: 60, Adapters: 90, LoadsPerSecond: 3, Concurrency: 6,
-		StoreMiB: 1024, DiskMiB: 4096, Exchange: 1.9, TailPower: 2,
+		StoreMiB: 1024, DiskMiB: 4096, IdlePerColdSecond: 1.9, TailPower: 2,
 		Event: Event{Share: 0.3, Hour: 18.5, Weekdays: []time.Weekday{time.Friday}},
 	}
 	Santiago = Deployment{
 		Name: "santiago", TimeZone: "America/Santiago", Zones: []string{"scl-a", "scl-b", "scl-c"},
 		Runners: 23, RunnerMiB: 81920, Slots: 16, Models: 40, Adapters: 100, LoadsPerSecond: 4, Concurrency: 13,
-		StoreMiB: 1024, DiskMiB: 4096, Exchange: 35, TailPower: 1,
+		StoreMiB: 1024, DiskMiB: 4096, IdlePerColdSecond: 35, TailPower: 1,
 		Event: Event{Share: 0.5, Hour: 20, Weekdays: []time.Weekday{time.Saturday, time.Sunday, time.Wednesday}},
 	}
 )
--- a/internal/lab/experiment/simulate.go
+++ b/internal/lab/experiment/simulate.go
@@ -167,7 +167,7 @@
 
 func (s *simulation) prepare() {
 	s.models = s.deployment.catalogue(rand.New(rand.NewPCG(s.options.Seed, 1)))
-	s.keeper = sleep.NewKeeper(sleep.Settings{Fixed: s.configuration.Fixed, IdlePerColdSecond: s.deployment.Exchange, TailPower: s.deployment.TailPower,
+	s.keeper = sleep.NewKeeper(sleep.Settings{Fixed: s.configuration.Fixed, IdlePerColdSecond: s.deployment.IdlePerColdSecond, TailPower: s.deployment.TailPower,
 		Limit: maxKeepAlive})
 	s.replicas = make([]replica, len(s.models))
 	s.lastUseTime = make([]float64, len(s.models))
--- a/internal/labcommand/experiment.go
+++ b/internal/labcommand/experiment.go
@@ -24,15 +24,15 @@
 
 // scenario is the content of a scenario file: configurations that run on the same trace.
 type scenario struct {
-	Name           string        `yaml:"name"`
-	Deployment     string        `yaml:"deployment"`
-	Seed           uint64        `yaml:"seed"`
-	LearnDays      int           `yaml:"learnDays"`
-	MeasureDays    int           `yaml:"measureDays"`
-	Deadline       time.Duration `yaml:"deadline"`
-	Exchange       float64       `yaml:"idleSecondsPerColdSecond"`
-	TailPower      float64       `yaml:"tailPower"`
-	Configurations []struct {
+	Name              string        `yaml:"name"`
+	Deployment        string        `yaml:"deployment"`
+	Seed              uint64        `yaml:"seed"`
+	LearnDays         int           `yaml:"learnDays"`
+	MeasureDays       int           `yaml:"measureDays"`
+	Deadline          time.Duration `yaml:"deadline"`
+	IdlePerColdSecond float64       `yaml:"idleSecondsPerColdSecond"`
+	TailPower         float64       `yaml:"tailPower"`
+	Configurations    []struct {
 		Name           string        `yaml:"name"`
 		FixedKeepAlive time.Duration `yaml:"fixedKeepAlive"`
 		WakeAhead      bool          `yaml:"wakeAhead"`
@@ -62,8 +62,8 @@
 	if !known {
 		return fmt.Errorf("unknown deployment %q", spec.Deployment)
 	}
-	if spec.Exchange > 0 {
-		deployment.Exchange = spec.Exchange
+	if spec.IdlePerColdSecond > 0 {
+		deployment.IdlePerColdSecond = spec.IdlePerColdSecond
 	}
 	if spec.TailPower > 0 {
 		deployment.TailPower = spec.TailPower
