--- a/internal/lab/faultproxy/faultproxy.go
+++ b/internal/lab/faultproxy/faultproxy.go
@@ -12,7 +12,7 @@
 
 const chunkSize = 16 << 10
 
-// Mode is how a proxy treats connections.
+// Mode determines what a proxy does with connections.
 type Mode uint8
 
 // The modes.
--- a/internal/lab/storestub/http.go
+++ b/internal/lab/storestub/http.go
@@ -90,7 +90,7 @@
 }
 
 // rejection returns how the caller of r is rejected; empty if it is not.
-func (f Faults) rejection(r *http.Request) Down {
+func (f Faults) rejection(r *http.Request) Rejection {
 	if len(f.Only) == 0 {
 		return f.Down
 	}
--- a/internal/lab/storestub/store.go
+++ b/internal/lab/storestub/store.go
@@ -21,23 +21,23 @@
 	maximumWait    = 30 * time.Second
 )
 
-// Down is how the store rejects calls.
-type Down string
+// Rejection is a way in which the store rejects calls; see Faults.Down.
+type Rejection string
 
 // The kinds of rejection.
 const (
 	// Busy responds with 503 (Service Unavailable), TooManyRequests with 429.
-	Busy            Down = "busy"
-	TooManyRequests Down = "many"
+	Busy            Rejection = "busy"
+	TooManyRequests Rejection = "many"
 	// Reset closes the connection, Silent never responds.
-	Reset  Down = "reset"
-	Silent Down = "silent"
+	Reset  Rejection = "reset"
+	Silent Rejection = "silent"
 )
 
 // Faults are the faults injected into the store.
 type Faults struct {
 	// Down is how calls are rejected; empty for not at all.
-	Down Down `json:"down,omitempty"`
+	Down Rejection `json:"down,omitempty"`
 	// Only are the IP addresses whose calls are rejected; empty for all.
 	Only []string `json:"only,omitempty"`
 	// DelayMs delays each call.
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -234,7 +234,7 @@
 	w, nodes := startLoaded(t, 2, 3)
 	apply(t, nodes[0], model("beta", 1)...)
 	waitKnown(t, "beta", nodes...)
-	for _, down := range []storestub.Down{storestub.Silent, storestub.Busy, storestub.Reset} {
+	for _, down := range []storestub.Rejection{storestub.Silent, storestub.Busy, storestub.Reset} {
 		assert.NilError(t, w.SetStoreFaults(storestub.Faults{Down: down}))
 		time.Sleep(2500 * time.Millisecond) // longer than the lease
 		began := time.Now()
--- a/test/relay_test.go
+++ b/test/relay_test.go
@@ -180,7 +180,7 @@
 	w := newWorld(t, nil)
 	nodes := startNodes(t, w, 4)
 	number := 0
-	for _, down := range []storestub.Down{storestub.Busy, storestub.TooManyRequests, storestub.Reset, storestub.Silent} {
+	for _, down := range []storestub.Rejection{storestub.Busy, storestub.TooManyRequests, storestub.Reset, storestub.Silent} {
 		relay := waitSingleRelay(t, nodes)
 		assert.NilError(t, w.SetStoreFaults(storestub.Faults{Down: down, Only: []string{relay.StoreHost()}}))
 		number++
--- a/test/requests_test.go
+++ b/test/requests_test.go
@@ -286,7 +286,7 @@
 	apply(t, nodes[0], model("alpha", 1)...)
 	warm := call{Model: "alpha", Prompt: "warm", Tokens: 2}
 	assertServed(t, warm, ask(t.Context(), nodes[0], warm, nil))
-	for _, down := range []storestub.Down{storestub.Busy, storestub.Reset, storestub.Silent} {
+	for _, down := range []storestub.Rejection{storestub.Busy, storestub.Reset, storestub.Silent} {
 		assert.NilError(t, w.SetStoreFaults(storestub.Faults{Down: down}))
 		got := ask(t.Context(), nodes[0], call{Model: "alpha", Prompt: "once-" + string(down), Tokens: 2, Key: "once-" + string(down)}, nil)
 		assert.Equal(t, got.Code, fault.CodeClaimsUnavailable, "%s: %+v", down, got)
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -108,7 +108,7 @@
 }
 
 // rejectNode makes the store reject one node's calls while it serves the others.
-func (s *soak) rejectNode(down storestub.Down) func() {
+func (s *soak) rejectNode(down storestub.Rejection) func() {
 	return s.storeFault(storestub.Faults{Down: down, Only: []string{s.pickNode().StoreHost()}})
 }
 
--- a/test/statements_test.go
+++ b/test/statements_test.go
@@ -54,7 +54,7 @@
 	listed bool
 	// store is the fault of the store during the test, refused the number of nodes that it
 	// rejects, or 0 for all.
-	store   storestub.Down
+	store   storestub.Rejection
 	refused int
 	// crowd is the number of additional requests sent to each node at once, all is set if
 	// all runners state the same, full if they reject only requests for which they have no
