--- a/internal/lab/storestub/store.go
+++ b/internal/lab/storestub/store.go
@@ -21,29 +21,29 @@
 	maximumWait    = 30 * time.Second
 )
 
-// Down is how the store rejects calls.
-type Down string
+// Rejection is a way in which the store rejects calls; see Faults.Down.
+type Rejection string
 
 // The kinds of rejection.
 const (
 	// Busy responds with 503 (Service Unavailable), TooManyRequests with 429.
-	Busy            Down = "busy"
-	TooManyRequests Down = "many"
+	Busy            Rejection = "busy"
+	TooManyRequests Rejection = "many"
 	// Reset closes the connection, Silent never responds.
-	Reset  Down = "reset"
-	Silent Down = "silent"
+	Reset  Rejection = "reset"
+	Silent Rejection = "silent"
 )
 
 // Faults are the faults injected into the store.
 type Faults struct {
 	// Down is how calls are rejected; empty for not at all.
-	Down Down `json:"down,omitempty"`
+	Down Rejection `json:"down,omitempty"`
 	// Only are the IP addresses whose calls are rejected; empty for all.
 	Only []string `json:"only,omitempty"`
 	// DelayMs delays each call.
 	DelayMs int `json:"delayMs,omitempty"`
-	// LostShare of the writes are executed and get no response; LateShare of the writes
-	// get no response and are executed 1 to 3 seconds later, if their conditions still hold.
+	// LostShare of the writes are executed but get no response. LateShare of the others get no
+	// response and are executed 1 to 3 seconds later, if their conditions still hold.
 	LostShare float64 `json:"lostShare,omitempty"`
 	LateShare float64 `json:"lateShare,omitempty"`
 	// StaleMs is the age of the state that reads return; the feed is not affected.
--- a/internal/labcommand/experiment.go
+++ b/internal/labcommand/experiment.go
@@ -12,6 +12,7 @@
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
+
 	"lilacvane/internal/commandline"
 	"lilacvane/internal/lab/experiment"
 )
@@ -23,21 +24,22 @@
 
 // scenario is the content of a scenario file: configurations that run on the same trace.
 type scenario struct {
-	Name           string        `yaml:"name"`
-	Deployment     string        `yaml:"deployment"`
-	Seed           uint64        `yaml:"seed"`
-	LearnDays      int           `yaml:"learnDays"`
-	MeasureDays    int           `yaml:"measureDays"`
-	Deadline       time.Duration `yaml:"deadline"`
-	Exchange       float64       `yaml:"idleSecondsPerColdSecond"`
-	TailPower      float64       `yaml:"tailPower"`
-	Configurations []struct {
+	Name              string        `yaml:"name"`
+	Deployment        string        `yaml:"deployment"`
+	Seed              uint64        `yaml:"seed"`
+	LearnDays         int           `yaml:"learnDays"`
+	MeasureDays       int           `yaml:"measureDays"`
+	Deadline          time.Duration `yaml:"deadline"`
+	IdlePerColdSecond float64       `yaml:"idleSecondsPerColdSecond"`
+	TailPower         float64       `yaml:"tailPower"`
+	Configurations    []struct {
 		Name           string        `yaml:"name"`
 		FixedKeepAlive time.Duration `yaml:"fixedKeepAlive"`
 		WakeAhead      bool          `yaml:"wakeAhead"`
 	} `yaml:"configurations"`
 }
 
+// experimentReport is the content of a report file.
 type experimentReport struct {
 	Scenario   string                `json:"scenario"`
 	Deployment experiment.Deployment `json:"deployment"`
@@ -60,8 +62,8 @@
 	if !known {
 		return fmt.Errorf("unknown deployment %q", spec.Deployment)
 	}
-	if spec.Exchange > 0 {
-		deployment.Exchange = spec.Exchange
+	if spec.IdlePerColdSecond > 0 {
+		deployment.IdlePerColdSecond = spec.IdlePerColdSecond
 	}
 	if spec.TailPower > 0 {
 		deployment.TailPower = spec.TailPower
@@ -99,8 +101,8 @@
 
 const plotSize = 14 * vg.Centimeter
 
-// plotOutcomes plots the p99 wait of all requests over the idle hours, with a point for
-// each configuration.
+// plotOutcomes writes an SVG plot of the p99 wait of all requests over the idle hours, with a
+// point for each configuration.
 func plotOutcomes(path string, report experimentReport) error {
 	p := plot.New()
 	p.Title.Text = report.Scenario
--- a/internal/relay/health.go
+++ b/internal/relay/health.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// skipLeaseCheck reports whether the lessor need not read the lease row: the holder still answers,
-// this node is searching for a reader, or other nodes check first.
+// skipLeaseCheck reports whether the elector may skip reading the lease row: the holder still
+// answers, this node is searching for a reader, or other nodes check first.
 func (r *Relay) skipLeaseCheck() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,7 +77,7 @@
 	if !r.storeFailedAt.IsZero() {
 		r.storeFailedAt = time.Time{}
 		r.notifyFound()
-		r.lessor.Retry()
+		r.elector.Retry()
 	}
 }
 
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -58,7 +58,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.model.whole(s.model.revision), nil
+	return s.model.snapshot(s.model.revision), nil
 }
 
 func (s *fakeStore) Watch(_ context.Context, after uint64, _ time.Duration) (feed.Batch, error) {
@@ -158,7 +158,7 @@
 func startPair(t *testing.T, store *fakeStore) (relay, follower *member) {
 	t.Helper()
 	relay = startMember(t, store, "one")
-	waitUntil(t, func() bool { return relay.lessor.Holds() })
+	waitUntil(t, func() bool { return relay.elector.Holds() })
 	_, err := relay.source.Read(t.Context())
 	assert.NilError(t, err)
 	follower = startMember(t, store, "two")
@@ -203,17 +203,17 @@
 	relay, follower := startPair(t, store)
 	batch, err := follower.source.Read(t.Context())
 	assert.NilError(t, err)
-	before, asked := store.reads.Load(), relay.followCalls.Load()
+	before, calls := store.reads.Load(), relay.followCalls.Load()
 	done := make(chan error)
 	go func() {
 		_, err := follower.source.Watch(t.Context(), batch.Revision, 400*time.Millisecond)
 		done <- err
 	}()
-	waitUntil(t, func() bool { return relay.followCalls.Load() > asked })
+	waitUntil(t, func() bool { return relay.followCalls.Load() > calls })
 	relay.listener.reset()
 	assert.NilError(t, <-done)
 	assert.Equal(t, store.reads.Load(), before)
-	assert.Equal(t, relay.followCalls.Load(), asked+2)
+	assert.Equal(t, relay.followCalls.Load(), calls+2)
 }
 
 // TestStoreIsReadWhenRelayIsOld checks that a relay which has not reached the store for too long is
@@ -233,10 +233,10 @@
 	assert.Equal(t, follower.Upstream(), Store{})
 }
 
-// TestManyNodesLeaveStoreThatIsAway checks that while the relay does not reach the store, a node
-// checks once for all of its tables whether it can reach the store itself, and that only some nodes
-// of a large fleet retry soon.
-func TestManyNodesLeaveStoreThatIsAway(t *testing.T) {
+// TestNodesDoNotAllProbeUnavailableStore checks that while the relay does not reach the store, a
+// node checks once for all of its tables whether it can reach the store itself, and that only some
+// nodes of a large fleet retry soon.
+func TestNodesDoNotAllProbeUnavailableStore(t *testing.T) {
 	store := &fakeStore{}
 	store.write("a")
 	relay, follower := startPair(t, store)
@@ -269,8 +269,8 @@
 	assert.Assert(t, fault.IsCode(err, fault.CodeNotReady), "%v", err)
 }
 
-// TestReleasedRelayRefuses checks that a stopping relay rejects its readers at once.
-func TestReleasedRelayRefuses(t *testing.T) {
+// TestReleasedRelayRejectsReaders checks that a stopping relay rejects its readers at once.
+func TestReleasedRelayRejectsReaders(t *testing.T) {
 	store := &fakeStore{}
 	relay, follower := startPair(t, store)
 	relay.Release(t.Context())
@@ -278,7 +278,7 @@
 	_, err := follower.source.Read(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, store.reads.Load(), before+1)
-	waitUntil(t, func() bool { return follower.lessor.Holds() })
+	waitUntil(t, func() bool { return follower.elector.Holds() })
 }
 
 // TestManyRowsArePackedOnce checks that a batch of many rows reaches the followers completely, and
@@ -299,9 +299,9 @@
 	assert.Assert(t, &first[0] == &relay.mirror(testTable).pager.last.list[0].packed[0])
 }
 
-// TestReadersPaceThemselves checks that the time for which readers batch changes that are not
+// TestPaceGrowsWithNodes checks that the time for which readers batch changes that are not
 // urgent grows with the number of nodes up to a bound, and that the relay does not batch.
-func TestReadersPaceThemselves(t *testing.T) {
+func TestPaceGrowsWithNodes(t *testing.T) {
 	relay, follower := startPair(t, &fakeStore{})
 	for _, test := range []struct {
 		nodes int
