--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -23,7 +23,7 @@
 	assert.Equal(t, NewTerms(6.9, 1, 5, math.MaxInt64, Lent{}).Start, MaxDuration)
 	assert.Equal(t, NewTerms(6.9, 1, 5, -1, Lent{}).Start, time.Duration(0))
 	var runner Runner
-	runner.Hear(Status{ColdFor: math.MaxInt64}, start)
+	runner.ApplyStatus(Status{ColdFor: math.MaxInt64}, start)
 	assert.Equal(t, runner.Until(NewTerms(6.9, 1, 5, 0, Lent{}), time.Time{}), start.Add(MaxDuration))
 }
 
@@ -33,12 +33,12 @@
 func TestNewRunnerIsSupposedCold(t *testing.T) {
 	terms := NewTerms(6.9, 1.5, 5, 3*time.Second, Lent{})
 	var runner Runner
-	runner.Hear(Status{}, start)
+	runner.ApplyStatus(Status{}, start)
 	assert.Equal(t, runner.Until(terms, time.Time{}), start.Add(3*time.Second))
 	assert.Assert(t, !runner.StatedByRunner())
-	runner.Hear(Status{Conclusive: true}, start.Add(time.Second))
+	runner.ApplyStatus(Status{Conclusive: true}, start.Add(time.Second))
 	assert.Assert(t, !runner.Until(terms, time.Time{}).After(start.Add(time.Second)))
-	runner.Hear(Status{ColdFor: 2 * time.Second, Conclusive: true}, start.Add(5*time.Second))
+	runner.ApplyStatus(Status{ColdFor: 2 * time.Second, Conclusive: true}, start.Add(5*time.Second))
 	assert.Equal(t, runner.Until(terms, time.Time{}), start.Add(7*time.Second), "the runner became cold again")
 	assert.Assert(t, runner.StatedByRunner())
 	assert.Assert(t, runner.Until(Terms{}, time.Time{}).IsZero(), "the zero terms have no cold start")
@@ -49,10 +49,10 @@
 func TestReturnedZoneIsCold(t *testing.T) {
 	terms := NewTerms(6.9, 1.5, 5, 3*time.Second, Lent{})
 	var runner Runner
-	runner.Hear(Status{Conclusive: true}, start)
+	runner.ApplyStatus(Status{Conclusive: true}, start)
 	returned := start.Add(time.Second)
 	assert.Equal(t, runner.Until(terms, returned), returned.Add(3*time.Second))
-	runner.Hear(Status{Conclusive: true}, returned.Add(time.Second))
+	runner.ApplyStatus(Status{Conclusive: true}, returned.Add(time.Second))
 	assert.Assert(t, !runner.Until(terms, returned).After(returned.Add(time.Second)))
 }
 
@@ -61,10 +61,10 @@
 func TestPermitExpiresByRequestTime(t *testing.T) {
 	terms := NewTerms(6.9, 1.5, 5, 3*time.Second, Lent{})
 	var runner Runner
-	runner.Lent(2, start, 0, start.Add(Validity-time.Millisecond))
+	runner.AddPermits(2, start, 0, start.Add(Validity-time.Millisecond))
 	assert.Assert(t, runner.MaySend("r", terms, start.Add(Validity-time.Millisecond)))
 	assert.Assert(t, !runner.MaySend("r", terms, start.Add(Validity)))
-	runner.Lent(2, start, 0, start.Add(Validity))
+	runner.AddPermits(2, start, 0, start.Add(Validity))
 	assert.Equal(t, runner.Permits(start.Add(Validity)), 0)
 }
 
@@ -96,7 +96,7 @@
 	count, _ := lender.Lend("r", 1, 1, now)
 	assert.Equal(t, count, 1)
 	var runner Runner
-	runner.Lent(1, now, 0, now)
+	runner.AddPermits(1, now, 0, now)
 	terms := NewTerms(1, 1, 0, time.Minute, Lent{})
 	spent := now.Add(Validity - 1)
 	assert.Assert(t, runner.MaySend("r", terms, spent))
--- a/internal/coldstart/runner.go
+++ b/internal/coldstart/runner.go
@@ -54,8 +54,8 @@
 	Conclusive bool
 }
 
-// Hear applies the status in a row that was received at now.
-func (r *Runner) Hear(status Status, now time.Time) {
+// ApplyStatus applies the status in a row that was received at now.
+func (r *Runner) ApplyStatus(status Status, now time.Time) {
 	r.statusAt = now
 	switch {
 	case status.ColdFor > 0:
@@ -101,9 +101,9 @@
 	return until
 }
 
-// Lent adds the permits from the lease holder's answer to a request sent at sent. next is the
+// AddPermits adds the permits from the lease holder's answer to a request sent at sent. next is the
 // time from now until the holder expects to lend more.
-func (r *Runner) Lent(count int, sent time.Time, next time.Duration, now time.Time) {
+func (r *Runner) AddPermits(count int, sent time.Time, next time.Duration, now time.Time) {
 	r.nextAt = now.Add(next)
 	if until := sent.Add(Validity); count > 0 && now.Before(until) {
 		r.permits = append(r.permits, permit{count: count, until: until})
--- a/internal/coldstart/simulation_test.go
+++ b/internal/coldstart/simulation_test.go
@@ -65,11 +65,11 @@
 	left := m.coldUntil.Sub(m.now)
 	switch {
 	case stated && left > 0:
-		m.nodes[node].Hear(Status{ColdFor: left, Conclusive: true}, m.now)
+		m.nodes[node].ApplyStatus(Status{ColdFor: left, Conclusive: true}, m.now)
 	case stated:
-		m.nodes[node].Hear(Status{Conclusive: true}, m.now)
+		m.nodes[node].ApplyStatus(Status{Conclusive: true}, m.now)
 	case !m.informed[node]:
-		m.nodes[node].Hear(Status{}, m.now)
+		m.nodes[node].ApplyStatus(Status{}, m.now)
 	}
 	m.informed[node] = true
 }
@@ -88,7 +88,7 @@
 func (m *simulation) deliverAnswer(index int) {
 	a := m.answers[index]
 	m.answers = append(m.answers[:index], m.answers[index+1:]...)
-	m.nodes[a.node].Lent(a.count, a.sent, a.next, m.now)
+	m.nodes[a.node].AddPermits(a.count, a.sent, a.next, m.now)
 }
 
 // send lets a node send as many requests as it may, up to count.
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -65,8 +65,8 @@
 type Options struct {
 	Service string
 	Node    string
-	// Lessor competes for the service's control lease.
-	Lessor  *lease.Elector
+	// Elector competes for the service's control lease.
+	Elector *lease.Elector
 	Runners backend.Control
 	Fleet   *fleet.Fleet
 	// Rules are the operators' decisions about runners and zones, as they apply to work that
@@ -74,8 +74,8 @@
 	Rules eligible.Rules
 	// Statements holds what runners stated about themselves in answers; it may be nil.
 	Statements *statement.Registry
-	// Stated exchanges what runners stated in answers with other nodes; it may be nil.
-	Stated Stated
+	// StatementExchange exchanges what runners stated in answers with other nodes; it may be nil.
+	StatementExchange StatementExchange
 	// NeedList is called with whether this node needs the platform's whole runner list, which
 	// planning requires. It is nil where the node has the whole list anyway.
 	NeedList func(needed bool)
@@ -102,10 +102,10 @@
 	Log            logr.Logger
 }
 
-// Stated gives access to what runners stated in answers and this node knows: that they are
+// StatementExchange gives access to what runners stated in answers and this node knows: that they are
 // leaving, until the platform's list says so, and their limits. Nodes exchange these
 // statements by way of the holder.
-type Stated interface {
+type StatementExchange interface {
 	// Own returns what this node itself read from answers; All also includes what other nodes
 	// passed on.
 	Own() ([]wire.RunnerLeaving, []wire.RunnerLimit)
@@ -285,7 +285,7 @@
 		}
 	}
 	c.updateStoreLoads(now)
-	if !c.Lessor.Acting() {
+	if !c.Elector.Acting() {
 		c.announceYield()
 		return false
 	}
@@ -322,8 +322,8 @@
 // adoptToken starts new ledgers when the lease was newly acquired and abandons them when it
 // is lost. It reports whether this process holds the lease. The caller holds mutex.
 func (c *Controller) adoptToken(engine *config.Engine) bool {
-	record, _ := c.Lessor.Holder()
-	if !c.Lessor.Holds() {
+	record, _ := c.Elector.Holder()
+	if !c.Elector.Holds() {
 		if c.token != 0 {
 			c.knownStore = c.store.Estimate()
 			c.knownLoadCrashes = c.loadCrashes.Known()
--- a/internal/control/describe.go
+++ b/internal/control/describe.go
@@ -18,13 +18,13 @@
 // describe converts a runner's ledger to the scheduler's representation.
 func describe(id string, ledger *orders.Ledger, engine *config.Engine, running runnerLoad, now time.Time) *scheduler.Runner {
 	runner := &scheduler.Runner{
-		ID: id, Zone: ledger.Runner.Zone, Region: place.Region(ledger.Runner.Region), Models: make(map[string]*scheduler.Held), Free: ledger.FreeMemory(engine),
+		ID: id, Zone: ledger.Runner.Zone, Region: place.Region(ledger.Runner.Region), Models: make(map[string]*scheduler.ModelState), Free: ledger.FreeMemory(engine),
 		AdapterSlots: ledger.FreeAdapterSlots(engine), Idle: ledger.Idle(now),
 		Ready:  ledger.MayOrder(backend.Unit{Model: "any", Adapter: "any"}, now),
 		Silent: ledger.Silent(), Host: setOf(ledger.Copies().Host), Disk: setOf(ledger.Copies().Disk),
 	}
 	for name, model := range ledger.Models() {
-		held := &scheduler.Held{
+		held := &scheduler.ModelState{
 			Loading: model.Loading, Unloading: model.Unloading, Active: running.models[name], Adapters: make(map[string]*scheduler.Adapter),
 		}
 		for adapter, state := range model.Adapters {
@@ -37,10 +37,10 @@
 	}
 	runner.BusyFor = ledger.BusyFor(func(model string) bool { return running.models[model] > 0 }, now)
 	for _, name := range ledger.Uncertain() {
-		runner.Models[name] = &scheduler.Held{Loading: true, Uncertain: true}
+		runner.Models[name] = &scheduler.ModelState{Loading: true, Uncertain: true}
 	}
 	if name := ledger.Sending(); name != "" && runner.Models[name] == nil {
-		runner.Models[name] = &scheduler.Held{Loading: true}
+		runner.Models[name] = &scheduler.ModelState{Loading: true}
 	}
 	return runner
 }
--- a/internal/control/eligible.go
+++ b/internal/control/eligible.go
@@ -33,7 +33,7 @@
 // out is asked only where replicas are limited, since a runner that does not report may
 // hold any model.
 func (c *Controller) mayReport(ledger *orders.Ledger, engine *config.Engine) bool {
-	question := eligible.Question{Request: eligible.Request{Service: c.Service}}
+	question := eligible.LoadQuery{Request: eligible.Request{Service: c.Service}}
 	switch c.eligible(ledger, question) {
 	case eligible.Draining:
 		return false
--- a/internal/control/lend.go
+++ b/internal/control/lend.go
@@ -21,7 +21,7 @@
 		return nil
 	}
 	terms := c.Terms(c.Service)
-	if token, acts := c.Lessor.Act(); !acts || token != c.token {
+	if token, acts := c.Elector.Act(); !acts || token != c.token {
 		return nil
 	}
 	lent := make([]wire.PermitsLent, 0, min(len(request.Permits), maxPermitRunners))
--- a/internal/control/lend_test.go
+++ b/internal/control/lend_test.go
@@ -45,7 +45,7 @@
 	options := lease.Options{Validity: time.Minute, Interval: 10 * time.Millisecond, TurnGap: time.Millisecond, CallTimeout: time.Second}
 	c := NewController(Options{
 		Service: "s", Fleet: known, Log: logr.Discard(), Terms: func(string) coldstart.Terms { return terms },
-		Lessor: lease.New(&freeLease{}, "lease", "n", "10.0.0.1:1", "p", options, logr.Discard()),
+		Elector: lease.New(&freeLease{}, "lease", "n", "10.0.0.1:1", "p", options, logr.Discard()),
 	})
 	c.lender = coldstart.NewLender(time.Now().Add(-coldstart.LendingPeriod))
 	return c
@@ -57,7 +57,7 @@
 	ctx, end := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
-		c.Lessor.Run(ctx)
+		c.Elector.Run(ctx)
 		close(done)
 	}()
 	t.Cleanup(func() {
@@ -65,7 +65,7 @@
 		<-done
 	})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if c.Lessor.Acting() {
+		if c.Elector.Acting() {
 			return poll.Success()
 		}
 		return poll.Continue("the lease is not held")
@@ -75,7 +75,7 @@
 // adoptLease makes the controller's ledgers belong to the lease that its node holds.
 func adoptLease(t *testing.T, c *Controller) {
 	t.Helper()
-	token, acts := c.Lessor.Act()
+	token, acts := c.Elector.Act()
 	assert.Assert(t, acts)
 	c.token = token
 }
--- a/internal/control/ordering.go
+++ b/internal/control/ordering.go
@@ -45,7 +45,7 @@
 		c.Wake()
 		return backend.Order{}, false
 	}
-	token, ok := c.Lessor.Act()
+	token, ok := c.Elector.Act()
 	if !ok || token != c.token || !ledger.MayOrder(step.Unit, time.Now()) {
 		return backend.Order{}, false
 	}
--- a/internal/control/planned.go
+++ b/internal/control/planned.go
@@ -34,7 +34,7 @@
 // announceYield tells waiting nodes at once that this holder no longer acts. The caller
 // holds mutex.
 func (c *Controller) announceYield() {
-	leaseStatus, ok := c.Lessor.Status()
+	leaseStatus, ok := c.Elector.Status()
 	if !ok || !leaseStatus.Yielded || c.announcedYield == leaseStatus.Token {
 		return
 	}
--- a/internal/control/sync.go
+++ b/internal/control/sync.go
@@ -38,8 +38,8 @@
 	if request.Poison != nil && c.CountCrashes != nil {
 		c.CountCrashes(*request.Poison)
 	}
-	if c.Stated != nil {
-		c.Stated.Learn(request.Node, request.Leaving, request.Limited)
+	if c.StatementExchange != nil {
+		c.StatementExchange.Learn(request.Node, request.Leaving, request.Limited)
 	}
 	c.waitForChange(ctx, request)
 	c.mutex.Lock()
@@ -49,8 +49,8 @@
 	}
 	response := c.buildResponse(request)
 	response.Permits = c.lend(request, time.Now())
-	if c.Stated != nil {
-		response.Leaving, response.Limited = c.Stated.All()
+	if c.StatementExchange != nil {
+		response.Leaving, response.Limited = c.StatementExchange.All()
 	}
 	if request.Limits != nil && response.Valid && c.Divide != nil {
 		response.Limits = c.Divide(limit.Report{
@@ -79,10 +79,10 @@
 func (c *Controller) buildResponse(request wire.SyncRequest) wire.SyncResponse {
 	now := time.Now()
 	nodes := c.demand.summary(c.Node, now)
-	response := wire.SyncResponse{Token: c.token, Version: c.version, Nodes: nodes.count, Valid: c.Lessor.Valid(),
+	response := wire.SyncResponse{Token: c.token, Version: c.version, Nodes: nodes.count, Valid: c.Elector.Valid(),
 		BestSpare: nodes.bestSpare, StoreLimit: c.store.Estimate().Limit, StoreCapacity: c.store.Estimate().Capacity}
-	response.ActsInMs = c.Lessor.ActsIn().Milliseconds()
-	if leaseStatus, ok := c.Lessor.Status(); ok && leaseStatus.Token == c.token {
+	response.ActsInMs = c.Elector.ActsIn().Milliseconds()
+	if leaseStatus, ok := c.Elector.Status(); ok && leaseStatus.Token == c.token {
 		response.LeaseRenewal, response.LeaseYielded, response.LeaseQuietMs = leaseStatus.Renewal, leaseStatus.Yielded, leaseStatus.Quiet.Milliseconds()
 	}
 	for want, at := range c.planned {
--- a/internal/control/syncer.go
+++ b/internal/control/syncer.go
@@ -48,7 +48,7 @@
 	fleet      *fleet.Fleet
 	limits     Limits
 	crashes    Crashes
-	stated     Stated
+	stated     StatementExchange
 	observe    Observe
 	log        logr.Logger
 	// waitBegan is signalled when a request begins to wait, so that a pausing watch continues.
@@ -103,7 +103,7 @@
 
 // NewSyncer returns a Syncer for a service.
 func NewSyncer(service string, self wire.Member, spare float64, elector *lease.Elector, controller *Controller, client *peer.Client, tracker *demand.Tracker,
-	known *fleet.Fleet, limits Limits, crashes Crashes, stated Stated, observe Observe, log logr.Logger) *Syncer {
+	known *fleet.Fleet, limits Limits, crashes Crashes, stated StatementExchange, observe Observe, log logr.Logger) *Syncer {
 	return &Syncer{
 		service: service, self: self, spare: spare, elector: elector, controller: controller, client: client, tracker: tracker, fleet: known,
 		limits: limits, crashes: crashes, stated: stated, observe: observe, log: log.WithValues("service", service), waitBegan: make(chan struct{}, 1),
@@ -330,9 +330,9 @@
 // holderFreshness is how long an answer counts as proof that the holder is alive.
 const holderFreshness = time.Second
 
-// Heard reports whether the holder named by the newest known record recently answered with
+// HolderAnswered reports whether the holder named by the newest known record recently answered with
 // its lease valid.
-func (s *Syncer) Heard() bool {
+func (s *Syncer) HolderAnswered() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return !s.holderLost && time.Since(s.lastValidAnswer) < holderFreshness
--- a/internal/control/tick_bench_test.go
+++ b/internal/control/tick_bench_test.go
@@ -48,7 +48,7 @@
 	known.Replace(list, false)
 	c := NewController(Options{
 		Service: "s", Rules: zoneOut(""), Fleet: known, Log: logr.Discard(), Policies: noPolicies{}, Sleeper: noSleep{},
-		Lessor:        lease.New(nil, "key", "node", "address", "process", lease.Options{}, logr.Discard()),
+		Elector:       lease.New(nil, "key", "node", "address", "process", lease.Options{}, logr.Discard()),
 		Configuration: func() *config.Configuration { return nil },
 	})
 	c.token, c.version, c.ledgers, c.store = 1, 1, make(map[string]*orders.Ledger), weightstore.New(weightstore.Estimate{})
--- a/internal/dispatch/answer.go
+++ b/internal/dispatch/answer.go
@@ -108,7 +108,7 @@
 	if buffered.header.Get("Content-Encoding") != "" {
 		return false
 	}
-	return buffered.status >= http.StatusMultipleChoices || buffered.header.Get(j.dispatcher.Names.Signature) != ""
+	return buffered.status >= http.StatusMultipleChoices || buffered.header.Get(j.dispatcher.Headers.Signature) != ""
 }
 
 // copyHeader copies a runner's headers to the client's answer, except those of a single connection.
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -318,7 +318,7 @@
 // is sent: connecting may take seconds, in which the runner may have announced that it leaves.
 func (j *job) call(choice fleet.Choice, query fleet.Query, after string) upstream.Call {
 	header := j.request.Header.Clone()
-	names := j.dispatcher.Names
+	names := j.dispatcher.Headers
 	header.Set(names.RequestID, j.request.ID)
 	header.Set(names.ExpectRunner, choice.Runner.Name())
 	header.Set(names.Deadline, strconv.FormatInt(max(j.clientTimeLeft().Milliseconds(), 1), 10))
@@ -360,7 +360,7 @@
 
 // recordLoad records the workload that a runner's answer reports, if any.
 func (j *job) recordLoad(runner string, header http.Header) {
-	if load, ok := backend.ParseWorkload(header.Get(j.dispatcher.Names.Load)); ok {
+	if load, ok := backend.ParseWorkload(header.Get(j.dispatcher.Headers.Load)); ok {
 		j.dispatcher.Fleet.ObserveWorkload(runner, load)
 	}
 }
--- a/internal/dispatch/caller.go
+++ b/internal/dispatch/caller.go
@@ -89,7 +89,7 @@
 	}
 	limit := j.tenant.Limit
 	if limit.Limited() && limit.Unit == tenant.Tokens && j.request.Counts == CountsUnreadable {
-		return fault.New(fault.CodeInvalid, stepLimit, "header %s: not two counts of tokens", j.dispatcher.Names.Tokens)
+		return fault.New(fault.CodeInvalid, stepLimit, "header %s: not two counts of tokens", j.dispatcher.Headers.Tokens)
 	}
 	cost := limit.Cost(j.request.TokensIn+j.request.TokensOut, j.request.Counts == CountsGiven)
 	j.outcome.Cost = cost
@@ -165,8 +165,8 @@
 	if !j.keysRequired {
 		return
 	}
-	header.Del(j.dispatcher.Names.Key)
+	header.Del(j.dispatcher.Headers.Key)
 	if j.tenant != nil {
-		header.Set(j.dispatcher.Names.Tenant, string(j.tenant.Name))
+		header.Set(j.dispatcher.Headers.Tenant, string(j.tenant.Name))
 	}
 }
--- a/internal/dispatch/caller_test.go
+++ b/internal/dispatch/caller_test.go
@@ -23,7 +23,7 @@
 	})
 	assert.NilError(t, err)
 	j := &job{
-		dispatcher: &Dispatcher{Names: upstream.Names{Tenant: "X-Tenant", Key: "Authorization"}},
+		dispatcher: &Dispatcher{Headers: upstream.HeaderNames{Tenant: "X-Tenant", Key: "Authorization"}},
 		request:    &Request{Key: key}, route: &config.Route{Public: public, Priority: 2},
 	}
 	return j, j.identify(&config.Configuration{Tenants: directory})
@@ -61,7 +61,7 @@
 // TestOpenConfigurationKeepsHeaders checks that without tenants no key is needed, and that a
 // client's own headers are forwarded.
 func TestOpenConfigurationKeepsHeaders(t *testing.T) {
-	j := &job{dispatcher: &Dispatcher{Names: upstream.Names{Key: "Authorization"}}, request: &Request{}, route: &config.Route{}}
+	j := &job{dispatcher: &Dispatcher{Headers: upstream.HeaderNames{Key: "Authorization"}}, request: &Request{}, route: &config.Route{}}
 	assert.Assert(t, j.identify(&config.Configuration{}) == nil)
 	header := http.Header{"Authorization": {"Basic x"}}
 	j.setTenantHeader(header)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -30,11 +30,11 @@
 // Dispatcher serves requests. Its methods may be called concurrently.
 type Dispatcher struct {
 	// Node names this node in errors.
-	Node   string
-	Fleet  *fleet.Fleet
-	Pool   *upstream.Pool
-	Demand *demand.Tracker
-	Names  upstream.Names
+	Node    string
+	Fleet   *fleet.Fleet
+	Pool    *upstream.Pool
+	Demand  *demand.Tracker
+	Headers upstream.HeaderNames
 	// Configuration returns the configuration in force, or nil when none is known yet.
 	Configuration func() *config.Configuration
 	// ConfigurationOrigin returns the age and the source of the configuration; nil where that is
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -45,9 +45,9 @@
 	}
 	runnerFleet := fleet.New("zone", time.Now, noRules{})
 	runnerFleet.Replace(runners, false)
-	names := upstream.Names{RequestID: "X-Id", Deadline: "X-Deadline", ExpectRunner: "X-Runner", Signature: "X-Signature", NotRun: "X-Not-Run"}
+	names := upstream.HeaderNames{RequestID: "X-Id", Deadline: "X-Deadline", ExpectRunner: "X-Runner", Signature: "X-Signature", NotRun: "X-Not-Run"}
 	j := waitingFor(runnerFleet, 10*time.Second)
-	j.dispatcher.Pool, j.dispatcher.Names = upstream.NewPool(names), names
+	j.dispatcher.Pool, j.dispatcher.Headers = upstream.NewPool(names), names
 	j.dispatcher.Retries = retry.Limits{Ratio: 1, Slack: 100, Window: time.Second}
 	written := httptest.NewRecorder()
 	j.writer = written
--- a/internal/dispatch/retry_test.go
+++ b/internal/dispatch/retry_test.go
@@ -48,10 +48,10 @@
 			defer runner.Close()
 			runnerFleet := fleet.New("zone", time.Now, noRules{})
 			runnerFleet.Replace([]backend.Runner{{ID: "r1", Service: "s", Slots: 1, Address: strings.TrimPrefix(runner.URL, "http://"), Models: []backend.Holding{{Model: "alpha"}}}}, false)
-			names := upstream.Names{RequestID: "X-Id", Deadline: "X-Deadline", ExpectRunner: "X-Runner", Signature: "X-Signature", NotRun: "X-Not-Run", Urgency: "X-Urgency"}
+			names := upstream.HeaderNames{RequestID: "X-Id", Deadline: "X-Deadline", ExpectRunner: "X-Runner", Signature: "X-Signature", NotRun: "X-Not-Run", Urgency: "X-Urgency"}
 			written := httptest.NewRecorder()
 			j := waitingFor(runnerFleet, 10*time.Second)
-			j.dispatcher.Pool, j.dispatcher.Names = upstream.NewPool(names), names
+			j.dispatcher.Pool, j.dispatcher.Headers = upstream.NewPool(names), names
 			j.dispatcher.Retries = retry.Limits{Ratio: 1, Slack: 100, Window: time.Second}
 			j.writer = written
 			j.route = &config.Route{Kind: config.Unsafe, Attempts: 2, Objective: 3 * time.Second}
--- a/internal/eligible/eligible.go
+++ b/internal/eligible/eligible.go
@@ -73,8 +73,8 @@
 	Homes   place.Homes
 }
 
-// Question is a load query: it asks a runner for its load before a request is sent there.
-type Question struct{ Request }
+// LoadQuery is a load query: it asks a runner for its load before a request is sent there.
+type LoadQuery struct{ Request }
 
 // Load is a load of a model or an adapter, for current or expected requests.
 type Load struct {
@@ -87,10 +87,10 @@
 // sent.
 type Unload struct{ Service string }
 
-func (Request) purpose()  {}
-func (Question) purpose() {}
-func (Load) purpose()     {}
-func (Unload) purpose()   {}
+func (Request) purpose()   {}
+func (LoadQuery) purpose() {}
+func (Load) purpose()      {}
+func (Unload) purpose()    {}
 
 // Rules provides the decisions of operators about runners and zones.
 type Rules interface {
@@ -106,7 +106,7 @@
 	switch p := purpose.(type) {
 	case Request:
 		return checkRequest(rules, runner, p)
-	case Question:
+	case LoadQuery:
 		// A load query adds no work for a cold or resting runner.
 		asked := *runner
 		asked.Permit, asked.Resting = true, false
--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -179,8 +179,8 @@
 // Read reports whether the zones have ever been read in full.
 func (t *Table) Read() bool { return t != nil }
 
-// Quiet reports whether the zones have been read in full and none was ever out.
-func (t *Table) Quiet() bool { return t != nil && len(t.zones) == 0 }
+// NeverOut reports whether the zones have been read in full and none was ever out.
+func (t *Table) NeverOut() bool { return t != nil && len(t.zones) == 0 }
 
 // State returns the state of a zone; Out if the zones have not been read in full.
 func (t *Table) State(zone place.Zone, now time.Time) State {
@@ -223,10 +223,10 @@
 	Zone     place.Zone
 	State    State
 	Revision uint64
-	// HeardAt is when this node learned that the zone is out, LeftAt when it becomes Out,
+	// LearnedAt is when this node learned that the zone is out, LeftAt when it becomes Out,
 	// and ReturnedAt when this node learned that it was taken back. They are zero if that
 	// did not happen.
-	HeardAt    time.Time
+	LearnedAt  time.Time
 	LeftAt     time.Time
 	ReturnedAt time.Time
 }
@@ -239,7 +239,7 @@
 	statuses := make([]Status, 0, len(t.zones))
 	for zone, known := range t.zones {
 		statuses = append(statuses, Status{
-			Zone: zone, State: known.state(now), Revision: known.revision, HeardAt: known.learnedAt, LeftAt: known.leftAt, ReturnedAt: known.returnedAt,
+			Zone: zone, State: known.state(now), Revision: known.revision, LearnedAt: known.learnedAt, LeftAt: known.leftAt, ReturnedAt: known.returnedAt,
 		})
 	}
 	slices.SortFunc(statuses, func(a, b Status) int { return cmp.Compare(a.Zone, b.Zone) })
--- a/internal/fault/http.go
+++ b/internal/fault/http.go
@@ -99,10 +99,10 @@
 	}
 }
 
-// Transport returns the error of an HTTP exchange that failed without a response, with
+// FromTransport returns the error of an HTTP exchange that failed without a response, with
 // CodeStoreUnavailable. The outcome is NotDone if no connection was established, and Unknown
 // otherwise, because the request may have had an effect.
-func Transport(err error, step, peer string) *Error {
+func FromTransport(err error, step, peer string) *Error {
 	ran := Unknown
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
--- a/internal/fleet/cold.go
+++ b/internal/fleet/cold.go
@@ -72,7 +72,7 @@
 	}
 	_, relisted := f.departedAt[row.ID]
 	delete(f.departedAt, row.ID)
-	known.cold.Hear(coldstart.Status{ColdFor: row.ColdFor, Conclusive: !isNew || relisted || !f.listRead || len(f.retention.skipped) > 0}, f.now())
+	known.cold.ApplyStatus(coldstart.Status{ColdFor: row.ColdFor, Conclusive: !isNew || relisted || !f.listRead || len(f.retention.skipped) > 0}, f.now())
 }
 
 // departureLifetime is how long a departed runner is remembered, so as not to count as new:
--- a/internal/fleet/permits.go
+++ b/internal/fleet/permits.go
@@ -227,7 +227,7 @@
 		if known == nil {
 			continue
 		}
-		known.cold.Lent(permits.Count, sent, permits.Next, f.now())
+		known.cold.AddPermits(permits.Count, sent, permits.Next, f.now())
 		f.coldFigures.Lent += uint64(max(permits.Count, 0))
 		wake = wake || permits.Count > 0 || permits.Next > 0
 	}
--- a/internal/fleet/retention.go
+++ b/internal/fleet/retention.go
@@ -140,10 +140,10 @@
 	f.retention = retention{bound: bound, zone: f.zone, seed: hashID(node), skipped: make(map[string]bool), tracked: make(map[boundGroup]int)}
 }
 
-// KeepAll sets whether the fleet tracks all runners that are listed from now on, or only as
+// SetTrackAll sets whether the fleet tracks all runners that are listed from now on, or only as
 // many as its bound allows. Runners that were skipped have to be listed again; see Complete.
 // It reports whether the setting changed.
-func (f *Fleet) KeepAll(all bool) bool {
+func (f *Fleet) SetTrackAll(all bool) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.retention.all == all {
@@ -157,8 +157,8 @@
 	return true
 }
 
-// KeepsAll reports whether the fleet tracks all runners that are listed.
-func (f *Fleet) KeepsAll() bool {
+// TracksAll reports whether the fleet tracks all runners that are listed.
+func (f *Fleet) TracksAll() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.retention.all
--- a/internal/fleet/retention_test.go
+++ b/internal/fleet/retention_test.go
@@ -116,7 +116,7 @@
 	f := boundedFleet("node")
 	f.Replace(largeList(size), false)
 	assert.Assert(t, !f.Complete())
-	f.KeepAll(true)
+	f.SetTrackAll(true)
 	assert.Assert(t, !f.Complete())
 	f.Replace(largeList(size), false)
 	assert.Assert(t, f.Complete())
@@ -124,7 +124,7 @@
 	query := Query{Service: "s", Unit: backend.Unit{Model: "busy-3"}}
 	choice, ok := f.Choose(query)
 	assert.Assert(t, ok)
-	f.KeepAll(false)
+	f.SetTrackAll(false)
 	assert.Assert(t, f.Count() < size/2 && !f.Complete(), "%d runners are kept", f.Count())
 	assert.Assert(t, f.Known(choice.Runner.ID))
 	f.Done(choice, query, Served, time.Millisecond, false)
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -45,7 +45,7 @@
 		if !known.belongsTo(query.Service, query.Homes) {
 			continue
 		}
-		switch reason := f.eligibility(known, eligible.Question{Request: request(query)}); reason {
+		switch reason := f.eligibility(known, eligible.LoadQuery{Request: request(query)}); reason {
 		case eligible.Yes:
 			return eligible.Yes
 		case eligible.ZoneOut:
@@ -88,5 +88,5 @@
 
 // mayAsk reports whether a runner of a service may be asked for its load. mutex must be held.
 func (f *Fleet) mayAsk(known *runner, service string, homes place.Homes) bool {
-	return f.eligibility(known, eligible.Question{Request: eligible.Request{Service: service, Homes: homes}}) == eligible.Yes
+	return f.eligibility(known, eligible.LoadQuery{Request: eligible.Request{Service: service, Homes: homes}}) == eligible.Yes
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -47,7 +47,7 @@
 // Options are the dependencies of a Server.
 type Options struct {
 	Node          string
-	Headers       upstream.Names
+	Headers       upstream.HeaderNames
 	Dispatcher    *dispatch.Dispatcher
 	Configuration func() *config.Configuration
 	Claims        Claims
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -29,7 +29,7 @@
 
 // Server serves client requests.
 type Server struct {
-	headers       upstream.Names
+	headers       upstream.HeaderNames
 	dispatcher    *dispatch.Dispatcher
 	configuration func() *config.Configuration
 	log           logr.Logger
@@ -40,7 +40,7 @@
 }
 
 // New returns a server that is not serving yet.
-func New(headers upstream.Names, dispatcher *dispatch.Dispatcher, log logr.Logger) *Server {
+func New(headers upstream.HeaderNames, dispatcher *dispatch.Dispatcher, log logr.Logger) *Server {
 	s := &Server{headers: headers, dispatcher: dispatcher, configuration: dispatcher.Configuration, log: log}
 	s.http = httpserver.New(&http.Server{
 		Handler: s, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout,
--- a/internal/ingress/parse.go
+++ b/internal/ingress/parse.go
@@ -22,7 +22,7 @@
 )
 
 // parseHeaders reads the headers that describe a request to the dispatcher.
-func parseHeaders(header http.Header, names upstream.Names, request *dispatch.Request) error {
+func parseHeaders(header http.Header, names upstream.HeaderNames, request *dispatch.Request) error {
 	if text := header.Get(names.Deadline); text != "" {
 		milliseconds, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || milliseconds < 0 || milliseconds > maximumDeadline.Milliseconds() {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -62,9 +62,9 @@
 	// TakeoverDelay is how much longer than others this node waits before it takes a free
 	// lease, so that nodes with more spare capacity take it first. Nil means no delay.
 	TakeoverDelay func() time.Duration
-	// Heard reports whether this node recently received an answer from the holder by other
+	// HolderAnswered reports whether this node recently received an answer from the holder by other
 	// means, in which case the row need not be read. If nil, the row is always read.
-	Heard func() bool
+	HolderAnswered func() bool
 	// ReadStoreOnce makes this process read the row from the store once, whatever Heard and
 	// ReadFromPeer say: its node may have held the lease when the previous process ended, and
 	// then continues at once.
--- a/internal/lease/run.go
+++ b/internal/lease/run.go
@@ -126,7 +126,7 @@
 	if l.options.ReadStoreOnce && !l.readStore {
 		return false
 	}
-	return l.options.Heard != nil && l.options.Heard() || l.readFromPeer(ctx)
+	return l.options.HolderAnswered != nil && l.options.HolderAnswered() || l.readFromPeer(ctx)
 }
 
 // readFromPeer reads the row from another node. It reports whether the store need not be
--- a/internal/limit/divider.go
+++ b/internal/limit/divider.go
@@ -125,8 +125,8 @@
 	return Grant{Version: d.record.Version, Shares: d.record.shares(report.Node, report.Region), Reserve: d.record.Reserve.at(report.Node).Assigned, FillInitially: fill}
 }
 
-// Asked returns the demand for a tenant's limit at all nodes, in the limit's unit per second.
-func (d *Divider) Asked(name tenant.Name, now time.Time) float64 {
+// DemandRate returns the demand for a tenant's limit at all nodes, in the limit's unit per second.
+func (d *Divider) DemandRate(name tenant.Name, now time.Time) float64 {
 	sum := 0.0
 	for _, m := range d.nodes {
 		if used := m.used[name]; used != nil {
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -59,9 +59,9 @@
 	// runnerConnectTimeout leaves time to try another runner within the shortest latency
 	// objectives.
 	runnerConnectTimeout = 350 * time.Millisecond
-	// RunnerSending is how long the bytes of a request may stay unacknowledged: four to five
+	// RunnerAckTimeout is how long the bytes of a request may stay unacknowledged: four to five
 	// retransmissions on Linux, the first of which is sent after 200 ms.
-	RunnerSending = 1200 * time.Millisecond
+	RunnerAckTimeout = 1200 * time.Millisecond
 	// connectTimeout allows for one lost packet during a connection attempt, which Linux
 	// retransmits after a second.
 	connectTimeout = 2 * time.Second
@@ -91,7 +91,7 @@
 func (k Kind) Bounds() Bounds {
 	switch k {
 	case Runner:
-		return Bounds{ConnectTimeout: runnerConnectTimeout, AckTimeout: RunnerSending, ProbeIdle: probeIdle, ProbeInterval: probeInterval}
+		return Bounds{ConnectTimeout: runnerConnectTimeout, AckTimeout: RunnerAckTimeout, ProbeIdle: probeIdle, ProbeInterval: probeInterval}
 	case Client:
 		return Bounds{AckTimeout: clientAckTimeout, ProbeIdle: clientProbeIdle, ProbeInterval: clientProbeInterval}
 	case Store:
@@ -160,7 +160,7 @@
 func RelaxAckTimeout(conn net.Conn) { setAckTimeout(conn, ackTimeout) }
 
 // RestoreAckTimeout undoes RelaxAckTimeout.
-func RestoreAckTimeout(conn net.Conn) { setAckTimeout(conn, RunnerSending) }
+func RestoreAckTimeout(conn net.Conn) { setAckTimeout(conn, RunnerAckTimeout) }
 
 func setAckTimeout(conn net.Conn, limit time.Duration) {
 	control, ok := conn.(syscall.Conn)
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -70,7 +70,7 @@
 	RelaxAckTimeout(conn)
 	assert.Equal(t, option(t, conn, syscall.IPPROTO_TCP, tcpUserTimeout), int(ackTimeout.Milliseconds()))
 	RestoreAckTimeout(conn)
-	assert.Equal(t, option(t, conn, syscall.IPPROTO_TCP, tcpUserTimeout), int(RunnerSending.Milliseconds()))
+	assert.Equal(t, option(t, conn, syscall.IPPROTO_TCP, tcpUserTimeout), int(RunnerAckTimeout.Milliseconds()))
 	assert.NilError(t, conn.Close())
 	RelaxAckTimeout(conn)
 	near, far := net.Pipe()
--- a/internal/link/record.go
+++ b/internal/link/record.go
@@ -57,8 +57,8 @@
 	dialed  [kinds]atomic.Uint64
 }
 
-// Log sets the logger for silent connections.
-func (r *Record) Log(log logr.Logger) { r.log.Store(&log) }
+// SetLogger sets the logger for silent connections.
+func (r *Record) SetLogger(log logr.Logger) { r.log.Store(&log) }
 
 // Dialed counts a new connection.
 func (r *Record) Dialed(kind Kind) {
--- a/internal/node/crashes.go
+++ b/internal/node/crashes.go
@@ -52,7 +52,7 @@
 // runners.
 func newQuarantine(n *Node) *quarantine.Quarantine {
 	q := quarantine.New(quarantine.Options{
-		Rows: n.platform.Poison, Wake: n.fleet.Wake, ReportNow: n.demand.RequestReport, Decide: n.recordDecision, Log: n.log.Logger,
+		Rows: n.platform.Poison, Wake: n.fleet.Wake, ReportNow: n.demand.RequestReport, RecordDecision: n.recordDecision, Log: n.log.Logger,
 		Self: func() string { return n.settings.Load().Listen.PeerAddress() },
 		SendReport: func(ctx context.Context, address string, report wire.PoisonReport) error {
 			return n.client.Call(ctx, address, wire.MethodPoison, report, &wire.Empty{})
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -259,7 +259,7 @@
 func (n *Node) listPace() time.Duration { return batchInterval(n.fleet, n.relay.Pace) }
 
 func batchInterval(runners *fleet.Fleet, pace func() time.Duration) time.Duration {
-	if runners.KeepsAll() {
+	if runners.TracksAll() {
 		return 0
 	}
 	return pace()
@@ -267,7 +267,7 @@
 
 // requireFullList makes this node keep all runners while it controls a service.
 func (n *Node) requireFullList(needed bool) {
-	if n.fleet.KeepAll(needed || n.holdsAny()) && needed {
+	if n.fleet.SetTrackAll(needed || n.holdsAny()) && needed {
 		n.log.Info("all runners needed", "kept", n.fleet.Count())
 		n.followers.runners.Reread()
 	}
--- a/internal/node/follow_test.go
+++ b/internal/node/follow_test.go
@@ -17,8 +17,8 @@
 	runners.SetBound("node", fleet.DefaultBound)
 	interval := func() time.Duration { return batchInterval(runners, func() time.Duration { return pace }) }
 	assert.Equal(t, interval(), pace)
-	runners.KeepAll(true)
+	runners.SetTrackAll(true)
 	assert.Equal(t, interval(), time.Duration(0))
-	runners.KeepAll(false)
+	runners.SetTrackAll(false)
 	assert.Equal(t, interval(), pace)
 }
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -7,5 +7,5 @@
 	if n.platform.Links == nil {
 		n.platform.Links = &link.Record{}
 	}
-	n.platform.Links.Log(n.log.Logger)
+	n.platform.Links.SetLogger(n.log.Logger)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -53,7 +53,7 @@
 
 // Platform is what a platform adapter provides.
 type Platform struct {
-	Headers upstream.Names
+	Headers upstream.HeaderNames
 	// Configuration is the table whose row ConfigurationKey holds the platform's part of the
 	// configuration. DecodeConfiguration also returns the name of an unknown field.
 	Configuration       feed.Source
@@ -165,7 +165,7 @@
 	meter := traffic.NewMeter(place.Region(s.Region), n.metrics.CountRegion)
 	n.pool.Wrap = func(runner string, conn net.Conn) net.Conn { return meter.Connection(conn, n.fleet.RegionOf(runner)) }
 	n.dispatcher = &dispatch.Dispatcher{
-		Node: s.Node, Fleet: n.fleet, Pool: n.pool, Demand: n.demand, Names: platform.Headers,
+		Node: s.Node, Fleet: n.fleet, Pool: n.pool, Demand: n.demand, Headers: platform.Headers,
 		Configuration: n.activeConfiguration, ConfigurationOrigin: n.configurationOrigin, AwaitFresh: n.awaitFresh, AwaitPendingReads: n.pauses.awaitPendingReads, Retries: retryLimits(s.Retries), Report: platform.Control.Report, MaxPropagationDelay: s.Configuration.Within, Log: log.Logger, Observe: n.observe, Closing: n.closing,
 	}
 	n.crashes = crash.NewDetector(crash.Prober{Report: platform.Control.Report, Connect: n.pool.Connect, Leaves: n.isLeaving}, n.recordCrash, log.Logger)
--- a/internal/node/statements.go
+++ b/internal/node/statements.go
@@ -69,7 +69,7 @@
 
 // Own returns the statements that this node received itself.
 func (e *statementExchange) Own() ([]wire.RunnerLeaving, []wire.RunnerLimit) {
-	return e.leavingReports(e.statements.HeardLeaving()), e.limitReports(e.statements.HeardLimits())
+	return e.leavingReports(e.statements.OwnLeaving()), e.limitReports(e.statements.OwnLimits())
 }
 
 // All also returns statements received from other nodes.
--- a/internal/node/tenants.go
+++ b/internal/node/tenants.go
@@ -22,7 +22,7 @@
 	var response wire.DivisionResponse
 	for _, t := range limitedTenants(configuration) {
 		response.Tenants = append(response.Tenants, wire.TenantDivision{
-			Tenant: t.Name, AskedPerSecond: l.divider.Asked(t.Name, time.Now()), Lenders: l.divider.Lenders(t.Name),
+			Tenant: t.Name, AskedPerSecond: l.divider.DemandRate(t.Name, time.Now()), Lenders: l.divider.Lenders(t.Name),
 		})
 	}
 	return response, nil
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -48,7 +48,7 @@
 // state returns the evacuation state of a zone.
 func (z *zones) state(zone place.Zone) evacuation.State {
 	table := z.table.Load()
-	if table.Quiet() {
+	if table.NeverOut() {
 		return evacuation.In
 	}
 	return table.State(zone, time.Now())
@@ -66,7 +66,7 @@
 		if status.State == evacuation.Returning {
 			return status.State, status.ReturnedAt
 		}
-		return status.State, status.HeardAt
+		return status.State, status.LearnedAt
 	}
 	return table.State(zone, now), time.Time{}
 }
@@ -75,7 +75,7 @@
 // choice.
 func (z *zones) Share(zone place.Zone) float64 {
 	table := z.table.Load()
-	if table.Quiet() {
+	if table.NeverOut() {
 		return 1
 	}
 	return table.Share(zone, time.Now())
@@ -133,7 +133,7 @@
 	if status.State == evacuation.In || status.State == evacuation.Returning {
 		fields = append(fields, "returnedMs", now.Sub(status.ReturnedAt).Milliseconds())
 	} else {
-		fields = append(fields, "heardMs", now.Sub(status.HeardAt).Milliseconds(), "leftInMs", max(status.LeftAt.Sub(now), 0).Milliseconds())
+		fields = append(fields, "heardMs", now.Sub(status.LearnedAt).Milliseconds(), "leftInMs", max(status.LeftAt.Sub(now), 0).Milliseconds())
 	}
 	z.node.log.Info("zone's state changed", fields...)
 	z.node.recordDecision("zone/"+string(status.Zone), "change zone's state", status.State.String())
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -203,7 +203,7 @@
 }
 
 func transportError(err error, step, address string) error {
-	failure := fault.Transport(err, step, address)
+	failure := fault.FromTransport(err, step, address)
 	failure.Code = fault.CodeNotReady
 	return failure
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -171,7 +171,7 @@
 	}
 	answer, err := c.http.Do(call)
 	if err != nil {
-		failed := fault.Transport(err, method, address)
+		failed := fault.FromTransport(err, method, address)
 		failed.Code = fault.CodeNotReady
 		return failed
 	}
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -39,8 +39,8 @@
 	// Wake makes requests that wait for a runner check again.
 	Wake func()
 	// RecordDecision records a decision about a subject for operators to query.
-	Decide func(subject, step, reason string)
-	Log    logr.Logger
+	RecordDecision func(subject, step, reason string)
+	Log            logr.Logger
 }
 
 // Quarantine tracks suspected and refused requests at one node. Its methods may be called
@@ -241,7 +241,7 @@
 		}
 		wake = true
 		q.Log.Info("request refused as runners end under it", "content", mark.Request.Short(), "runners", mark.Runners)
-		q.Decide("content/"+mark.Request.Short(), "refuse request", mark.Finding.String())
+		q.RecordDecision("content/"+mark.Request.Short(), "refuse request", mark.Finding.String())
 	}
 	if wake {
 		q.Wake()
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -233,7 +233,7 @@
 		return fault.From(err, step)
 	}
 	q.Log.Info("request no longer refused", "content", request.Short(), "reason", "an operator lifted it")
-	q.Decide("content/"+request.Short(), "lift quarantine", "an operator lifted it")
+	q.RecordDecision("content/"+request.Short(), "lift quarantine", "an operator lifted it")
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.forget(request)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -179,7 +179,7 @@
 		firstStart: o.FirstStart, processStarted: time.Now(),
 	}
 	r.elector = lease.New(o.Leases, o.Group.LeaseKey(), o.Node, o.Address, o.Process, lease.Options{
-		Validity: leaseValidity, Interval: leaseInterval, CallTimeout: leaseTimeout, TakeoverDelay: o.TakeoverDelay, Heard: r.skipLeaseCheck,
+		Validity: leaseValidity, Interval: leaseInterval, CallTimeout: leaseTimeout, TakeoverDelay: o.TakeoverDelay, HolderAnswered: r.skipLeaseCheck,
 		Nodes: r.Nodes, ReadStoreOnce: true, ReadAtStart: !o.FirstStart, Regained: r.storeRecovered, Now: o.Now,
 	}, o.Log)
 	return r
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -28,15 +28,15 @@
 	state := &State{Now: testNow, Engine: engine, Demand: make(map[backend.Unit]*Demand), Loads: 10}
 	for index := range runners {
 		state.Runners = append(state.Runners, &Runner{
-			ID: fmt.Sprintf("r%d", index), Models: make(map[string]*Held), Free: 200, AdapterSlots: 2, Idle: true, Ready: true,
+			ID: fmt.Sprintf("r%d", index), Models: make(map[string]*ModelState), Free: 200, AdapterSlots: 2, Idle: true, Ready: true,
 			Host: make(map[string]bool), Disk: make(map[string]bool),
 		})
 	}
 	return state
 }
 
-func (r *Runner) hold(model string) *Held {
-	held := &Held{Adapters: make(map[string]*Adapter)}
+func (r *Runner) hold(model string) *ModelState {
+	held := &ModelState{Adapters: make(map[string]*Adapter)}
 	r.Models[model] = held
 	r.Free -= 70
 	return held
--- a/internal/scheduler/state.go
+++ b/internal/scheduler/state.go
@@ -52,7 +52,7 @@
 	Zone   string
 	Region place.Region
 	// Models are the models it holds or loads.
-	Models map[string]*Held
+	Models map[string]*ModelState
 	// Free is the free memory in MB, AdapterSlots the number of free adapter slots.
 	Free         float64
 	AdapterSlots int
@@ -80,9 +80,9 @@
 // serves reports whether the models on the runner count as served.
 func (r *Runner) serves() bool { return !r.Drained && !r.Out && !r.Silent }
 
-// Held is a model on a runner. It is Loading while it is loaded and Unloading while it is
+// ModelState is a model on a runner. It is Loading while it is loaded and Unloading while it is
 // unloaded.
-type Held struct {
+type ModelState struct {
 	Loading   bool
 	Unloading bool
 	// Uncertain is set if the model is only there if an unanswered order was carried out.
--- a/internal/statement/leaving.go
+++ b/internal/statement/leaving.go
@@ -20,10 +20,10 @@
 	return reg.leavingReports(func(r *record) time.Time { return r.leavingAt })
 }
 
-// HeardLeaving returns the leaving runners whose statements this node itself read from answers,
+// OwnLeaving returns the leaving runners whose statements this node itself read from answers,
 // with the age of its own readings. Nodes pass on only these, so that they do not keep a
 // statement alive among each other that the runner no longer makes.
-func (reg *Registry) HeardLeaving() []LeavingReport {
+func (reg *Registry) OwnLeaving() []LeavingReport {
 	return reg.leavingReports(func(r *record) time.Time { return r.ownLeavingAt })
 }
 
--- a/internal/statement/leaving_test.go
+++ b/internal/statement/leaving_test.go
@@ -34,7 +34,7 @@
 	*now = now.Add(time.Second)
 	registry.LearnLeaving("node-2", []LeavingReport{{Runner: "r1"}, {Runner: "r2"}})
 	assert.Equal(t, len(*changes), 2)
-	assert.DeepEqual(t, registry.HeardLeaving(), []LeavingReport{{Runner: "r1", Age: time.Second}})
+	assert.DeepEqual(t, registry.OwnLeaving(), []LeavingReport{{Runner: "r1", Age: time.Second}})
 	assert.DeepEqual(t, registry.Leaving(), []LeavingReport{{Runner: "r1"}, {Runner: "r2"}})
 }
 
--- a/internal/statement/limit.go
+++ b/internal/statement/limit.go
@@ -66,9 +66,9 @@
 	return reg.limitReports(func(r *record) time.Time { return r.limitedAt })
 }
 
-// HeardLimits returns the limits in force that this node itself read from answers, with the age
+// OwnLimits returns the limits in force that this node itself read from answers, with the age
 // of its own readings. Nodes pass on only these to others.
-func (reg *Registry) HeardLimits() []LimitReport {
+func (reg *Registry) OwnLimits() []LimitReport {
 	return reg.limitReports(func(r *record) time.Time { return r.ownLimitAt })
 }
 
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -19,7 +19,7 @@
 	"lilacvane/internal/fault"
 )
 
-var testNames = Names{RequestID: "X-Id", NotRun: "X-Not-Run"}
+var testNames = HeaderNames{RequestID: "X-Id", NotRun: "X-Not-Run"}
 
 // scriptedRunner is a runner that handles each connection by a script.
 type scriptedRunner struct {
--- a/internal/upstream/names.go
+++ b/internal/upstream/names.go
@@ -1,7 +1,7 @@
 package upstream
 
-// Names holds the names of the headers of requests and answers between nodes and runners.
-type Names struct {
+// HeaderNames holds the names of the headers of requests and answers between nodes and runners.
+type HeaderNames struct {
 	// RequestID identifies a request; the runner returns it.
 	RequestID string
 	// Deadline is how long the client will still wait, in milliseconds.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -38,7 +38,7 @@
 	// Wrap wraps each new connection to a runner; nil for none.
 	Wrap func(runner string, conn net.Conn) net.Conn
 
-	names Names
+	names HeaderNames
 	trust *link.Trust
 
 	mutex sync.Mutex
@@ -66,7 +66,7 @@
 }
 
 // NewPool returns an empty pool.
-func NewPool(names Names) *Pool {
+func NewPool(names HeaderNames) *Pool {
 	return &Pool{names: names, trust: link.NewTrust(time.Now), idle: make(map[string][]*connection)}
 }
 
--- a/internal/upstream/roundtrip_test.go
+++ b/internal/upstream/roundtrip_test.go
@@ -30,7 +30,7 @@
 }
 
 // internalNames names the header by which RoundTrip finds the runner.
-var internalNames = Names{RequestID: testNames.RequestID, NotRun: testNames.NotRun, ExpectRunner: "X-Runner"}
+var internalNames = HeaderNames{RequestID: testNames.RequestID, NotRun: testNames.NotRun, ExpectRunner: "X-Runner"}
 
 // post sends a POST of the node itself to a runner.
 func post(t *testing.T, client *http.Client, s *scriptedRunner) *http.Response {
--- a/internal/upstream/silent.go
+++ b/internal/upstream/silent.go
@@ -21,7 +21,7 @@
 	if c.sendTimedOut {
 		link.RestoreAckTimeout(c.Conn)
 	}
-	c.sendTimer = time.AfterFunc(link.RunnerSending, func() { link.RelaxAckTimeout(c.Conn) })
+	c.sendTimer = time.AfterFunc(link.RunnerAckTimeout, func() { link.RelaxAckTimeout(c.Conn) })
 }
 
 // endExchange ends an exchange whose connection may be used again.
--- a/internal/upstream/silent_test.go
+++ b/internal/upstream/silent_test.go
@@ -233,7 +233,7 @@
 				return
 			}
 			if id == "slow" {
-				time.Sleep(link.RunnerSending + 100*time.Millisecond)
+				time.Sleep(link.RunnerAckTimeout + 100*time.Millisecond)
 			}
 			_, _ = io.WriteString(conn, answerText(id, "whole"))
 		}
