--- a/internal/eligible/eligible.go
+++ b/internal/eligible/eligible.go
@@ -64,7 +64,7 @@
 	Limited bool
 }
 
-// Purpose is what is to be sent to a runner: a Request, a Question, a Load or an Unload.
+// Purpose is what is to be sent to a runner: a Request, a LoadQuery, a Load or an Unload.
 type Purpose interface{ purpose() }
 
 // Request is a client's request, sent for the first time or again, or its resumed stream.
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -65,7 +65,7 @@
 	// HolderAnswered reports whether this node recently received an answer from the holder by other
 	// means, in which case the row need not be read. If nil, the row is always read.
 	HolderAnswered func() bool
-	// ReadStoreOnce makes this process read the row from the store once, whatever Heard and
+	// ReadStoreOnce makes this process read the row from the store once, whatever HolderAnswered and
 	// ReadFromPeer say: its node may have held the lease when the previous process ended, and
 	// then continues at once.
 	ReadStoreOnce bool
--- a/internal/scheduler/state.go
+++ b/internal/scheduler/state.go
@@ -92,7 +92,7 @@
 	Adapters map[string]*Adapter
 }
 
-// Adapter is an adapter on a runner, with the same states as Held.
+// Adapter is an adapter on a runner, with the same states as ModelState.
 type Adapter struct {
 	Loading   bool
 	Unloading bool
--- a/internal/upstream/roundtrip.go
+++ b/internal/upstream/roundtrip.go
@@ -39,7 +39,7 @@
 }
 
 // RoundTrip sends a request of the node itself, such as one for a runner's load, on the connections
-// that carry the requests of clients. The runner is the one that the header Names.ExpectRunner
+// that carry the requests of clients. The runner is the one that the header HeaderNames.ExpectRunner
 // names. A GET that failed on a connection that had been idle is sent once more, on a new one;
 // others are sent once, on one that is known to work.
 func (p *Pool) RoundTrip(request *http.Request) (*http.Response, error) {
