--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -24,7 +24,7 @@
 	maxAnswerAge = time.Second
 	// returnRamp is the time in which a zone's share rises from zero to one. A runner that
 	// has just started is slow for some seconds, and the first requests show its capacity.
-	// The value was measured, see docs/design/newcomers.md.
+	// See docs/design/newcomers.md.
 	returnRamp = 3 * time.Second
 )
 
